--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -1,6 +1,11 @@
-// Package dispatch takes a request from its arrival to its end: it judges it by
-// the configuration, decides, waits for room, calls the endpoint or another
-// host, and retries where that is safe. Read it from Run downwards.
+// Package dispatch takes a request on one host from its arrival to its outcome.
+// It checks the request against the configuration, has the policy decide where it
+// runs, waits for capacity, sends it to an endpoint or forwards it to another host,
+// and retries where that is safe.
+//
+// The package contains no placement policy (package policy), no load or
+// membership tracking (packages load and membership) and no connections
+// (packages endpoint and peer). Start reading at Dispatcher.Run.
 package dispatch
 
 import (
@@ -18,17 +23,19 @@
 )
 
 const (
-	maxAttempts = 2 // one retry, for requests that belong to no route
-	// placesMost bounds the places tried for one request, those that could not
-	// be reached too.
-	placesMost = 4
-	// raceTries is how often a decision is made again when its endpoint was
-	// filled in between.
-	raceTries = 3
-	minBack   = 200 * time.Millisecond
+	// defaultAttemptLimit allows one retry for requests that belong to no route.
+	defaultAttemptLimit = 2
+	// maxTotalAttempts bounds all attempts of one request, including those at
+	// targets that could not be reached.
+	maxTotalAttempts = 4
+	// maxPlacementRounds bounds how often a request is placed again because its
+	// target lost the capacity between the decision and its use.
+	maxPlacementRounds = 3
+	// minRetryAfter is the shortest time after which a caller is told to retry.
+	minRetryAfter = 200 * time.Millisecond
 )
 
-// Statuses of answers that are the system's own.
+// HTTP statuses of responses that the system itself gives.
 const (
 	statusBadRequest   = 400
 	statusUnauthorized = 401
@@ -40,148 +47,159 @@
 	statusUnavailable  = 503
 )
 
-// Config is what a Dispatcher needs.
+// Config holds the dependencies and settings of a Dispatcher.
 type Config struct {
-	Self       vetchtrail.Host
-	Policy     vetchtrail.Policy
-	Rules      func() *rules.Rules
-	Table      vetchtrail.Endpoints
-	Membership vetchtrail.Hosts
-	Endpoints  vetchtrail.EndpointCaller
-	Peers      vetchtrail.Forwarder
-	Keeper     *once.Keeper
-	Journal    vetchtrail.Recorder
-	Seed       uint64 // of the random choices
-	Budget     budget.Config
-	Quotas     vetchtrail.Quotas     // nil: workspaces have none
-	Quarantine vetchtrail.Quarantine // nil: nothing is held back
-	Permits    vetchtrail.Permits    // nil: endpoints name no rates
-	Off        vetchtrail.Mechanisms // that are not used
+	Self       vetchtrail.Host           // this host
+	Policy     vetchtrail.Policy         // decides where a request runs
+	Rules      func() *rules.Rules       // returns the newest configuration on this host
+	Table      vetchtrail.Endpoints      // load and availability of this data centre's endpoints
+	Membership vetchtrail.Hosts          // other hosts and data centres
+	Endpoints  vetchtrail.EndpointCaller // sends requests to endpoints
+	Peers      vetchtrail.Forwarder      // forwards requests to other hosts
+	Keeper     *once.Keeper              // idempotency keys that this process issued
+	Journal    vetchtrail.Recorder       // records decisions and outcomes
+	Seed       uint64                    // of the policy's random numbers
+	Budget     budget.Config             // retry budget of each service
+	Quotas     vetchtrail.Quotas         // nil: workspaces have no quotas
+	Quarantine vetchtrail.Quarantine     // nil: no request is quarantined
+	Permits    vetchtrail.Permits        // nil: advertised rate limits are not enforced
+	Off        vetchtrail.Mechanisms     // mechanisms that are switched off
 }
 
-// Dispatcher runs requests. It is safe for use by many.
+// Dispatcher runs requests. It is safe for concurrent use.
 type Dispatcher struct {
-	cfg      Config
-	views    sync.Pool
-	randoms  sync.Pool
-	draws    atomic.Uint64
-	inFlight atomic.Int64
+	cfg           Config
+	viewPool      sync.Pool     // of *vetchtrail.View
+	randomPool    sync.Pool     // of *rand.Rand
+	randomStreams atomic.Uint64 // random generators created; gives each its own sequence
+	inFlight      atomic.Int64
 
-	mu      sync.Mutex
-	lines   map[string]*queue.Line
-	budgets map[string]*budget.Budget
+	mu         sync.Mutex                // guards the maps
+	waitQueues map[string]*queue.Line    // by service
+	budgets    map[string]*budget.Budget // by service
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher with empty queues and no retries made.
 func New(c Config) *Dispatcher {
-	d := &Dispatcher{cfg: c, lines: map[string]*queue.Line{}, budgets: map[string]*budget.Budget{}}
-	d.views.New = func() any { return &vetchtrail.View{} }
-	d.randoms.New = func() any { return rand.New(rand.NewPCG(c.Seed, d.draws.Add(1))) }
+	d := &Dispatcher{cfg: c, waitQueues: map[string]*queue.Line{}, budgets: map[string]*budget.Budget{}}
+	d.viewPool.New = func() any { return &vetchtrail.View{} }
+	d.randomPool.New = func() any { return rand.New(rand.NewPCG(c.Seed, d.randomStreams.Add(1))) }
 	return d
 }
 
-// InFlight returns how many requests are on their way.
+// InFlight returns the number of calls of Run that have not returned.
 func (d *Dispatcher) InFlight() int { return int(d.inFlight.Load()) }
 
-// Run takes a request to its end. It returns when the outcome is known or has
-// been given up on; what of an answer there was has gone to a.
+// Run processes a request to its final outcome, writes what it receives of an
+// answer to a, and records and counts the outcome. The outcome is unknown if the
+// request may have run, its answer was lost, and it may not be retried.
 func (d *Dispatcher) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
-	began := time.Now()
+	started := time.Now()
 	o := d.run(ctx, r, a)
 	d.cfg.Journal.Note(vetchtrail.Record{
-		At: began, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, Hops: r.Hops,
-		Ended: true, Outcome: o, Took: time.Since(began),
+		At: started, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, Hops: r.Hops,
+		Ended: true, Outcome: o, Took: time.Since(started),
 	})
-	count(r, o, time.Since(began))
+	countRequest(r, o, time.Since(started))
 	return o
 }
 
-// Rejected notes a request whose caller did not show a workspace: nothing is done for it.
+// Rejected records and counts a request that was refused before Run, because its
+// caller showed no valid key for a workspace.
 func (d *Dispatcher) Rejected(r *vetchtrail.Request, o vetchtrail.Outcome) {
 	o.Peer = d.cfg.Self.Name
 	d.cfg.Journal.Note(vetchtrail.Record{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
-	count(r, o, 0)
+	countRequest(r, o, 0)
 }
 
+// run checks a request and hands it to the function for its type: one that
+// resumes a stream, one with an idempotency key, or any other.
 func (d *Dispatcher) run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	if r.Hops > 0 && r.Route != "" && d.cfg.Membership.Self().State == vetchtrail.HostLeaving {
-		// Its stream could outlast this host; who sent it hears late of the stop.
-		return d.refusal(vetchtrail.StepForward, vetchtrail.ReasonLeaving, time.Now().Add(minBack))
+		// The answer's stream could outlast this host. The sender may not know
+		// yet that this host is leaving.
+		return d.refusal(vetchtrail.StepForward, vetchtrail.ReasonLeaving, time.Now().Add(minRetryAfter))
 	}
-	if o, ok := d.judge(r); !ok {
-		return d.keyed(r, o)
+	if o, ok := d.applyRules(r); !ok {
+		return d.keyedRefusal(r, o)
 	}
 	if r.Resume.Endpoint != "" {
-		return d.resume(ctx, r, a)
+		return d.resumeStream(ctx, r, a)
 	}
 	if r.Key != "" {
-		return d.once(ctx, r, a)
+		return d.runKeyed(ctx, r, a)
 	}
-	return d.attempts(ctx, r, a)
+	return d.runWithRetries(ctx, r, a)
 }
 
-// judge sets where the request may go by the newest configuration held, within
-// what the host that sent it allowed.
-func (d *Dispatcher) judge(r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
-	now := d.cfg.Rules()
+// applyRules checks a request against the newest configuration and the
+// quarantine. It sets the request's home, priority and allowed regions; for a
+// forwarded request it only narrows the regions that the sender allowed. It
+// returns false with the refusal if the request may not run.
+func (d *Dispatcher) applyRules(r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
+	newest := d.cfg.Rules()
 	if r.Credential != (vetchtrail.KeyHash{}) {
-		if holder, ok := now.Holder(r.Credential); !ok || holder != r.Workspace {
+		if holder, ok := newest.Holder(r.Credential); !ok || holder != r.Workspace {
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonUnknownKey, time.Time{}), false
 		}
 	}
-	j, why := judgement(now, r)
-	if why != "" {
-		return d.refusal(vetchtrail.StepDecide, why, time.Time{}), false
+	j, reason := evaluateRules(newest, r)
+	if reason != "" {
+		return d.refusal(vetchtrail.StepDecide, reason, time.Time{}), false
 	}
-	if hold, held := d.held(r); held {
-		return d.heldBack(hold), false
+	if entry, quarantined := d.quarantined(r); quarantined {
+		return d.quarantineRefusal(entry), false
 	}
 	r.Home, r.Priority = j.Home, j.Priority
 	if r.Hops == 0 {
 		r.Allowed = j.Allowed
 	}
 	r.Allowed &= j.Allowed
-	r.Revision = max(r.Revision, now.Revision())
+	r.Revision = max(r.Revision, newest.Revision())
 	if r.Allowed == 0 {
 		return d.refusal(vetchtrail.StepResidency, vetchtrail.ReasonResidency, time.Time{}), false
 	}
 	return vetchtrail.Outcome{}, true
 }
 
-// judgement is what rules say of a request, by its route or its service, or why it may
-// not run.
-func judgement(held *rules.Rules, r *vetchtrail.Request) (rules.Judgement, vetchtrail.Reason) {
+// evaluateRules returns the home, priority and allowed regions that a
+// configuration gives a request, by its route or else by its service. The reason
+// is set if the request may not run at all.
+func evaluateRules(newest *rules.Rules, r *vetchtrail.Request) (rules.Judgement, vetchtrail.Reason) {
 	if r.Route != "" {
-		return held.JudgeRoute(r.Route, r.Service, r.Workspace, r.Entry)
+		return newest.JudgeRoute(r.Route, r.Service, r.Workspace, r.Entry)
 	}
-	j, ok := held.Judge(r.Service, r.Workspace, r.Entry)
+	j, ok := newest.Judge(r.Service, r.Workspace, r.Entry)
 	if !ok {
 		return j, vetchtrail.ReasonNoService
 	}
 	return j, ""
 }
 
-// Guard is asked just before the first byte of a request leaves for an
-// endpoint: the configuration may have changed while it waited.
+// Guard is the last check before the first byte of a request is sent to an
+// endpoint. It returns the reason not to send it; empty: it may be sent.
+// Configuration, quarantine, availability and rate limit may all have changed since
+// the request was placed.
 func (d *Dispatcher) Guard(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason {
 	now := time.Now()
 	if !now.Before(r.Deadline) {
 		return vetchtrail.ReasonDeadline
 	}
 	newest := d.cfg.Rules()
-	j, why := judgement(newest, r)
-	g, known := newest.Region(e.Region)
-	if why != "" || !known || !(j.Allowed & r.Allowed).Has(g.ID) {
+	j, reason := evaluateRules(newest, r)
+	region, known := newest.Region(e.Region)
+	if reason != "" || !known || !(j.Allowed & r.Allowed).Has(region.ID) {
 		return vetchtrail.ReasonResidency
 	}
-	if _, held := d.held(r); held {
+	if _, quarantined := d.quarantined(r); quarantined {
 		return vetchtrail.ReasonHeldBack
 	}
-	// A stream that an endpoint holds can be taken up again there alone, also while it leaves.
-	if why, _ := d.cfg.Table.Bars(e.Name, now); why != "" && (why != vetchtrail.ReasonDraining || r.Resume.Endpoint == "") {
-		return why
+	// A stream can be resumed only at the endpoint that has it, so draining does
+	// not prevent that.
+	if reason, _ := d.cfg.Table.Bars(e.Name, now); reason != "" && (reason != vetchtrail.ReasonDraining || r.Resume.Endpoint == "") {
+		return reason
 	}
 	if d.cfg.Permits != nil && !d.cfg.Permits.Covers(r.Permit, e) {
 		return vetchtrail.ReasonLimited
@@ -189,77 +207,84 @@
 	return ""
 }
 
-// tried is what became of a request's earlier attempts.
-type tried struct {
-	places  []string
-	refused bool // an endpoint here refused for its load
-	waited  bool // it may wait for room here no longer
-	arrived int  // attempts that arrived at a process
-	sent    int  // attempts that arrived at the endpoint they were meant for
-	last    vetchtrail.Outcome
+// attemptHistory sums up the earlier attempts of a request.
+type attemptHistory struct {
+	excluded      []string // endpoints and data centres that are not tried again
+	refusedHere   bool     // an endpoint of this data centre refused because of its load
+	waitOver      bool     // the request may no longer wait for capacity here
+	reached       int      // attempts that reached any process
+	reachedTarget int      // attempts that reached the endpoint they were meant for
+	last          vetchtrail.Outcome
 }
 
-// total is the request's outcome when its last attempt ended so. After an
-// attempt that may have run, a later one that did not leaves it unknown.
-func (t *tried) total(o vetchtrail.Outcome) vetchtrail.Outcome {
-	if o.Kind != vetchtrail.NotRun || t.last.Kind != vetchtrail.Unknown || t.last.Step == "" {
+// overallOutcome returns the outcome of the request when o is that of its last
+// attempt. If an earlier attempt may have run, a later one that did not run
+// doesn't change that: the outcome stays unknown.
+func (h *attemptHistory) overallOutcome(o vetchtrail.Outcome) vetchtrail.Outcome {
+	// Unknown is the zero kind; without a step there was no earlier attempt.
+	if o.Kind != vetchtrail.NotRun || h.last.Kind != vetchtrail.Unknown || h.last.Step == "" {
 		return o
 	}
-	first := t.last
-	first.RetryAt = o.RetryAt
-	return first
+	earlier := h.last
+	earlier.RetryAt = o.RetryAt
+	return earlier
 }
 
-// attempts tries a request, and again where it surely did not run or may run
-// twice.
-func (d *Dispatcher) attempts(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
-	var t tried
+// runWithRetries attempts a request until it is answered or may not be retried.
+// It retries only requests that certainly did not run or that may run twice.
+func (d *Dispatcher) runWithRetries(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	var history attemptHistory
 	if r.Stream && r.Resumable {
-		a = &follower{to: a, req: r}
+		a = &eventTracker{next: a, req: r}
 	}
 	if r.Hops == 0 {
 		d.budget(r.Service).Earn(time.Now())
 	}
-	c := d.charge(r)
-	defer c.settle()
+	use := d.quotaUse(r)
+	defer use.returnUnused()
 	for n := 1; ; n++ {
-		if o, ok := c.pay(ctx, n); !ok {
-			return d.end(t.total(o), a)
+		if o, ok := use.take(ctx, n); !ok {
+			return d.replayFailure(history.overallOutcome(o), a)
 		}
-		p, o, ok := d.place(ctx, r, t, n)
+		p, o, ok := d.findPlacement(ctx, r, history, n)
 		if !ok {
-			return d.end(t.total(o), a)
+			return d.replayFailure(history.overallOutcome(o), a)
 		}
-		o = d.try(ctx, r, p, n, a)
-		c.used(o)
-		// One that ran has used its time: a stream that began goes on, late or not. One that a
-		// host of another data centre had no room for can still be told to come back.
-		r.Fresh = r.Fresh && o.Kind == vetchtrail.NotRun && !arrived(o)
+		o = d.runAttempt(ctx, r, p, n, a)
+		use.attemptEnded(o)
+		// Once an endpoint may have received the request, it is no longer fresh:
+		// part of its time is spent, and a stream that has begun continues even if
+		// it is late. A request that another data centre had no capacity for stays
+		// fresh, so its caller can still be told to retry later.
+		r.Fresh = r.Fresh && o.Kind == vetchtrail.NotRun && !reached(o)
 		o.Begun = o.Begun || r.Begun
 		if o.Kind == vetchtrail.Answered {
 			return o
 		}
-		t.note(p, o)
-		o = t.total(o)
-		if !d.mayRetry(ctx, r, o, &t, n) {
-			return d.end(d.reckoned(r, p, o), a)
+		history.add(p, o)
+		o = history.overallOutcome(o)
+		if !d.mayRetry(ctx, r, o, &history, n) {
+			return d.replayFailure(d.withRetryTime(r, p, o), a)
 		}
-		t.last = o
-		if o, ok := d.judge(r); !ok {
-			return d.end(t.total(o), a)
+		history.last = o
+		if o, ok := d.applyRules(r); !ok {
+			return d.replayFailure(history.overallOutcome(o), a)
 		}
 	}
 }
 
-// reckoned is an outcome with the time to come back reckoned from all endpoints, where the last of them
-// turned the request away for a time: that is when this one has room for this host, not when a caller has.
-func (d *Dispatcher) reckoned(r *vetchtrail.Request, p placement, o vetchtrail.Outcome) vetchtrail.Outcome {
+// withRetryTime corrects the retry time of a request that did not run because its
+// endpoint, of this data centre, is paused. The pause says when that endpoint
+// accepts requests from this host again. The caller needs to know when any
+// endpoint has capacity for the request, so the policy decides once more, without
+// the request's history.
+func (d *Dispatcher) withRetryTime(r *vetchtrail.Request, p placement, o vetchtrail.Outcome) vetchtrail.Outcome {
 	now := time.Now()
-	if why, _ := d.cfg.Table.Bars(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.NotRun || why != vetchtrail.ReasonPaused {
+	if reason, _ := d.cfg.Table.Bars(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.NotRun || reason != vetchtrail.ReasonPaused {
 		return o
 	}
-	o.RetryAt = now.Add(minBack)
-	switch dec := d.decide(r, tried{}); dec.Kind {
+	o.RetryAt = now.Add(minRetryAfter)
+	switch dec := d.decide(r, attemptHistory{}); dec.Kind {
 	case vetchtrail.WaitHere:
 		o.RetryAt = vetchtrail.Later(o.RetryAt, now.Add(dec.Wait))
 	case vetchtrail.Refuse:
@@ -268,27 +293,35 @@
 	return o
 }
 
-// note remembers an attempt for the next.
-func (t *tried) note(p placement, o vetchtrail.Outcome) {
-	if arrived(o) {
-		t.arrived++
-	}
-	if arrived(o) && o.Reason != vetchtrail.ReasonMisled {
-		t.sent++ // else the endpoint has ended, and another process has its address
-	}
+// add records an attempt that was not answered.
+func (h *attemptHistory) add(p placement, o vetchtrail.Outcome) {
+	if reached(o) {
+		h.reached++
+	}
+	// With ReasonMisled another process, which now has the endpoint's address,
+	// received the request.
+	if reached(o) && o.Reason != vetchtrail.ReasonMisled {
+		h.reachedTarget++
+	}
+	// A leaving host does not exclude its data centre: another host there may
+	// accept the request.
 	if o.Reason != vetchtrail.ReasonLeaving {
-		t.places = append(t.places, p.name()) // else another host there may take it
+		h.excluded = append(h.excluded, p.name())
 	}
-	t.refused = t.refused || (o.Reason == vetchtrail.ReasonRefused && p.dataCentre == "")
+	h.refusedHere = h.refusedHere || (o.Reason == vetchtrail.ReasonRefused && p.dataCentre == "")
 }
 
-// arrived says whether an attempt got to some process, as far as is known.
-func arrived(o vetchtrail.Outcome) bool {
+// reached reports whether an attempt reached, or may have reached, any process.
+// One that did not run reached a process if it failed at StepAnswer: it was
+// refused in a response.
+func reached(o vetchtrail.Outcome) bool {
 	return o.Kind != vetchtrail.NotRun || o.Step == vetchtrail.StepAnswer
 }
 
-// end gives the caller the failure of an endpoint that no attempt bettered.
-func (d *Dispatcher) end(o vetchtrail.Outcome, a vetchtrail.Answer) vetchtrail.Outcome {
+// replayFailure writes the deferred failure response of an endpoint to the
+// caller, now that no further attempt can give a better one. It does nothing if
+// there is none or if part of an answer was written already.
+func (d *Dispatcher) replayFailure(o vetchtrail.Outcome, a vetchtrail.Answer) vetchtrail.Outcome {
 	if o.Failure == nil || o.Begun {
 		return o
 	}
@@ -300,13 +333,14 @@
 	return o
 }
 
-// mayRetry says whether another attempt is safe and affordable. A host that
-// was passed the request leaves it to the sender.
-func (d *Dispatcher) mayRetry(ctx context.Context, r *vetchtrail.Request, o vetchtrail.Outcome, t *tried, n int) bool {
+// mayRetry reports whether another attempt is safe and within the retry budget.
+// A host that received the request from another one never retries: that is up to
+// the sender.
+func (d *Dispatcher) mayRetry(ctx context.Context, r *vetchtrail.Request, o vetchtrail.Outcome, history *attemptHistory, attempt int) bool {
 	switch {
-	case n >= placesMost || r.Hops > 0 || ctx.Err() != nil:
+	case attempt >= maxTotalAttempts || r.Hops > 0 || ctx.Err() != nil:
 		return false
-	case t.sent >= attemptsOf(r):
+	case history.reachedTarget >= attemptLimit(r):
 		return false
 	case o.Begun && !r.Resumable:
 		return false
@@ -314,29 +348,32 @@
 		return false
 	case o.Kind == vetchtrail.Unknown && !r.Repeats:
 		return false
-	case t.arrived == 0:
-		return true // nobody has seen it: it costs nobody anything
+	case history.reached == 0:
+		return true // no process received it, so a retry adds no load
 	}
 	ok := !d.cfg.Off.Has(vetchtrail.Retries) && d.budget(r.Service).Take(time.Now())
 	countRetry(r.Service, ok)
 	return ok
 }
 
-func attemptsOf(r *vetchtrail.Request) int {
+// attemptLimit returns how many endpoints may receive a request.
+func attemptLimit(r *vetchtrail.Request) int {
 	if r.Route == "" {
-		return maxAttempts
+		return defaultAttemptLimit
 	}
 	return r.Attempts
 }
 
-// placement is where an attempt goes, with room taken there.
+// placement is the target of one attempt: an endpoint of this data centre, where
+// capacity is taken for it, or a host of another data centre.
 type placement struct {
-	endpoint   vetchtrail.Endpoint
-	host       vetchtrail.Host // with a data centre: elsewhere
-	dataCentre string
-	predicted  time.Duration // to the first of the answer
+	endpoint      vetchtrail.Endpoint // unset if dataCentre is set
+	host          vetchtrail.Host     // set if dataCentre is set
+	dataCentre    string              // empty: the target is the endpoint
+	predictedTTFT time.Duration       // predicted time to first token, at an endpoint
 }
 
+// name returns the name of the target's data centre or endpoint.
 func (p placement) name() string {
 	if p.dataCentre != "" {
 		return p.dataCentre
@@ -344,37 +381,40 @@
 	return p.endpoint.Name
 }
 
-// try makes one attempt, the nth.
-func (d *Dispatcher) try(ctx context.Context, r *vetchtrail.Request, p placement, n int, a vetchtrail.Answer) vetchtrail.Outcome {
+// runAttempt sends a request to its target and reports the outcome to those that
+// track targets: the membership, the load table and the quarantine.
+func (d *Dispatcher) runAttempt(ctx context.Context, r *vetchtrail.Request, p placement, attempt int, a vetchtrail.Answer) vetchtrail.Outcome {
 	if p.dataCentre != "" {
 		o := d.cfg.Peers.Forward(ctx, p.host, r, a)
 		d.cfg.Membership.Returned(p.dataCentre, r.Service, o, time.Now())
-		return asSeenHere(o)
+		return mapRemoteRefusal(o)
 	}
 	o, timing := d.cfg.Endpoints.Call(ctx, p.endpoint, r, a)
 	o.First = timing.First
-	d.giveBack(r, o)
+	d.returnReservation(r, o)
 	d.cfg.Table.Release(p.endpoint.Name, vetchtrail.Observation{
 		Request: r.ID, Born: p.endpoint.Born, Route: r.Route, Outcome: o, Timing: timing, Tokens: r.PromptTokens(), Cancel: ctx.Err() != nil,
-		Predicted: p.predicted,
+		Predicted: p.predictedTTFT,
 	}, time.Now())
-	d.learn(ctx, p.endpoint, r, o, timing, n)
+	d.reportAttempt(ctx, p.endpoint, r, o, timing, attempt)
 	return o
 }
 
-// asSeenHere words the refusal of a host whose configuration is another one:
-// by the one held here the request is proper.
-func asSeenHere(o vetchtrail.Outcome) vetchtrail.Outcome {
+// mapRemoteRefusal turns the status 401, 403 or 404 of another host's refusal
+// into 503 with a retry time. This host's configuration allows the request, so
+// the other host has a different configuration and the caller did nothing wrong.
+func mapRemoteRefusal(o vetchtrail.Outcome) vetchtrail.Outcome {
 	if o.Kind == vetchtrail.NotRun && (o.Status == statusNotFound || o.Status == statusForbidden || o.Status == statusUnauthorized) {
-		o.Status, o.RetryAt = statusUnavailable, time.Now().Add(minBack)
+		o.Status, o.RetryAt = statusUnavailable, time.Now().Add(minRetryAfter)
 	}
 	return o
 }
 
-// refusal is the outcome of a request that was given up on without running.
-func (d *Dispatcher) refusal(step vetchtrail.Step, why vetchtrail.Reason, retryAt time.Time) vetchtrail.Outcome {
-	o := vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: step, Reason: why, Peer: d.cfg.Self.Name, RetryAt: retryAt}
-	switch why {
+// refusal returns the outcome of a request that this host refused without
+// running it.
+func (d *Dispatcher) refusal(step vetchtrail.Step, reason vetchtrail.Reason, retryAt time.Time) vetchtrail.Outcome {
+	o := vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: step, Reason: reason, Peer: d.cfg.Self.Name, RetryAt: retryAt}
+	switch reason {
 	case vetchtrail.ReasonNoService, vetchtrail.ReasonNoRoute:
 		o.Status = statusNotFound
 	case vetchtrail.ReasonResidency:
@@ -382,13 +422,13 @@
 	case vetchtrail.ReasonUnknownKey, vetchtrail.ReasonNoWorkspace:
 		o.Status = statusUnauthorized
 	case vetchtrail.ReasonNoHome:
-		// The operators' configuration contradicts itself: no region may run what its
-		// caller rightly asks for, until they mend it.
+		// The configuration contradicts itself: no region may run a legitimate
+		// request until the operators correct it.
 		o.Status = statusUnavailable
 	case vetchtrail.ReasonQuota:
 		o.Status = statusTooMany
 	case vetchtrail.ReasonDeadline:
-		o.Status = statusUnavailable // as 504 would leave open whether it ran
+		o.Status = statusUnavailable // 504 would leave open whether the request ran
 	default:
 		o.Status = statusUnavailable
 	}
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -23,56 +23,58 @@
 	"vetchtrail/version/rules"
 )
 
-// step is what a place does with one attempt.
-type step func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+// reply is what a target does with one attempt.
+type reply func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
 
-// places answers attempts, here and elsewhere, by a script.
-type places struct {
-	mu    sync.Mutex
-	steps []step
-	seen  []string // where the attempts went
-	last  []string // the last event that each was told of
+// scriptedTargets stands in for all endpoints and remote hosts. It gives each attempt the
+// next of its replies, wherever the attempt goes.
+type scriptedTargets struct {
+	mu           sync.Mutex
+	replies      []reply
+	called       []string // the endpoint or host that each attempt went to
+	resumedAfter []string // ID of the last event that each attempt was to continue after
 }
 
-func (p *places) next(name string, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.seen = append(p.seen, name)
-	p.last = append(p.last, r.LastEvent)
-	s := p.steps[0]
-	p.steps = p.steps[1:]
-	o := s(r, a)
+func (s *scriptedTargets) next(name string, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.called = append(s.called, name)
+	s.resumedAfter = append(s.resumedAfter, r.LastEvent)
+	respond := s.replies[0]
+	s.replies = s.replies[1:]
+	o := respond(r, a)
 	o.Peer = name
 	return o
 }
 
-func (p *places) Call(_ context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.Answer) (vetchtrail.Outcome, vetchtrail.Timing) {
-	return p.next(e.Name, r, a), vetchtrail.Timing{}
+func (s *scriptedTargets) Call(_ context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.Answer) (vetchtrail.Outcome, vetchtrail.Timing) {
+	return s.next(e.Name, r, a), vetchtrail.Timing{}
 }
 
-func (p *places) Forward(_ context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
-	return p.next(h.Name, r, a)
+func (s *scriptedTargets) Forward(_ context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	return s.next(h.Name, r, a)
 }
 
-// got is what the caller received.
-type got struct {
-	heads  int
+// recordedAnswer is what the caller received.
+type recordedAnswer struct {
+	begins int // calls of Begin
 	status int
 	body   strings.Builder
 }
 
-func (g *got) Begin(status int, _ []vetchtrail.HeaderField) error {
-	g.heads++
+func (g *recordedAnswer) Begin(status int, _ []vetchtrail.HeaderField) error {
+	g.begins++
 	g.status = status
 	return nil
 }
 
-func (g *got) Write(p []byte) error {
+func (g *recordedAnswer) Write(p []byte) error {
 	g.body.Write(p)
 	return nil
 }
 
-func answers(body string) step {
+// answerWith answers with status 200 and a body.
+func answerWith(body string) reply {
 	return func(_ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 		_ = a.Begin(200, nil)
 		_ = a.Write([]byte(body))
@@ -80,7 +82,9 @@
 	}
 }
 
-func breaks(body string) step {
+// breakAfter loses the answer after a first part of the body, or before it if that is
+// empty.
+func breakAfter(body string) reply {
 	return func(_ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 		if body != "" {
 			_ = a.Begin(200, nil)
@@ -92,34 +96,40 @@
 	}
 }
 
-// late does a step after some time.
-func late(s step) step {
+// delayed gives a reply after 30 milliseconds.
+func delayed(then reply) reply {
 	return func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 		time.Sleep(30 * time.Millisecond)
-		return s(r, a)
+		return then(r, a)
 	}
 }
 
-func refuses(where vetchtrail.Step, why vetchtrail.Reason) step {
+// refuseWith refuses the request at a step of its processing, so that it has not run.
+func refuseWith(at vetchtrail.Step, reason vetchtrail.Reason) reply {
 	return func(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
-		return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Status: 503, Step: where, Reason: why}
+		return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Status: 503, Step: at, Reason: reason}
 	}
 }
 
-func fails(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
+// failWith500 has the endpoint answer with a failure.
+func failWith500(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
 		Kind: vetchtrail.Unknown, Status: 502, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonFailed,
 		Failure: &vetchtrail.KeptAnswer{Status: 500, Body: []byte("failed")},
 	}
 }
 
-func lacksRoute(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
+// refuseUnknownRoute refuses the request as does a host whose configuration lacks the route.
+func refuseUnknownRoute(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
 	return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Status: 404, Step: vetchtrail.StepDecide, Reason: vetchtrail.ReasonNoRoute}
 }
 
-func dispatcher(t *testing.T, p *places, endpoints int) *Dispatcher {
+// newDispatcher returns the dispatcher of a host in data centre a-1, with a number of
+// endpoints there. Data centre b-1 of region b has one host, "remote". Route r may go
+// to both regions, route at-b to region b only.
+func newDispatcher(t *testing.T, targets *scriptedTargets, endpoints int) *Dispatcher {
 	t.Helper()
-	held, err := rules.Restore([]vetchtrail.Edit{
+	ruleSet, err := rules.Restore([]vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 0, Name: "a", DataCentres: []string{"a-1"}}},
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 1, Name: "b", DataCentres: []string{"b-1"}}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "s", AnswerWithin: time.Minute, Weights: vetchtrail.Weights{Tail: 1}}},
@@ -142,117 +152,121 @@
 	}
 	table.Configure(placed)
 	self := vetchtrail.Host{Name: "self", Region: "a", DataCentre: "a-1", State: vetchtrail.HostReady}
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	m := membership.New(membership.Config{Self: self, Load: table, Revision: held.Revision, Log: quiet})
-	m.Swapped(&schema.Digests{From: "far", Digest: &schema.Digest{
+	discardLog := slog.New(slog.NewTextHandler(io.Discard, nil))
+	m := membership.New(membership.Config{Self: self, Load: table, Revision: ruleSet.Revision, Log: discardLog})
+	m.Swapped(&schema.Digests{From: "remote", Digest: &schema.Digest{
 		DataCentre: "b-1", Region: "b", Revision: 7,
-		Members:  []*schema.Member{{Name: "far", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}},
+		Members:  []*schema.Member{{Name: "remote", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}},
 		Services: []*schema.ServiceDigest{{Service: "s", Free: 4, Slots: 4}},
 	}})
 	return New(Config{
-		Self: self, Policy: policy.Weighted{}, Rules: func() *rules.Rules { return held }, Table: table, Membership: m,
-		Endpoints: p, Peers: p, Keeper: once.New(once.Config{Host: "self", KeyTime: time.Minute}), Journal: journal.New(journal.Config{Log: quiet}),
+		Self: self, Policy: policy.Weighted{}, Rules: func() *rules.Rules { return ruleSet }, Table: table, Membership: m,
+		Endpoints: targets, Peers: targets, Keeper: once.New(once.Config{Host: "self", KeyTime: time.Minute}), Journal: journal.New(journal.Config{Log: discardLog}),
 		Budget: budget.Config{Window: time.Second, Base: 100, Hosts: func() int { return 1 }},
 	})
 }
 
-// TestAttempts: what becomes of a request of a route, and of its caller's
-// answer, by what the places do that it is sent to.
+// TestAttempts checks the outcome of a request and the answer its caller gets, for
+// what the targets of its attempts do. It guards against a retry that could run a
+// request twice, a retry left out where it is safe, and an answer that mixes the
+// parts of two attempts.
 func TestAttempts(t *testing.T) {
-	one, two := "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
-	safe := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
+	event1, event2 := "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
+	repeatable := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
 	resumable := func(r *vetchtrail.Request) { r.Stream, r.Resumable, r.Repeats, r.Attempts = true, true, true, 2 }
 	cases := map[string]struct {
-		change    func(*vetchtrail.Request)
-		steps     []step
-		endpoints int // here; 0: only elsewhere
-		kind      vetchtrail.OutcomeKind
-		status    int // of the outcome
-		body      string
-		tries     int
-		last      string // event that the last attempt was told of
+		modify       func(*vetchtrail.Request)
+		replies      []reply
+		endpoints    int // in this data centre; 0: only the remote host is left
+		kind         vetchtrail.OutcomeKind
+		status       int // of the outcome
+		body         string
+		attempts     int
+		resumedAfter string // the event that the last attempt was to continue after
 	}{
-		"answered":                     {nil, []step{answers("ok")}, 2, vetchtrail.Answered, 200, "ok", 1, ""},
-		"lost, may not repeat":         {nil, []step{breaks("")}, 2, vetchtrail.Unknown, 502, "", 1, ""},
-		"refused, one attempt":         {nil, []step{refuses(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 2, vetchtrail.NotRun, 503, "", 1, ""},
-		"another process there":        {nil, []step{refuses(vetchtrail.StepAnswer, vetchtrail.ReasonMisled), answers("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"not reached":                  {nil, []step{refuses(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), answers("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"refused, two attempts":        {safe, []step{refuses(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), answers("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"lost, may repeat":             {safe, []step{breaks(""), answers("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"failed, bettered":             {safe, []step{fails, answers("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"failed twice":                 {safe, []step{fails, fails}, 2, vetchtrail.Answered, 500, "failed", 2, ""},
-		"lost, then not run":           {safe, []step{breaks(""), refuses(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 2, vetchtrail.Unknown, 502, "", 2, ""},
-		"stream goes on":               {resumable, []step{breaks(one), answers(two)}, 2, vetchtrail.Answered, 200, one + two, 2, "1"},
-		"stream goes on past its goal": {func(r *vetchtrail.Request) { resumable(r); r.Fresh, r.Goal = true, time.Now().Add(20*time.Millisecond) }, []step{late(breaks(one)), answers(two)}, 2, vetchtrail.Answered, 200, one + two, 2, "1"},
-		"stream breaks twice":          {resumable, []step{breaks(one), breaks(two)}, 2, vetchtrail.Unknown, 502, one + two, 2, "1"},
-		"no failure as its end":        {resumable, []step{breaks(one), fails}, 2, vetchtrail.Unknown, 502, one, 2, "1"},
-		"stream may not go on":         {func(r *vetchtrail.Request) { r.Stream, r.Attempts = true, 2 }, []step{breaks(one)}, 2, vetchtrail.Unknown, 502, one, 1, ""},
-		"elsewhere":                    {nil, []step{answers("ok")}, 0, vetchtrail.Answered, 200, "ok", 1, ""},
-		"a leaving host elsewhere":     {nil, []step{refuses(vetchtrail.StepForward, vetchtrail.ReasonLeaving), answers("ok")}, 0, vetchtrail.Answered, 200, "ok", 2, ""},
-		"elsewhere lacks the route":    {nil, []step{lacksRoute}, 0, vetchtrail.NotRun, 503, "", 1, ""},
+		"answered":                            {nil, []reply{answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 1, ""},
+		"answer lost, not repeatable":         {nil, []reply{breakAfter("")}, 2, vetchtrail.Unknown, 502, "", 1, ""},
+		"refused, attempt limit 1":            {nil, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 2, vetchtrail.NotRun, 503, "", 1, ""},
+		"address taken by another process":    {nil, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonMisled), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
+		"unreachable":                         {nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
+		"refused, attempt limit 2":            {repeatable, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
+		"answer lost, repeatable":             {repeatable, []reply{breakAfter(""), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
+		"failed, then answered":               {repeatable, []reply{failWith500, answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
+		"failed twice, replayed":              {repeatable, []reply{failWith500, failWith500}, 2, vetchtrail.Answered, 500, "failed", 2, ""},
+		"answer lost, then not run":           {repeatable, []reply{breakAfter(""), refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 2, vetchtrail.Unknown, 502, "", 2, ""},
+		"stream continues":                    {resumable, []reply{breakAfter(event1), answerWith(event2)}, 2, vetchtrail.Answered, 200, event1 + event2, 2, "1"},
+		"stream continues after its goal":     {func(r *vetchtrail.Request) { resumable(r); r.Fresh, r.Goal = true, time.Now().Add(20*time.Millisecond) }, []reply{delayed(breakAfter(event1)), answerWith(event2)}, 2, vetchtrail.Answered, 200, event1 + event2, 2, "1"},
+		"stream breaks twice":                 {resumable, []reply{breakAfter(event1), breakAfter(event2)}, 2, vetchtrail.Unknown, 502, event1 + event2, 2, "1"},
+		"stream breaks, failure not appended": {resumable, []reply{breakAfter(event1), failWith500}, 2, vetchtrail.Unknown, 502, event1, 2, "1"},
+		"stream not resumable":                {func(r *vetchtrail.Request) { r.Stream, r.Attempts = true, 2 }, []reply{breakAfter(event1)}, 2, vetchtrail.Unknown, 502, event1, 1, ""},
+		"remote host only":                    {nil, []reply{answerWith("ok")}, 0, vetchtrail.Answered, 200, "ok", 1, ""},
+		"remote host leaving":                 {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonLeaving), answerWith("ok")}, 0, vetchtrail.Answered, 200, "ok", 2, ""},
+		"remote host lacks the route":         {nil, []reply{refuseUnknownRoute}, 0, vetchtrail.NotRun, 503, "", 1, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := &places{steps: c.steps}
-			d := dispatcher(t, p, c.endpoints)
+			targets := &scriptedTargets{replies: c.replies}
+			d := newDispatcher(t, targets, c.endpoints)
 			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second)}
-			if c.change != nil {
-				c.change(r)
+			if c.modify != nil {
+				c.modify(r)
 			}
-			var g got
+			var g recordedAnswer
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
 			assert.Equal(t, g.body.String(), c.body)
-			assert.Assert(t, g.heads <= 1, "%d heads", g.heads)
-			assert.Equal(t, len(p.seen), c.tries, "%v", p.seen)
-			assert.Equal(t, p.last[len(p.last)-1], c.last)
+			assert.Assert(t, g.begins <= 1, "%d calls of Begin", g.begins)
+			assert.Equal(t, len(targets.called), c.attempts, "%v", targets.called)
+			assert.Equal(t, targets.resumedAfter[len(targets.resumedAfter)-1], c.resumedAfter)
 		})
 	}
 }
 
-// TestLeavingTakesNothing: a host that leaves refuses what others pass on to it,
-// and serves what its own callers still ask.
-func TestLeavingTakesNothing(t *testing.T) {
+// TestLeavingHostRefusesForwarded checks that a leaving host refuses requests that
+// other hosts forward, whose streams could outlast it, and still serves its own
+// callers.
+func TestLeavingHostRefusesForwarded(t *testing.T) {
 	cases := map[string]struct {
 		hops int
 		kind vetchtrail.OutcomeKind
 	}{
-		"of its own callers": {0, vetchtrail.Answered},
-		"passed on":          {1, vetchtrail.NotRun},
+		"from its own caller": {0, vetchtrail.Answered},
+		"forwarded":           {1, vetchtrail.NotRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := dispatcher(t, &places{steps: []step{answers("ok")}}, 1)
+			d := newDispatcher(t, &scriptedTargets{replies: []reply{answerWith("ok")}}, 1)
 			d.cfg.Membership.(*membership.Membership).SetState(vetchtrail.HostLeaving)
 			r := &vetchtrail.Request{
 				ID: "x", Service: "s", Route: "r", Attempts: 1, Hops: c.hops, Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second),
 			}
-			var g got
+			var g recordedAnswer
 			assert.Equal(t, d.Run(context.Background(), r, &g).Kind, c.kind)
 		})
 	}
 }
 
-// TestLastChance: who finds no room here in its time is passed on if another data
-// centre can serve it, and only else told to come back.
+// TestLastChance checks that a request which waited for capacity in vain is forwarded
+// to a data centre that can still serve it. Only if it can't be forwarded may it be
+// refused, with a time to retry.
 func TestLastChance(t *testing.T) {
 	cases := map[string]struct {
-		change func(*vetchtrail.Request)
-		far    []step
+		modify func(*vetchtrail.Request)
+		remote []reply
 		kind   vetchtrail.OutcomeKind
-		seen   int
+		called int
 	}{
-		"there is room elsewhere": {nil, []step{answers("ok")}, vetchtrail.Answered, 1},
-		"it may not go there":     {func(r *vetchtrail.Request) { r.Hops, r.Allowed = 1, vetchtrail.AllRegions }, nil, vetchtrail.NotRun, 0},
+		"remote capacity":  {nil, []reply{answerWith("ok")}, vetchtrail.Answered, 1},
+		"forwarded before": {func(r *vetchtrail.Request) { r.Hops, r.Allowed = 1, vetchtrail.AllRegions }, nil, vetchtrail.NotRun, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := &places{steps: c.far}
-			d := dispatcher(t, p, 1)
+			targets := &scriptedTargets{replies: c.remote}
+			d := newDispatcher(t, targets, 1)
 			slow := &schema.Digest{DataCentre: "b-1", Region: "b", Revision: 7, Services: []*schema.ServiceDigest{{Service: "s", Free: 4, Slots: 4, WaitMillis: 2000}},
-				Members: []*schema.Member{{Name: "far", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}}}
-			d.cfg.Membership.(*membership.Membership).Swapped(&schema.Digests{From: "far", Digest: slow})
+				Members: []*schema.Member{{Name: "remote", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}}}
+			d.cfg.Membership.(*membership.Membership).Swapped(&schema.Digests{From: "remote", Digest: slow})
 			for i := range 8 {
 				d.cfg.Table.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
 			}
@@ -260,13 +274,13 @@
 			r := &vetchtrail.Request{
 				ID: "x", Service: "s", Route: "r", Attempts: 1, Deadline: now.Add(10 * time.Second), Patience: now.Add(50 * time.Millisecond),
 			}
-			if c.change != nil {
-				c.change(r)
+			if c.modify != nil {
+				c.modify(r)
 			}
-			var g got
+			var g recordedAnswer
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
-			assert.Equal(t, len(p.seen), c.seen)
+			assert.Equal(t, len(targets.called), c.called)
 			assert.Equal(t, o.Kind != vetchtrail.NotRun || !o.RetryAt.IsZero(), true)
 		})
 	}
--- /dev/null
+++ b/request/dispatch/event_tracker.go
@@ -0,0 +1,34 @@
+package dispatch
+
+import (
+	"vetchtrail"
+	"vetchtrail/connection/endpoint"
+)
+
+// eventTracker writes a resumable stream to its caller and stores the ID of the
+// last event in the request, so that another attempt continues after that event.
+// The caller gets the status and header of the first attempt only.
+type eventTracker struct {
+	next vetchtrail.Answer
+	req  *vetchtrail.Request
+}
+
+// Begin implements vetchtrail.Answer.
+func (t *eventTracker) Begin(status int, header []vetchtrail.HeaderField) error {
+	if t.req.Begun {
+		return nil
+	}
+	t.req.Begun = true
+	return t.next.Begin(status, header)
+}
+
+// Write implements vetchtrail.Answer. Each part is a whole event.
+func (t *eventTracker) Write(part []byte) error {
+	if err := t.next.Write(part); err != nil {
+		return err
+	}
+	if id, ok := endpoint.EventID(part); ok {
+		t.req.LastEvent = id
+	}
+	return nil
+}
--- a/request/dispatch/home_test.go
+++ b/request/dispatch/home_test.go
@@ -10,45 +10,45 @@
 	"vetchtrail"
 )
 
-// TestHomeUnderLoss: a request whose home is another region runs there or nowhere,
-// whatever room is here: while the home is lost its caller is told at once that it
-// has not run and when to come back.
-func TestHomeUnderLoss(t *testing.T) {
-	lost := vetchtrail.Outcome{Kind: vetchtrail.NotRun, Peer: "far", Reason: vetchtrail.ReasonUnreachable, HostLost: true}
+// TestHomeRegionLost checks that a request which only its home region may run never
+// runs elsewhere, even if the endpoints here are idle. While the home region can't be
+// reached, the caller learns at once that the request did not run and when to retry.
+func TestHomeRegionLost(t *testing.T) {
+	lost := vetchtrail.Outcome{Kind: vetchtrail.NotRun, Peer: "remote", Reason: vetchtrail.ReasonUnreachable, HostLost: true}
 	cases := map[string]struct {
-		before func(d *Dispatcher)
-		steps  []step
-		kind   vetchtrail.OutcomeKind
-		status int
-		seen   []string
+		prepare func(d *Dispatcher)
+		replies []reply
+		kind    vetchtrail.OutcomeKind
+		status  int
+		called  []string
 	}{
-		"the home is there": {nil, []step{answers("ok")}, vetchtrail.Answered, 200, []string{"far"}},
-		"the home was lost a moment ago": {func(d *Dispatcher) {
+		"reachable": {nil, []reply{answerWith("ok")}, vetchtrail.Answered, 200, []string{"remote"}},
+		"lost a moment ago": {func(d *Dispatcher) {
 			d.cfg.Membership.Returned("b-1", "s", lost, time.Now())
 		}, nil, vetchtrail.NotRun, 503, nil},
-		"the home was lost and is back": {func(d *Dispatcher) {
+		"lost a minute ago, tried again": {func(d *Dispatcher) {
 			d.cfg.Membership.Returned("b-1", "s", lost, time.Now().Add(-time.Minute))
-		}, []step{answers("ok")}, vetchtrail.Answered, 200, []string{"far"}},
-		"the home is lost under it": {nil, []step{refuses(vetchtrail.StepForward, vetchtrail.ReasonUnreachable)}, vetchtrail.NotRun, 503, []string{"far"}},
-		"lost with its answer":      {nil, []step{breaks("")}, vetchtrail.Unknown, 502, []string{"far"}},
+		}, []reply{answerWith("ok")}, vetchtrail.Answered, 200, []string{"remote"}},
+		"unreachable when forwarded": {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonUnreachable)}, vetchtrail.NotRun, 503, []string{"remote"}},
+		"answer lost":                {nil, []reply{breakAfter("")}, vetchtrail.Unknown, 502, []string{"remote"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := &places{steps: c.steps}
-			d := dispatcher(t, p, 2)
-			if c.before != nil {
-				c.before(d)
+			targets := &scriptedTargets{replies: c.replies}
+			d := newDispatcher(t, targets, 2)
+			if c.prepare != nil {
+				c.prepare(d)
 			}
 			r := &vetchtrail.Request{
 				ID: "x", Service: "s", Route: "at-b", Attempts: 2, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
-			began := time.Now()
-			var g got
+			started := time.Now()
+			var g recordedAnswer
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
-			assert.DeepEqual(t, p.seen, c.seen)
-			assert.Equal(t, !o.RetryAt.IsZero() && o.RetryAt.After(began), o.Kind == vetchtrail.NotRun)
+			assert.DeepEqual(t, targets.called, c.called)
+			assert.Equal(t, !o.RetryAt.IsZero() && o.RetryAt.After(started), o.Kind == vetchtrail.NotRun)
 		})
 	}
 }
--- /dev/null
+++ b/request/dispatch/idempotency.go
@@ -0,0 +1,151 @@
+package dispatch
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"vetchtrail"
+	"vetchtrail/request/once"
+)
+
+// runKeyed runs a request with an idempotency key. Only the process that issued
+// the key (its issuer) may start the request, so any other forwards it there.
+func (d *Dispatcher) runKeyed(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	key, err := once.Parse(r.Key)
+	if err != nil {
+		o := d.refusal(vetchtrail.StepOnce, vetchtrail.ReasonKey, time.Time{})
+		o.Status, o.Err = statusBadRequest, err
+		return o
+	}
+	if d.cfg.Keeper.Mine(key) {
+		return d.runAsIssuer(ctx, key, r, a)
+	}
+	if r.Hops > 0 {
+		return d.runForwarded(ctx, key, r, a)
+	}
+	return d.forwardToIssuer(ctx, key, r, a)
+}
+
+// Starting returns the outcome of a request that arrived before this host had a
+// configuration.
+func (d *Dispatcher) Starting(r *vetchtrail.Request) vetchtrail.Outcome {
+	return d.keyedRefusal(r, d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonStarting, time.Now().Add(time.Second)))
+}
+
+// keyedRefusal returns the outcome of a request that was refused before its
+// idempotency key was checked. Such a refusal doesn't show whether an earlier
+// request with the key has run. The outcome is therefore unknown, unless this
+// process issued the key and has not begun a request with it.
+func (d *Dispatcher) keyedRefusal(r *vetchtrail.Request, o vetchtrail.Outcome) vetchtrail.Outcome {
+	key, err := once.Parse(r.Key)
+	if r.Key == "" || err != nil || (d.cfg.Keeper.Mine(key) && !d.cfg.Keeper.Begun(key)) {
+		return o
+	}
+	o.Kind = vetchtrail.Unknown
+	return o
+}
+
+// runForwarded runs a keyed request that another host forwarded. If the key names
+// this host, the sender took this process for the issuer. The issuer was another
+// process of this host, which is gone, so the request is not run.
+func (d *Dispatcher) runForwarded(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	if key.Host == d.cfg.Self.Name {
+		return d.issuerGone(r)
+	}
+	return d.runWithRetries(ctx, r, a)
+}
+
+// runAsIssuer runs the first request with a key that this process issued. Any
+// further request with the key gets the answer of the first.
+func (d *Dispatcher) runAsIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	rec, first, err := d.cfg.Keeper.Begin(key, once.Fingerprint(r), time.Now())
+	if err != nil {
+		return d.keyRefusal(key, err)
+	}
+	if !first {
+		return d.awaitFirst(ctx, rec, r, a)
+	}
+	tee := &once.Tee{To: a}
+	// The request continues when its caller leaves: a retry with the same key
+	// will want the answer.
+	o := d.runWithRetries(context.WithoutCancel(ctx), r, tee)
+	d.cfg.Keeper.Finish(key, rec, tee, o)
+	return o
+}
+
+// awaitFirst waits until the first request with a key has ended, and replays its
+// answer to a further one.
+func (d *Dispatcher) awaitFirst(ctx context.Context, rec *once.Record, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	timeout := time.NewTimer(time.Until(r.Deadline))
+	defer timeout.Stop()
+	select {
+	case <-rec.Done():
+		return rec.Replay(a)
+	case <-timeout.C:
+	case <-ctx.Done():
+	}
+	o := d.unknownOutcome(vetchtrail.ReasonLost, errors.New("the request is still running"))
+	o.RetryAt = time.Now().Add(time.Second)
+	return o
+}
+
+// keyRefusal returns the outcome of a request whose key can't be used, for the
+// error of once.Keeper.Begin.
+func (d *Dispatcher) keyRefusal(key once.Key, err error) vetchtrail.Outcome {
+	o := d.refusal(vetchtrail.StepOnce, vetchtrail.ReasonKey, time.Time{})
+	o.Err = err
+	switch {
+	case errors.Is(err, once.ErrReused):
+		o.Status = statusConflict
+	case errors.Is(err, once.ErrFull):
+		o.Reason, o.RetryAt = vetchtrail.ReasonOverCapacity, time.Now().Add(time.Second)
+	case errors.Is(err, once.ErrExpired):
+		o.Status, o.Reason = statusConflict, vetchtrail.ReasonKeyExpired
+		if once.Forgotten(key, time.Now()) {
+			// The record of an earlier request may have been dropped.
+			o.Kind = vetchtrail.Unknown
+		}
+	}
+	return o
+}
+
+// forwardToIssuer forwards a keyed request to the process that issued its key. If
+// that process can't be asked, the outcome is unknown: an earlier request with
+// the key may have run.
+func (d *Dispatcher) forwardToIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	h, ok := d.cfg.Membership.Find(key.Host, time.Now())
+	if !ok {
+		return d.unknownOutcome(vetchtrail.ReasonIssuerGone, errors.New("host "+key.Host+", which issued the key, is unknown to this host"))
+	}
+	if h.Incarnation != key.Incarnation {
+		return d.issuerGone(r)
+	}
+	region, known := d.cfg.Rules().Region(h.Region)
+	if !known || !r.Allowed.Has(region.ID) {
+		return d.unknownOutcome(vetchtrail.ReasonResidency, errors.New("the request may not go to the region of host "+key.Host+", which issued the key"))
+	}
+	o := d.cfg.Peers.Forward(ctx, h, r, a)
+	if o.Kind == vetchtrail.NotRun && o.Step == vetchtrail.StepConnect {
+		o.Kind, o.Status, o.RetryAt = vetchtrail.Unknown, statusBadGateway, time.Now().Add(time.Second)
+	}
+	return o
+}
+
+// issuerGone returns the outcome of a keyed request whose issuer was replaced by
+// another process. An earlier request with the key may have run; none will start
+// after its deadline.
+func (d *Dispatcher) issuerGone(r *vetchtrail.Request) vetchtrail.Outcome {
+	return d.unknownOutcome(vetchtrail.ReasonIssuerGone,
+		errors.New("the process that issued the key is gone: the request may have run, and will not start after "+r.Deadline.UTC().Format(time.RFC3339)))
+}
+
+// unknownOutcome returns the outcome of a keyed request of which this host can't
+// tell whether it ran.
+func (d *Dispatcher) unknownOutcome(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
+	return vetchtrail.Outcome{
+		Kind: vetchtrail.Unknown, Status: statusBadGateway, Step: vetchtrail.StepOnce,
+		Peer: d.cfg.Self.Name, Reason: reason, Err: err,
+	}
+}
--- a/request/dispatch/metrics.go
+++ b/request/dispatch/metrics.go
@@ -9,27 +9,29 @@
 	"vetchtrail"
 )
 
-// noService labels requests for services that don't exist, so that callers
-// can't make labels.
-const noService = "none"
+// unknownService is the service label of requests for services that don't exist.
+// Without it callers could create any number of label values.
+const unknownService = "none"
 
-// count counts a request's end.
-func count(r *vetchtrail.Request, o vetchtrail.Outcome, took time.Duration) {
+// countRequest counts a request by its outcome and records its duration.
+func countRequest(r *vetchtrail.Request, o vetchtrail.Outcome, duration time.Duration) {
 	service := r.Service
 	if o.Reason == vetchtrail.ReasonNoService {
-		service = noService
+		service = unknownService
 	}
 	name := fmt.Sprintf(`vetchtrail_requests_total{service=%q,outcome=%q,reason=%q}`, service, o.Kind, o.Reason)
 	metrics.GetOrCreateCounter(name).Inc()
-	metrics.GetOrCreateHistogram(fmt.Sprintf(`vetchtrail_request_seconds{service=%q}`, service)).Update(took.Seconds())
+	metrics.GetOrCreateHistogram(fmt.Sprintf(`vetchtrail_request_seconds{service=%q}`, service)).Update(duration.Seconds())
 }
 
-// RetriesName is the name of the counter of a service's retries, made or kept
-// back by the budget.
+// RetriesName returns the name of the metric that counts a service's retries:
+// those that were made, or those that were not, as the retry budget was spent or
+// retries are switched off.
 func RetriesName(service string, made bool) string {
 	return fmt.Sprintf(`vetchtrail_retries_total{service=%q,made="%t"}`, service, made)
 }
 
+// countRetry counts a retry that was made, or one that was due but not made.
 func countRetry(service string, made bool) {
 	metrics.GetOrCreateCounter(RetriesName(service, made)).Inc()
 }
--- a/request/dispatch/service.go
+++ b/request/dispatch/per_service.go
@@ -5,7 +5,8 @@
 	"vetchtrail/request/queue"
 )
 
-// SetBudget replaces the bounds on further attempts. What was spent still counts.
+// SetBudget replaces the retry budget of all services. Retries that were made
+// count towards the new one.
 func (d *Dispatcher) SetBudget(c budget.Config) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -15,17 +16,19 @@
 	}
 }
 
-func (d *Dispatcher) line(service string) *queue.Line {
+// waitQueue returns the queue of a service's requests that wait for capacity.
+func (d *Dispatcher) waitQueue(service string) *queue.Line {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l, ok := d.lines[service]
+	q, ok := d.waitQueues[service]
 	if !ok {
-		l = queue.New(func() <-chan struct{} { return d.cfg.Table.Freed(service) })
-		d.lines[service] = l
+		q = queue.New(func() <-chan struct{} { return d.cfg.Table.Freed(service) })
+		d.waitQueues[service] = q
 	}
-	return l
+	return q
 }
 
+// budget returns the retry budget of a service.
 func (d *Dispatcher) budget(service string) *budget.Budget {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- /dev/null
+++ b/request/dispatch/placement.go
@@ -0,0 +1,198 @@
+package dispatch
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"vetchtrail"
+	"vetchtrail/request/queue"
+)
+
+// findPlacement finds a target for the next attempt, after a wait in the queue if
+// necessary. It returns false with the refusal if there is none.
+func (d *Dispatcher) findPlacement(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
+	waitQueue := d.waitQueue(r.Service)
+	for range maxPlacementRounds {
+		dec := d.decide(r, history)
+		if dec.Kind == vetchtrail.RunHere && waitQueue.Len() > 0 {
+			// The request must not overtake those that already wait.
+			dec.Kind, dec.Reason = vetchtrail.WaitHere, vetchtrail.ReasonFull
+		}
+		d.recordDecision(r, dec, attempt)
+		switch dec.Kind {
+		case vetchtrail.Refuse:
+			return placement{}, d.refusal(vetchtrail.StepDecide, dec.Reason, dec.RetryAt), false
+		case vetchtrail.WaitHere:
+			return d.waitForCapacity(ctx, r, history, attempt)
+		}
+		if p, ok := d.acquire(ctx, r, dec); ok {
+			return p, vetchtrail.Outcome{}, true
+		}
+		if dec.Kind == vetchtrail.RunElsewhere {
+			history.excluded = append(history.excluded, dec.Name)
+		}
+	}
+	return d.waitForCapacity(ctx, r, history, attempt)
+}
+
+// decide builds a view of the candidates as of now and has the policy decide.
+func (d *Dispatcher) decide(r *vetchtrail.Request, history attemptHistory) vetchtrail.Decision {
+	now := time.Now()
+	v := d.viewPool.Get().(*vetchtrail.View)
+	defer d.viewPool.Put(v)
+	newest := d.cfg.Rules()
+	s, _ := newest.Service(r.Service)
+	ownRegion, _ := newest.Region(d.cfg.Self.Region)
+	v.Region, v.Weights = ownRegion.ID, s.Weights
+	v.Events, v.UrgentPace, v.IdleRead, v.KeptShare, v.Borne = 0, 0, 0, 0, 0
+	v.Endpoints, v.Remotes, v.Excluded = v.Endpoints[:0], v.Remotes[:0], history.excluded
+	v.Refused, v.Waited = history.refusedHere, history.waitOver
+	v.Line = d.waitQueue(r.Service).Wait().Seconds()
+	d.cfg.Table.Fill(v, r, now)
+	v.Events = expectedEvents(r, s.EventTokens, v.Events)
+	d.cfg.Membership.Fill(v, r.Service, func(name string) (vetchtrail.RegionID, bool) {
+		region, ok := newest.Region(name)
+		return region.ID, ok
+	}, now)
+	random := d.randomPool.Get().(*rand.Rand)
+	defer d.randomPool.Put(random)
+	return d.cfg.Policy.Decide(now, r, v, random)
+}
+
+// assumedAnswerShare is the share of its maximum number of tokens that an answer
+// is assumed to have while nothing better is known.
+const assumedAnswerShare = 0.5
+
+// expectedEvents returns how many events a streamed answer is expected to have;
+// 0: not a stream, or not known. It uses the caller's estimate of the answer's
+// length if there is one, then the usual number of events of the route's answers,
+// then the maximum length of the answer.
+func expectedEvents(r *vetchtrail.Request, tokensPerEvent int, usual float64) float64 {
+	switch {
+	case !r.Stream:
+		return 0
+	case r.AnswerTokens > 0 && tokensPerEvent > 0:
+		return float64(r.AnswerTokens) / float64(tokensPerEvent)
+	case usual > 0 || tokensPerEvent == 0:
+		return usual
+	}
+	return assumedAnswerShare * float64(r.MostTokens) / float64(tokensPerEvent)
+}
+
+// acquire takes capacity at the endpoint that was decided on, or picks a host of
+// the data centre that was decided on. It returns false if it can't: other requests
+// may have taken the capacity since the decision, or the hosts are out of reach.
+func (d *Dispatcher) acquire(ctx context.Context, r *vetchtrail.Request, dec vetchtrail.Decision) (placement, bool) {
+	if dec.Kind == vetchtrail.RunElsewhere {
+		h, ok := d.cfg.Membership.Pick(dec.Name, r.Service, time.Now())
+		return placement{host: h, dataCentre: dec.Name}, ok
+	}
+	e, ok := d.cfg.Table.Known(dec.Name)
+	if !ok {
+		return placement{}, false
+	}
+	if _, ok := d.reserve(ctx, r, e); !ok {
+		return placement{}, false
+	}
+	if !d.cfg.Table.Acquire(dec.Name, r, time.Now()) {
+		d.returnReservation(r, vetchtrail.Outcome{Kind: vetchtrail.NotRun})
+		return placement{}, false
+	}
+	return placement{endpoint: e, predictedTTFT: dec.Wait}, true
+}
+
+// waitForCapacity waits in the service's queue until a target has capacity, the
+// request may wait no longer, or its caller leaves. A request that can't join the
+// queue or has waited in vain gets a last chance in another data centre.
+func (d *Dispatcher) waitForCapacity(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
+	if d.cfg.Off.Has(vetchtrail.Waiting) {
+		return d.lastChance(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
+	}
+	s, _ := d.cfg.Rules().Service(r.Service)
+	waitQueue := d.waitQueue(r.Service)
+	verdict := waitQueue.Join(r, s.QueueLimit, time.Now())
+	if verdict.Waiter == nil {
+		return d.lastChance(ctx, r, history, verdict.Reason, time.Now().Add(max(verdict.Wait, minRetryAfter)), attempt)
+	}
+	w := verdict.Waiter
+	timeout := time.NewTimer(time.Until(r.WaitUntil()))
+	defer timeout.Stop()
+	for {
+		select {
+		case <-w.Turn():
+			p, o, done := d.decideAtHead(ctx, r, waitQueue, w, history, attempt)
+			if done {
+				return p, o, o.Reason == ""
+			}
+			continue
+		case <-w.Late(): // the queue dropped the request
+			waitQueue.Leave(w, false, time.Now())
+			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.Wait(), minRetryAfter)), attempt)
+		case <-timeout.C:
+			waitQueue.Leave(w, false, time.Now())
+			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.Wait(), minRetryAfter)), attempt)
+		case <-ctx.Done():
+			waitQueue.Leave(w, false, time.Now())
+			return d.refuseWaiter(r, vetchtrail.ReasonCallerGone, time.Time{}, attempt)
+		}
+	}
+}
+
+// decideAtHead decides again for the request at the head of the queue, when
+// capacity may have become free. It returns done if the request has left the
+// queue, with a placement or with a refusal; otherwise the request keeps waiting.
+func (d *Dispatcher) decideAtHead(ctx context.Context, r *vetchtrail.Request, waitQueue *queue.Line, w *queue.Waiter, history attemptHistory, attempt int) (p placement, o vetchtrail.Outcome, done bool) {
+	if o, ok := d.applyRules(r); !ok { // the configuration may have changed
+		waitQueue.Leave(w, false, time.Now())
+		return placement{}, o, true
+	}
+	dec := d.decide(r, history)
+	switch dec.Kind {
+	case vetchtrail.WaitHere:
+		return placement{}, vetchtrail.Outcome{}, false
+	case vetchtrail.Refuse:
+		d.recordDecision(r, dec, attempt)
+		waitQueue.Leave(w, false, time.Now())
+		return placement{}, d.refusal(vetchtrail.StepQueue, dec.Reason, dec.RetryAt), true
+	}
+	p, ok := d.acquire(ctx, r, dec)
+	if !ok {
+		return placement{}, vetchtrail.Outcome{}, false
+	}
+	d.recordDecision(r, dec, attempt)
+	waitQueue.Leave(w, true, time.Now())
+	return p, vetchtrail.Outcome{}, true
+}
+
+// lastChance forwards a request that may not wait, or no longer, to another data
+// centre that can still serve it. If there is none, the request is refused with
+// the given reason.
+func (d *Dispatcher) lastChance(ctx context.Context, r *vetchtrail.Request, history attemptHistory, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
+	history.waitOver = true
+	if d.cfg.Off.Has(vetchtrail.LastChance) {
+		return d.refuseWaiter(r, reason, retryAt, attempt)
+	}
+	if dec := d.decide(r, history); dec.Kind == vetchtrail.RunElsewhere {
+		if p, ok := d.acquire(ctx, r, dec); ok {
+			d.recordDecision(r, dec, attempt)
+			return p, vetchtrail.Outcome{}, true
+		}
+	}
+	return d.refuseWaiter(r, reason, retryAt, attempt)
+}
+
+// refuseWaiter refuses a request that waited for capacity or would have to.
+func (d *Dispatcher) refuseWaiter(r *vetchtrail.Request, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
+	d.recordDecision(r, vetchtrail.Decision{Kind: vetchtrail.Refuse, Reason: reason, RetryAt: retryAt}, attempt)
+	return placement{}, d.refusal(vetchtrail.StepQueue, reason, retryAt), false
+}
+
+// recordDecision records a decision on an attempt in the journal.
+func (d *Dispatcher) recordDecision(r *vetchtrail.Request, dec vetchtrail.Decision, attempt int) {
+	d.cfg.Journal.Note(vetchtrail.Record{
+		At: time.Now(), Request: r.ID, Service: r.Service, Route: r.Route, Prompt: r.PromptTokens(), Workspace: r.Workspace,
+		Home: d.cfg.Rules().RegionName(r.Home), Decision: dec, Attempt: attempt, Hops: r.Hops, Revision: r.Revision,
+		Goal: r.Goal, Deadline: r.Deadline, Fresh: r.Fresh, Charge: r.Charge, Quota: r.Quota,
+	})
+}
--- /dev/null
+++ b/request/dispatch/quarantine_test.go
@@ -0,0 +1,146 @@
+package dispatch
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"vetchtrail"
+	"vetchtrail/request/once"
+	"vetchtrail/version/rules"
+)
+
+// fakeQuarantine quarantines every request after a number of checks, and records the
+// attempts that are reported to it.
+type fakeQuarantine struct {
+	passFirst int // checks that find the request not quarantined
+	checks    int
+	lost      []string // endpoints of attempts reported as lost
+	answered  int      // attempts reported as answered
+}
+
+func (q *fakeQuarantine) Held(r *vetchtrail.Request) (vetchtrail.Hold, bool) {
+	q.checks++
+	return vetchtrail.Hold{Digest: r.Digest(), Ends: 3}, q.checks > q.passFirst
+}
+
+func (q *fakeQuarantine) Lost(e vetchtrail.Endpoint, _ *vetchtrail.Request, _ vetchtrail.Outcome, _ vetchtrail.Timing) {
+	q.lost = append(q.lost, e.Name)
+}
+
+func (q *fakeQuarantine) Answered(*vetchtrail.Request) { q.answered++ }
+
+// TestQuarantinedRefused checks that a quarantined request reaches no endpoint on any
+// path there, and is refused without a time to retry. A path without the check would
+// let a poison request crash further endpoints.
+func TestQuarantinedRefused(t *testing.T) {
+	repeatable := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
+	cases := map[string]struct {
+		modify    func(*vetchtrail.Request)
+		passFirst int
+		replies   []reply
+		kind      vetchtrail.OutcomeKind
+		status    int
+		reason    vetchtrail.Reason
+		reached   int
+		lost      int
+		answered  int
+	}{
+		"on arrival": {nil, 0, nil, vetchtrail.NotRun, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
+		"forwarded":  {func(r *vetchtrail.Request) { r.Hops, r.Allowed = 1, vetchtrail.AllRegions }, 0, nil, vetchtrail.NotRun, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
+		"resumed stream": {func(r *vetchtrail.Request) { r.Resume = vetchtrail.StreamPosition{Endpoint: "1", Stream: "x"} }, 0, nil,
+			vetchtrail.NotRun, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
+		"key of another issuer":   {func(r *vetchtrail.Request) { r.Key = "v1.other.1.9999999999.00" }, 0, nil, vetchtrail.Unknown, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
+		"before a second attempt": {repeatable, 1, []reply{breakAfter("")}, vetchtrail.Unknown, 502, vetchtrail.ReasonBroken, 1, 1, 0},
+		"not quarantined":         {repeatable, 9, []reply{breakAfter(""), answerWith("ok")}, vetchtrail.Answered, 200, "", 2, 1, 1},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			targets, q := &scriptedTargets{replies: c.replies}, &fakeQuarantine{passFirst: c.passFirst}
+			d := newDispatcher(t, targets, 2)
+			d.cfg.Quarantine = q
+			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Deadline: time.Now().Add(10 * time.Second)}
+			if c.modify != nil {
+				c.modify(r)
+			}
+			var g recordedAnswer
+			o := d.Run(context.Background(), r, &g)
+			assert.Equal(t, o.Kind, c.kind, "%v", o)
+			assert.Equal(t, o.Status, c.status)
+			assert.Equal(t, o.Reason, c.reason)
+			assert.Assert(t, o.RetryAt.IsZero(), "a quarantined request got a time to retry")
+			assert.Equal(t, len(targets.called), c.reached)
+			assert.Equal(t, len(q.lost), c.lost)
+			assert.Equal(t, q.answered, c.answered)
+		})
+	}
+}
+
+// enableQueue lets requests of the dispatcher's service wait in a queue.
+func enableQueue(t *testing.T, d *Dispatcher) {
+	t.Helper()
+	ruleSet, err := rules.Restore([]vetchtrail.Edit{
+		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 0, Name: "a", DataCentres: []string{"a-1"}}},
+		vetchtrail.PutService{Service: vetchtrail.Service{Name: "s", Allowed: []string{"a"}, AnswerWithin: time.Minute, QueueLimit: 4}},
+		vetchtrail.PutRoute{Route: vetchtrail.Route{
+			Name: "r", Host: "h", PathPrefix: "/", Attempts: 1, AnswerWithin: time.Minute, Targets: []vetchtrail.Target{{Service: "s", Weight: 1}},
+		}},
+	}, 8)
+	assert.NilError(t, err)
+	d.cfg.Rules = func() *rules.Rules { return ruleSet }
+}
+
+// TestQuarantinedWhileQueued checks that a request which is quarantined while it waits
+// for capacity is refused at the head of the queue. The check on arrival can't see
+// that.
+func TestQuarantinedWhileQueued(t *testing.T) {
+	targets, q := &scriptedTargets{}, &fakeQuarantine{passFirst: 1}
+	d := newDispatcher(t, targets, 1)
+	d.cfg.Quarantine = q
+	enableQueue(t, d)
+	for i := range 8 {
+		d.cfg.Table.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
+	}
+	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Hops: 1, Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
+	time.AfterFunc(20*time.Millisecond, func() { d.cfg.Table.Release("1", vetchtrail.Observation{Request: "a"}, time.Now()) })
+	var g recordedAnswer
+	o := d.Run(context.Background(), r, &g)
+	assert.Equal(t, o.Reason, vetchtrail.ReasonHeldBack, "%v", o)
+	assert.Equal(t, len(targets.called), 0)
+}
+
+// TestQuarantinedBeforeSend checks the last check, just before the first byte is sent:
+// a request may be quarantined after it was placed.
+func TestQuarantinedBeforeSend(t *testing.T) {
+	d := newDispatcher(t, &scriptedTargets{}, 1)
+	d.cfg.Quarantine = &fakeQuarantine{}
+	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second)}
+	e, _ := d.cfg.Table.Known("1")
+	assert.Equal(t, d.Guard(e, r), vetchtrail.ReasonHeldBack)
+}
+
+// TestQuarantinedAfterRun checks that a quarantined request with an idempotency key is
+// not reported as not run if an earlier request with the key may have run: its caller
+// would take it as safe to send again.
+func TestQuarantinedAfterRun(t *testing.T) {
+	targets := &scriptedTargets{replies: []reply{breakAfter("")}}
+	d := newDispatcher(t, targets, 1)
+	q := &fakeQuarantine{passFirst: 9}
+	d.cfg.Quarantine = q
+	d.cfg.Keeper = once.New(once.Config{Host: "self", KeyTime: time.Minute, MaxBytes: 1 << 20})
+	key := d.cfg.Keeper.Issue(time.Now()).String()
+	send := func() vetchtrail.Outcome {
+		r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Key: key, Deadline: time.Now().Add(5 * time.Second)}
+		var g recordedAnswer
+		return d.Run(context.Background(), r, &g)
+	}
+	first := send()
+	assert.Equal(t, first.Kind, vetchtrail.Unknown, "%v", first)
+	q.passFirst = 0
+	o := send()
+	assert.Equal(t, o.Kind, vetchtrail.Unknown, "the first request may have run: %v", o)
+	assert.Equal(t, o.Reason, vetchtrail.ReasonHeldBack)
+	assert.Equal(t, len(targets.called), 1)
+}
--- /dev/null
+++ b/request/dispatch/quota.go
@@ -0,0 +1,71 @@
+package dispatch
+
+import (
+	"context"
+
+	"vetchtrail"
+	"vetchtrail/request/once"
+)
+
+// quotaUse takes the cost of a request's attempts from the quota of its workspace.
+// The cost is taken before each attempt, by the host that received the request from
+// its caller or, if it has an idempotency key, by the issuer of the key. Each attempt
+// that may have run counts. The cost of one that did not run is used for the next
+// attempt, or returned.
+type quotaUse struct {
+	d     *Dispatcher
+	req   *vetchtrail.Request
+	cost  float64 // of one attempt, in quota units; 0: nothing is taken
+	taken bool    // the cost is taken, and no attempt has used it yet
+}
+
+// quotaUse returns the quota use of a request. Its cost is 0 if the workspace has
+// no quota, or if the cost is taken on another host.
+func (d *Dispatcher) quotaUse(r *vetchtrail.Request) *quotaUse {
+	u := &quotaUse{d: d, req: r}
+	if d.cfg.Quotas == nil || r.Workspace == "" || (r.Hops > 0 && !d.issuedKey(r)) {
+		return u
+	}
+	if q := d.cfg.Rules().Quota(r.Workspace); q.Bounded() {
+		u.cost = q.Charge(r)
+		r.Charge = u.cost
+	}
+	return u
+}
+
+// issuedKey reports whether this process issued the idempotency key of a request.
+// Such a request is forwarded here before any cost is taken for it, so this host
+// takes it.
+func (d *Dispatcher) issuedKey(r *vetchtrail.Request) bool {
+	key, err := once.Parse(r.Key)
+	return r.Key != "" && err == nil && d.cfg.Keeper.Mine(key)
+}
+
+// take takes the cost of the next attempt, unless that of an attempt that did not
+// run can be used. It returns false with the refusal if the quota is exceeded.
+func (u *quotaUse) take(ctx context.Context, attempt int) (vetchtrail.Outcome, bool) {
+	if u.cost == 0 || u.taken {
+		return vetchtrail.Outcome{}, true
+	}
+	v := u.d.cfg.Quotas.Take(ctx, u.req.Workspace, u.cost)
+	u.taken, u.req.Quota = v.Granted, v
+	if v.Granted {
+		return vetchtrail.Outcome{}, true
+	}
+	u.d.recordDecision(u.req, vetchtrail.Decision{Kind: vetchtrail.Refuse, Reason: vetchtrail.ReasonQuota, RetryAt: v.RetryAt}, attempt)
+	return u.d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonQuota, v.RetryAt), false
+}
+
+// attemptEnded counts the cost as used if the attempt may have run.
+func (u *quotaUse) attemptEnded(o vetchtrail.Outcome) {
+	if o.Kind != vetchtrail.NotRun {
+		u.taken = false
+	}
+}
+
+// returnUnused returns the cost to the quota if no attempt used it.
+func (u *quotaUse) returnUnused() {
+	if u.taken && u.cost > 0 {
+		u.d.cfg.Quotas.Return(u.req.Workspace, u.cost)
+	}
+}
--- /dev/null
+++ b/request/dispatch/quota_test.go
@@ -0,0 +1,169 @@
+package dispatch
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"vetchtrail"
+	"vetchtrail/version/rules"
+)
+
+// fakeQuota is the quota of one workspace, which no other host uses.
+type fakeQuota struct {
+	remaining float64 // quota units
+	taken     int     // costs taken
+}
+
+func (q *fakeQuota) Take(_ context.Context, _ string, cost float64) vetchtrail.QuotaVerdict {
+	if q.remaining < cost {
+		return vetchtrail.QuotaVerdict{RetryAt: time.Now().Add(time.Second)}
+	}
+	q.remaining -= cost
+	q.taken++
+	return vetchtrail.QuotaVerdict{Granted: true}
+}
+
+func (q *fakeQuota) Return(_ string, cost float64) { q.remaining += cost }
+
+// newQuotaDispatcher returns a dispatcher whose configuration has a workspace w with an API key and
+// a quota, and a function that changes the configuration.
+func newQuotaDispatcher(t *testing.T, targets *scriptedTargets, quota *fakeQuota, endpoints int) (*Dispatcher, func(edits ...vetchtrail.Edit)) {
+	t.Helper()
+	d := newDispatcher(t, targets, endpoints)
+	ruleSet := d.cfg.Rules()
+	applyEdits := func(edits ...vetchtrail.Edit) {
+		next, err := ruleSet.Build(edits)
+		assert.NilError(t, err)
+		ruleSet = next
+	}
+	applyEdits(vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{
+		Name: "w", Keys: []vetchtrail.KeyHash{vetchtrail.HashKey("secret")},
+		Quota: vetchtrail.Quota{Rate: 1000, Unit: vetchtrail.UnitTokens, Plain: 200},
+	}})
+	d.cfg.Rules = func() *rules.Rules { return ruleSet }
+	d.cfg.Quotas = quota
+	return d, applyEdits
+}
+
+// TestQuotaCost checks what a request takes from the quota of its workspace, by the
+// outcomes of its attempts. If an attempt that may have run did not count, a workspace
+// could exceed its quota with requests that fail. If the cost of one that did not run
+// were not reused or returned, a workspace would lose quota to refused requests.
+func TestQuotaCost(t *testing.T) {
+	repeatable := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
+	cases := map[string]struct {
+		modify        func(*vetchtrail.Request)
+		replies       []reply
+		remaining     float64 // of the quota, before the request
+		wantRemaining float64 // of the quota, after the request
+		status        int
+	}{
+		"answered":                     {nil, []reply{answerWith("ok")}, 1000, 700, 200},
+		"no token counts":              {func(r *vetchtrail.Request) { r.Tokens, r.MostTokens = 0, 0 }, []reply{answerWith("ok")}, 1000, 800, 200},
+		"answer lost, then answered":   {repeatable, []reply{breakAfter(""), answerWith("ok")}, 1000, 400, 200},
+		"not run, then answered":       {repeatable, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), answerWith("ok")}, 1000, 700, 200},
+		"not run":                      {nil, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 1000, 1000, 503},
+		"over the quota":               {nil, nil, 299, 299, 429},
+		"answer lost, quota exhausted": {repeatable, []reply{breakAfter("")}, 400, 100, 502},
+		"no workspace":                 {func(r *vetchtrail.Request) { r.Workspace = "" }, []reply{answerWith("ok")}, 0, 0, 200},
+		"forwarded":                    {func(r *vetchtrail.Request) { r.Hops, r.Allowed = 1, vetchtrail.AllRegions }, []reply{answerWith("ok")}, 0, 0, 200},
+		"failed twice":                 {repeatable, []reply{failWith500, failWith500}, 1000, 400, 500},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			quota := &fakeQuota{remaining: c.remaining}
+			d, _ := newQuotaDispatcher(t, &scriptedTargets{replies: c.replies}, quota, 2)
+			r := &vetchtrail.Request{
+				ID: "x", Service: "s", Route: "r", Attempts: 1, Workspace: "w", Tokens: 200, MostTokens: 100,
+				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
+			}
+			if c.modify != nil {
+				c.modify(r)
+			}
+			o := d.Run(context.Background(), r, &recordedAnswer{})
+			assert.Equal(t, o.Status, c.status, "%v", o)
+			assert.Equal(t, quota.remaining, c.wantRemaining)
+			if c.status == statusTooMany {
+				assert.Equal(t, o.Kind, vetchtrail.NotRun)
+				assert.Assert(t, o.RetryAt.After(time.Now()))
+			}
+		})
+	}
+}
+
+// TestAPIKeyRemoved checks that a request runs no more once its API key is removed from
+// its workspace, also between two attempts. Its outcome is still what is known of the
+// first attempt: one that may have run must not become "not run".
+func TestAPIKeyRemoved(t *testing.T) {
+	removeKey := func(applyEdits func(...vetchtrail.Edit)) {
+		applyEdits(vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w"}})
+	}
+	cases := map[string]struct {
+		first        reply // to the first attempt
+		removedFirst bool  // the key is removed before the first attempt
+		kind         vetchtrail.OutcomeKind
+		status       int
+		attempts     int
+	}{
+		"before the first attempt":           {nil, true, vetchtrail.NotRun, 401, 0},
+		"after an attempt not run":           {refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), false, vetchtrail.NotRun, 401, 1},
+		"after an attempt that may have run": {breakAfter(""), false, vetchtrail.Unknown, 502, 1},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			targets := &scriptedTargets{}
+			d, applyEdits := newQuotaDispatcher(t, targets, &fakeQuota{remaining: 1000}, 2)
+			targets.replies = []reply{func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+				removeKey(applyEdits)
+				return c.first(r, a)
+			}}
+			if c.removedFirst {
+				removeKey(applyEdits)
+			}
+			r := &vetchtrail.Request{
+				ID: "x", Service: "s", Route: "r", Attempts: 2, Repeats: true, Workspace: "w", Credential: vetchtrail.HashKey("secret"),
+				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
+			}
+			o := d.Run(context.Background(), r, &recordedAnswer{})
+			assert.Equal(t, o.Kind, c.kind, "%v", o)
+			assert.Equal(t, o.Status, c.status)
+			assert.Equal(t, len(targets.called), c.attempts)
+		})
+	}
+}
+
+// TestFreshAfterRefusal checks that a request stays fresh after an attempt that reached no
+// endpoint, so that its caller can still be told to retry later, and is not fresh once an
+// endpoint has received it.
+func TestFreshAfterRefusal(t *testing.T) {
+	cases := map[string]struct {
+		first reply
+		fresh bool
+	}{
+		"no capacity there":      {refuseWith(vetchtrail.StepDecide, vetchtrail.ReasonOverCapacity), true},
+		"unreachable":            {refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), true},
+		"refused by an endpoint": {refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), false},
+		"answer lost":            {breakAfter(""), false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			var stillFresh bool
+			targets := &scriptedTargets{replies: []reply{c.first, func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+				stillFresh = r.Fresh
+				return answerWith("ok")(r, a)
+			}}}
+			d := newDispatcher(t, targets, 2)
+			r := &vetchtrail.Request{
+				ID: "x", Service: "s", Route: "r", Attempts: 2, Repeats: true, Fresh: true,
+				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
+			}
+			o := d.Run(context.Background(), r, &recordedAnswer{})
+			assert.Equal(t, o.Kind, vetchtrail.Answered)
+			assert.Equal(t, len(targets.called), 2)
+			assert.Equal(t, stillFresh, c.fresh)
+		})
+	}
+}
--- /dev/null
+++ b/request/dispatch/reservation.go
@@ -0,0 +1,32 @@
+package dispatch
+
+import (
+	"context"
+	"time"
+
+	"vetchtrail"
+)
+
+// reserve takes a reservation within the rate limit that an endpoint advertises,
+// and stores it in the request. It returns false with the time to retry if the
+// limit is used up. Every path to an endpoint calls it: first attempts and
+// retries, forwarded and queued requests, and resumed streams. All hosts share the
+// limit, so a count that one host keeps by itself can't enforce it.
+func (d *Dispatcher) reserve(ctx context.Context, r *vetchtrail.Request, e vetchtrail.Endpoint) (retryAt time.Time, ok bool) {
+	r.Permit = vetchtrail.Permit{}
+	if d.cfg.Permits == nil {
+		return time.Time{}, true
+	}
+	r.Permit, retryAt, ok = d.cfg.Permits.Take(ctx, e)
+	return retryAt, ok
+}
+
+// returnReservation returns the reservation of an attempt that did not reach the
+// endpoint. A request that the endpoint refused did reach it and counts towards
+// the rate limit.
+func (d *Dispatcher) returnReservation(r *vetchtrail.Request, o vetchtrail.Outcome) {
+	if d.cfg.Permits != nil && !reached(o) {
+		d.cfg.Permits.Return(r.Permit)
+	}
+	r.Permit = vetchtrail.Permit{}
+}
--- a/request/dispatch/resume.go
+++ b/request/dispatch/resume.go
@@ -9,32 +9,35 @@
 	"vetchtrail"
 )
 
-// streamPath is where an endpoint gives a stream again from an offset.
+// streamPath is the path at which an endpoint sends a stream again from an
+// offset. The stream's name follows it.
 const streamPath = "/v1/streams/"
 
-// resume goes on with a stream where its caller lost it: at the endpoint that
-// holds it, through a host of its data centre. Nothing is started anew.
-func (d *Dispatcher) resume(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+// resumeStream continues a stream that its caller lost, from the event after the
+// caller's last one. Only the endpoint that has the stream can do so; it is
+// called directly in this data centre, and through a host of its own otherwise.
+// Nothing is run again.
+func (d *Dispatcher) resumeStream(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	e, ok := d.cfg.Rules().Endpoint(r.Resume.Endpoint)
 	if !ok || e.Service != r.Service {
 		o := d.refusal(vetchtrail.StepParse, vetchtrail.ReasonBadRequest, time.Time{})
-		o.Status, o.Err = statusBadRequest, errors.New("the event id names no endpoint of the service")
+		o.Status, o.Err = statusBadRequest, errors.New("the event ID does not belong to an endpoint of the service")
 		return o
 	}
-	g, known := d.cfg.Rules().Region(e.Region)
-	if !known || !r.Allowed.Has(g.ID) {
+	region, known := d.cfg.Rules().Region(e.Region)
+	if !known || !r.Allowed.Has(region.ID) {
 		return d.refusal(vetchtrail.StepResidency, vetchtrail.ReasonResidency, time.Time{})
 	}
 	if e.DataCentre == d.cfg.Self.DataCentre {
-		if why, until := d.cfg.Table.Bars(e.Name, time.Now()); why == vetchtrail.ReasonPaused {
-			return d.refusal(vetchtrail.StepDecide, why, until)
+		if reason, until := d.cfg.Table.Bars(e.Name, time.Now()); reason == vetchtrail.ReasonPaused {
+			return d.refusal(vetchtrail.StepDecide, reason, until)
 		}
-		if retryAt, ok := d.permit(ctx, r, e); !ok {
+		if retryAt, ok := d.reserve(ctx, r, e); !ok {
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonLimited, retryAt)
 		}
 		r.Method, r.Path, r.Body = "GET", streamPath+r.Resume.Stream, nil
 		o, _ := d.cfg.Endpoints.Call(ctx, e, r, a)
-		d.giveBack(r, o)
+		d.returnReservation(r, o)
 		return o
 	}
 	if r.Hops >= vetchtrail.MaxHops {
