--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -7,56 +7,62 @@
 )
 
 const (
-	// endShare is the share of the time left that a usual stream may take to its
-	// end: one with twice the events still ends in time.
-	endShare = 0.4
-	// endShareBack is the same for one whose caller has come back or has little time:
-	// refused again, it is lost for sure.
-	endShareBack = 0.7
-	// yieldShare is how much earlier, as the pace of an endpoint's streams falls, less
-	// urgent streams are told to come back than more urgent ones: what they make an
-	// endpoint read slows those, which would be refused as often.
-	yieldShare = 0.5
-	// crowdedGoals is how many times the time to its goal a first try's answer may be
-	// expected to take to begin: of those expected later, over half do begin late, as the
-	// expectation is the median of what predictions have borne out.
-	crowdedGoals = 1.1
+	// maxStreamShare is the largest share of the time left until its deadline that a
+	// stream may be expected to take. A stream with twice the expected number of events
+	// then still ends in time.
+	maxStreamShare = 0.4
+	// maxStreamShareOnRetry replaces maxStreamShare for a stream whose caller has retried
+	// or has little time left. If such a stream is refused again, the request is lost.
+	maxStreamShareOnRetry = 0.7
+	// lessUrgentShare makes an endpoint refuse less urgent streams before it refuses more
+	// urgent ones: at this share of the event interval at which the more urgent ones are
+	// refused. The endpoint has to process the prompts of less urgent streams, which
+	// slows the more urgent ones. Without the margin both would be refused equally often.
+	lessUrgentShare = 0.5
+	// maxGoalRatio is how many times the time left until its latency objective a first
+	// attempt may be expected to wait for its first event. The expected wait is a median,
+	// so more than half of the answers that are expected later do miss the objective.
+	maxGoalRatio = 1.1
 )
 
-// endsLate says whether a stream that begins after first seconds, with the events
-// that are expected of it, would take too much of the time that its request has.
-// One more stream also slows those that run.
-func endsLate(s *scored, gap, first float64, r *vetchtrail.Request, v *vetchtrail.View) bool {
-	if r.Route == "" || v.Events == 0 || s.off.Has(vetchtrail.Pace) {
+// streamTooSlow reports whether a stream would probably take too much of the time that
+// its request has left. The stream is expected to send its first event after firstEvent
+// seconds and the others at the given interval in seconds. Admitting it would also slow
+// the streams that already run there.
+func streamTooSlow(ev *evaluation, interval, firstEvent float64, r *vetchtrail.Request, v *vetchtrail.View) bool {
+	if r.Route == "" || v.Events == 0 || ev.off.Has(vetchtrail.Pace) {
 		return false
 	}
-	if v.UrgentPace > 0 && !s.off.Has(vetchtrail.UrgentFirst) && gap > yieldShare*endShare*v.UrgentPace {
+	if v.UrgentPace > 0 && !ev.off.Has(vetchtrail.UrgentFirst) && interval > lessUrgentShare*maxStreamShare*v.UrgentPace {
 		return true
 	}
-	share := endShare
+	share := maxStreamShare
 	if !r.Fresh {
-		share = endShareBack
+		share = maxStreamShareOnRetry
 	}
-	return first+gap*v.Events > share*r.Deadline.Sub(s.now).Seconds()
+	return firstEvent+interval*v.Events > share*r.Deadline.Sub(ev.now).Seconds()
 }
 
-// crowded says whether a first try would so likely begin after its goal that it does
-// better to give way: those behind it begin in time, and its caller comes back when
-// the peak may be over.
-func crowded(s *scored, wait time.Duration, r *vetchtrail.Request) bool {
-	return !s.off.Has(vetchtrail.Shedding) && r.Fresh && r.Stream && !r.Goal.IsZero() && float64(wait) > crowdedGoals*float64(r.Goal.Sub(s.now))
+// missesGoal reports whether the first attempt of a stream would probably miss its
+// latency objective and should be refused. The streams queued behind it then begin in
+// time, and its caller can retry when the peak may be over.
+func missesGoal(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
+	return !ev.off.Has(vetchtrail.Shedding) && r.Fresh && r.Stream && !r.Goal.IsZero() && float64(wait) > maxGoalRatio*float64(r.Goal.Sub(ev.now))
 }
 
-// unheard says whether a stream would begin so late that its caller has left by then: it
-// would cost its prompt and its place, and the streams beside it their pace, for nothing.
-func unheard(s *scored, wait time.Duration, r *vetchtrail.Request) bool {
-	return !s.off.Has(vetchtrail.Shedding) && !r.BeginBy.IsZero() && !r.Begun && s.now.Add(wait).After(r.BeginBy)
+// callerLeavesFirst reports whether the caller would give up before the first event of
+// the stream. The stream would then process its prompt, occupy a slot and slow the other
+// streams for nothing.
+func callerLeavesFirst(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
+	return !ev.off.Has(vetchtrail.Shedding) && !r.BeginBy.IsZero() && !r.Begun && ev.now.Add(wait).After(r.BeginBy)
 }
 
-// likely is the time that usually passes of one that was predicted for an endpoint here.
-func likely(wait time.Duration, v *vetchtrail.View) time.Duration {
+// expectedWait corrects the wait that was predicted for an endpoint of this data centre
+// by the observed ratio of actual to predicted waits. Without observations it returns
+// the prediction.
+func expectedWait(predicted time.Duration, v *vetchtrail.View) time.Duration {
 	if v.Borne == 0 {
-		return wait
+		return predicted
 	}
-	return time.Duration(v.Borne * float64(wait))
+	return time.Duration(v.Borne * float64(predicted))
 }
--- a/request/policy/cost.go
+++ b/request/policy/cost.go
@@ -5,60 +5,65 @@
 )
 
 const (
-	// wholeShare is how much the whole answer weighs beside its first token.
-	wholeShare = 0.1
-	// refusedPenalty is what staying costs, in seconds, after an endpoint here
-	// refused: where load is balanced, the next one is as full, and a second
-	// refusal is final.
-	refusedPenalty = 4.0
-	// failureCost is what an endpoint's failure costs, in seconds: about the time
-	// of another attempt with a caller's own pause.
-	failureCost = 1.0
+	// serviceTimeWeight is the weight of the time for the whole answer, relative to the
+	// time to its first token.
+	serviceTimeWeight = 0.1
+	// refusedPenaltySeconds is added to the cost of every endpoint here after one of them
+	// refused the request for its load. Where load is balanced, the next endpoint is as
+	// full, and a second refusal is final.
+	refusedPenaltySeconds = 4.0
+	// failureCostSeconds is the cost of a failed attempt: about the time of another
+	// attempt, including the pause that the caller makes before it.
+	failureCostSeconds = 1.0
 )
 
-// costOf weighs one more request at an endpoint with n requests.
-func costOf(s *scored, e *vetchtrail.EndpointView, r *vetchtrail.Request, v *vetchtrail.View, n float64) float64 {
-	prefill := readTime(e, r)
-	first := firstAt(e, r, n) + e.Service*wholeShare
+// endpointCost returns the cost, in weighted seconds, of sending one more request to an
+// endpoint that is estimated to have the given number of requests.
+func endpointCost(ev *evaluation, e *vetchtrail.EndpointView, r *vetchtrail.Request, v *vetchtrail.View, requests float64) float64 {
+	prefill := prefillTime(e, r)
+	latency := timeToFirstToken(e, r, requests) + e.Service*serviceTimeWeight
 	if v.Refused {
-		first += refusedPenalty
+		latency += refusedPenaltySeconds
 	}
-	if !s.off.Has(vetchtrail.FailureCost) {
-		first += failureCost * e.Failing
+	if !ev.off.Has(vetchtrail.FailureCost) {
+		latency += failureCostSeconds * e.Failing
 	}
-	return v.Weights.Tail*first + v.Weights.Cost*(prefill+e.Service) + v.Weights.Read*idleTime(unread(e, r), e, v)
+	return v.Weights.Tail*latency + v.Weights.Cost*(prefill+e.Service) + v.Weights.Read*idlePrefillTime(uncachedTokens(e, r), e, v)
 }
 
-// unread is how many tokens of a request's prompt the endpoint lacks.
-func unread(e *vetchtrail.EndpointView, r *vetchtrail.Request) int {
+// uncachedTokens returns how many tokens of a request's prompt the endpoint has not
+// cached.
+func uncachedTokens(e *vetchtrail.EndpointView, r *vetchtrail.Request) int {
 	return max(0, r.PromptTokens()-e.Kept)
 }
 
-// idleTime is the seconds in which an idle endpoint reads tokens. What is read once
-// more costs the same wherever that is, and however long it takes.
-func idleTime(tokens int, e *vetchtrail.EndpointView, v *vetchtrail.View) float64 {
+// idlePrefillTime predicts the seconds that an idle endpoint takes to process prompt
+// tokens. Processing tokens again has this price at every endpoint, however long a busy
+// one takes.
+func idlePrefillTime(tokens int, e *vetchtrail.EndpointView, v *vetchtrail.View) float64 {
 	return float64(tokens) * min(e.Prefill, v.IdleRead)
 }
 
-// unreadElsewhere is how many tokens of a request's prompt have to be read in another
-// data centre: its endpoints are taken to hold as much of what prompts share as those
-// here do.
-func unreadElsewhere(s *scored, r *vetchtrail.Request, v *vetchtrail.View) int {
-	all := r.PromptTokens()
-	if len(r.Prompt) == 0 || s.off.Has(vetchtrail.KeptElsewhere) {
-		return all
+// remoteUncachedTokens estimates how many tokens of a request's prompt another data
+// centre would have to process. It assumes that its endpoints have cached the same share
+// of the tokens that prompts have in common as the endpoints here.
+func remoteUncachedTokens(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) int {
+	total := r.PromptTokens()
+	if len(r.Prompt) == 0 || ev.off.Has(vetchtrail.KeptElsewhere) {
+		return total
 	}
-	shared := all - r.Prompt[len(r.Prompt)-1].Tokens
-	return all - int(v.KeptShare*float64(shared))
+	shared := total - r.Prompt[len(r.Prompt)-1].Tokens
+	return total - int(v.KeptShare*float64(shared))
 }
 
-// readTime predicts the seconds that an endpoint reads at a request's prompt.
-func readTime(e *vetchtrail.EndpointView, r *vetchtrail.Request) float64 {
-	return float64(unread(e, r)) * e.Prefill
+// prefillTime predicts the seconds that an endpoint takes to process the part of a
+// request's prompt that it has not cached.
+func prefillTime(e *vetchtrail.EndpointView, r *vetchtrail.Request) float64 {
+	return float64(uncachedTokens(e, r)) * e.Prefill
 }
 
-// firstAt predicts the seconds until the first of an answer arrives from an
-// endpoint with n requests.
-func firstAt(e *vetchtrail.EndpointView, r *vetchtrail.Request, n float64) float64 {
-	return waitAt(e, n) + e.Base + e.Backlog + readTime(e, r)
+// timeToFirstToken predicts the seconds until the first token of an answer arrives from
+// an endpoint that is estimated to have the given number of requests.
+func timeToFirstToken(e *vetchtrail.EndpointView, r *vetchtrail.Request, requests float64) float64 {
+	return startDelay(e, requests) + e.Base + e.Backlog + prefillTime(e, r)
 }
--- a/request/policy/estimate.go
+++ b/request/policy/estimate.go
@@ -7,65 +7,68 @@
 )
 
 const (
-	// batchDrag is the share of a request's service time that a full batch
-	// adds to the time to its first token.
-	batchDrag = 0.1
-	// fullLasts is how many times longer than a request a full endpoint's queue
-	// lasts.
-	fullLasts = 5.0
-	// staleAfter is the age after which a report says nothing.
-	staleAfter = 10 * time.Second
+	// batchSlowdown is the share of a request's service time by which a full batch
+	// delays the request's first token.
+	batchSlowdown = 0.1
+	// fullQueueFactor is how many times longer than one request the queue of a full
+	// endpoint lasts. A load report of a full endpoint holds that much longer.
+	fullQueueFactor = 5.0
+	// maxReportAge is the age above which an endpoint's load report or a data centre's
+	// digest is ignored.
+	maxReportAge = 10 * time.Second
 )
 
-// meanOthers is how many requests of other hosts an endpoint holds in the mean,
-// by the reports.
-func meanOthers(r *vetchtrail.Request, v *vetchtrail.View) float64 {
-	sum, n := 0, 0
+// meanOtherRequests returns the mean number of requests that other hosts have at an
+// endpoint, according to the fresh load reports of usable endpoints.
+func meanOtherRequests(r *vetchtrail.Request, v *vetchtrail.View) float64 {
+	sum, count := 0, 0
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		if reported(e) && unfit(e, r, v) == "" {
-			sum += othersAt(e)
-			n++
+		if hasFreshReport(e) && unusableReason(e, r, v) == "" {
+			sum += reportedOtherRequests(e)
+			count++
 		}
 	}
-	if n == 0 {
+	if count == 0 {
 		return 0
 	}
-	return float64(sum) / float64(n)
+	return float64(sum) / float64(count)
 }
 
-func reported(e *vetchtrail.EndpointView) bool { return e.Age >= 0 && e.Age <= staleAfter }
+func hasFreshReport(e *vetchtrail.EndpointView) bool { return e.Age >= 0 && e.Age <= maxReportAge }
 
-// othersAt is what a report says beyond this host's own requests at its time.
-func othersAt(e *vetchtrail.EndpointView) int {
+// reportedOtherRequests returns how many requests of other hosts an endpoint had at the
+// time of its load report: all that it reported less those of this host at that time.
+func reportedOtherRequests(e *vetchtrail.EndpointView) int {
 	return max(0, e.Running+e.Queued-(e.Own-e.OwnSince))
 }
 
-// load estimates the requests at an endpoint: this host's own, which it knows,
-// and those of others. A late report tells of requests that have mostly ended
-// since: the older it is beside a request's service time, the more the mean
-// over all endpoints stands for it. Hosts with the same late reports would
-// else all choose the same endpoint.
-func load(e *vetchtrail.EndpointView, others float64) float64 {
-	if !reported(e) {
-		return float64(e.Own) + others
+// estimateRequests estimates how many requests an endpoint has now: those of this host,
+// which are known exactly, and those of other hosts. Most requests in an old report have
+// ended since. The older the report is compared with a request's service time, the more
+// the estimate follows the mean over all endpoints, meanOthers, instead of the report.
+// Otherwise all hosts with the same old reports would choose the same endpoint.
+func estimateRequests(e *vetchtrail.EndpointView, meanOthers float64) float64 {
+	if !hasFreshReport(e) {
+		return float64(e.Own) + meanOthers
 	}
-	late := float64(e.Age) / float64(time.Second) / max(e.Service, 1e-3)
+	relativeAge := float64(e.Age) / float64(time.Second) / max(e.Service, 1e-3)
 	if e.Running+e.Queued >= e.Slots {
-		late /= fullLasts
+		relativeAge /= fullQueueFactor
 	}
-	trust := 1 / (1 + late + late*late/2)
-	return float64(e.Own) + others + trust*(float64(othersAt(e))-others)
+	confidence := 1 / (1 + relativeAge + relativeAge*relativeAge/2)
+	return float64(e.Own) + meanOthers + confidence*(float64(reportedOtherRequests(e))-meanOthers)
 }
 
-// waitAt predicts the seconds until an endpoint with n requests starts one
-// more. Short of full it grows slowly at first: n is an estimate, and the
-// chance that it is full already grows with it.
-func waitAt(e *vetchtrail.EndpointView, n float64) float64 {
+// startDelay predicts the seconds until an endpoint that is estimated to have the given
+// number of requests starts one more. Below capacity the delay rises slowly at first:
+// the number is an estimate, and the chance that the endpoint is in fact full rises with
+// its utilisation.
+func startDelay(e *vetchtrail.EndpointView, requests float64) float64 {
 	slots := float64(max(e.Slots, 1))
-	if n >= slots {
-		return e.Service * (batchDrag + (n-slots+1)/slots)
+	if requests >= slots {
+		return e.Service * (batchSlowdown + (requests-slots+1)/slots)
 	}
-	full := n / slots
-	return e.Service * (batchDrag*full + full*full*full*full/slots)
+	utilisation := requests / slots
+	return e.Service * (batchSlowdown*utilisation + utilisation*utilisation*utilisation*utilisation/slots)
 }
--- a/request/policy/policy_test.go
+++ b/request/policy/policy_test.go
@@ -41,246 +41,248 @@
 	return r
 }
 
+// TestWeighted checks the weighted policy's decision in one situation per case.
 func TestWeighted(t *testing.T) {
-	full := func(e *vetchtrail.EndpointView) { e.Own = e.Limit }
+	atLimit := func(e *vetchtrail.EndpointView) { e.Own = e.Limit }
 	busy := func(e *vetchtrail.EndpointView) { e.Running, e.Queued = 8, 16 }
 	slow := func(e *vetchtrail.EndpointView) { e.Gap = 0.1 }
-	cold := func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonCold, 0.3 }
-	limited := func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonLimited, 0.6 }
+	coldStart := func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonCold, 0.3 }
+	rateLimited := func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonLimited, 0.6 }
 	stream := func(r *vetchtrail.Request) {
 		r.Route, r.Stream, r.Fresh = "r", true, true
 		r.Prompt = []vetchtrail.PromptPart{{ID: 1, Tokens: 9000}, {ID: 2, Tokens: 1000}}
 	}
-	away := vetchtrail.Weights{Tail: 1, Away: 3}
-	tail := vetchtrail.Weights{Tail: 1, Away: 0.1}
+	stayInRegion := vetchtrail.Weights{Tail: 1, Away: 3}
+	latencyFirst := vetchtrail.Weights{Tail: 1, Away: 0.1}
 	cases := map[string]struct {
-		request   func(*vetchtrail.Request)
-		weights   vetchtrail.Weights
-		endpoints []vetchtrail.EndpointView
-		remotes   []vetchtrail.RemoteView
-		excluded  []string
-		events    float64
-		urgent    float64
-		line      float64
-		borne     float64
-		waited    bool
-		kind      vetchtrail.DecisionKind
-		name      string
-		reason    vetchtrail.Reason
+		request        func(*vetchtrail.Request)
+		weights        vetchtrail.Weights
+		endpoints      []vetchtrail.EndpointView
+		remotes        []vetchtrail.RemoteView
+		excluded       []string
+		events         float64 // View.Events
+		urgentInterval float64 // View.UrgentPace
+		queueWait      float64 // View.Line
+		ratio          float64 // View.Borne
+		waited         bool
+		kind           vetchtrail.DecisionKind
+		name           string
+		reason         vetchtrail.Reason
 	}{
-		"the idle one": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", busy), endpoint("b", nil)},
+		"prefers an idle endpoint": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", busy), endpoint("b", nil)},
 			kind: vetchtrail.RunHere, name: "b", reason: vetchtrail.ReasonChosen,
 		},
-		"a slow one is passed over": {
-			weights:   tail,
+		"prefers a faster endpoint": {
+			weights:   latencyFirst,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Service, e.Prefill = 5, 0.001 }), endpoint("b", nil)},
 			kind:      vetchtrail.RunHere, name: "b", reason: vetchtrail.ReasonChosen,
 		},
-		"tail first leaves a busy region": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", busy)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
+		"forwards from a busy region when latency counts most": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", busy)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind: vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
-		"share sent away first stays": {
-			weights: away, endpoints: []vetchtrail.EndpointView{endpoint("a", busy)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
+		"stays in a busy region when leaving costs most": {
+			weights: stayInRegion, endpoints: []vetchtrail.EndpointView{endpoint("a", busy)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"residency keeps it home": {
-			request: func(r *vetchtrail.Request) { r.Allowed = vetchtrail.RegionsOf(1) }, weights: tail,
-			endpoints: []vetchtrail.EndpointView{endpoint("a", full)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
+		"waits when residency forbids forwarding": {
+			request: func(r *vetchtrail.Request) { r.Allowed = vetchtrail.RegionsOf(1) }, weights: latencyFirst,
+			endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"residency sends it away": {
-			request: func(r *vetchtrail.Request) { r.Allowed = vetchtrail.RegionsOf(2) }, weights: away,
+		"forwards when residency forbids running here": {
+			request: func(r *vetchtrail.Request) { r.Allowed = vetchtrail.RegionsOf(2) }, weights: stayInRegion,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", nil)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind: vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
-		"no second hop": {
-			request: func(r *vetchtrail.Request) { r.Hops = 1 }, weights: tail,
-			endpoints: []vetchtrail.EndpointView{endpoint("a", full)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
+		"does not forward a forwarded request again": {
+			request: func(r *vetchtrail.Request) { r.Hops = 1 }, weights: latencyFirst,
+			endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"not where it was tried": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", nil), endpoint("b", busy)}, excluded: []string{"a"},
+		"does not choose an endpoint that was tried before": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", nil), endpoint("b", busy)}, excluded: []string{"a"},
 			kind: vetchtrail.RunHere, name: "b", reason: vetchtrail.ReasonChosen,
 		},
-		"too late": {
-			request: func(r *vetchtrail.Request) { r.Deadline = now }, weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", nil)},
+		"refuses a request after its deadline": {
+			request: func(r *vetchtrail.Request) { r.Deadline = now }, weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", nil)},
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonDeadline,
 		},
-		"can't finish in time": {
-			request: func(r *vetchtrail.Request) { r.Deadline = now.Add(100 * time.Millisecond) }, weights: tail,
+		"refuses a request that can't begin before its deadline": {
+			request: func(r *vetchtrail.Request) { r.Deadline = now.Add(100 * time.Millisecond) }, weights: latencyFirst,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", busy)},
 			kind:      vetchtrail.Refuse, reason: vetchtrail.ReasonDeadline,
 		},
-		"one that refused for its load is waited for": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
+		"waits for an endpoint that refused for its load": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
 				e.Away, e.Why, e.Back = true, vetchtrail.ReasonRefused, 1
 			})},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"a stream that would end late is refused at once": {
-			request: stream, weights: tail, events: 50, endpoints: []vetchtrail.EndpointView{endpoint("a", slow)},
+		"refuses a stream that would end late": {
+			request: stream, weights: latencyFirst, events: 50, endpoints: []vetchtrail.EndpointView{endpoint("a", slow)},
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
-		"one that came back may take longer": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: tail, events: 50,
+		"lets a retried stream take longer": {
+			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 50,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"not that it could not end": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: tail, events: 80,
+		"refuses a retried stream that would end late": {
+			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 80,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
-		"it gives way to more urgent ones first": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: tail, events: 50, urgent: 0.4,
+		"refuses a less urgent stream before more urgent ones are too slow": {
+			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 50, urgentInterval: 0.4,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
-		"not while those have time": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: tail, events: 50, urgent: 0.6,
+		"admits a less urgent stream while more urgent ones have time": {
+			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 50, urgentInterval: 0.6,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"a short one is not": {
-			request: stream, weights: tail, events: 3, endpoints: []vetchtrail.EndpointView{endpoint("a", slow)},
+		"admits a short stream at a slow endpoint": {
+			request: stream, weights: latencyFirst, events: 3, endpoints: []vetchtrail.EndpointView{endpoint("a", slow)},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"it goes where streams are quicker": {
-			request: stream, weights: tail, events: 50, endpoints: []vetchtrail.EndpointView{endpoint("a", slow)},
+		"forwards a stream to where streams are faster": {
+			request: stream, weights: latencyFirst, events: 50, endpoints: []vetchtrail.EndpointView{endpoint("a", slow)},
 			remotes: []vetchtrail.RemoteView{
 				remote("x", func(m *vetchtrail.RemoteView) { m.Gap = 0.1 }), remote("y", func(m *vetchtrail.RemoteView) { m.Gap = 0.01 }),
 			},
 			kind: vetchtrail.RunElsewhere, name: "y", reason: vetchtrail.ReasonChosen,
 		},
-		"where its prompt is kept, though another is idle": {
+		"prefers an endpoint with the prompt cached to an idle one": {
 			request: stream, weights: vetchtrail.Weights{Tail: 1, Read: 3},
 			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Kept, e.Backlog = 9000, 1 }), endpoint("b", nil)},
 			kind:      vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"what is read again keeps none at a busy endpoint": {
+		"leaves a busy endpoint with the prompt cached": {
 			request: stream, weights: vetchtrail.Weights{Tail: 1, Read: 3},
 			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
-				e.Kept, e.Backlog, e.Prefill = 9000, 1, 3e-5 // as it is where others are read between
+				e.Kept, e.Backlog, e.Prefill = 9000, 1, 3e-5 // as observed while it processes other prompts in between
 			})},
 			remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
-		"a first try that would begin late is told to come back": {
+		"refuses a first attempt that would miss its goal": {
 			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = true, now.Add(time.Second) },
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
-		"a first try that would begin late, where less passes than is predicted": {
+		"admits a first attempt where waits are shorter than predicted": {
 			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = true, now.Add(time.Second) },
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })}, borne: 0.15,
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })}, ratio: 0.15,
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"one that came back is served, late": {
+		"admits a retry that would miss its goal": {
 			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = false, now.Add(time.Second) },
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"one that came back, whose caller would have left by then": {
+		"refuses a retry whose caller would leave first": {
 			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.BeginBy = false, now.Add(2*time.Second) },
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
-		"one that came back, whose caller still waits": {
+		"admits a retry whose caller still waits": {
 			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.BeginBy = false, now.Add(5*time.Second) },
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"a stream that has begun goes on": {
+		"continues a stream that has begun": {
 			request: func(r *vetchtrail.Request) {
 				stream(r)
 				r.Fresh, r.Begun, r.BeginBy = false, true, now.Add(2*time.Second)
 			},
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
-		"a first try that would begin late elsewhere too": {
+		"refuses a first attempt that would miss its goal elsewhere too": {
 			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = true, now.Add(time.Second) },
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 9 })},
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 9 })},
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Wait = 3 })},
 			kind:    vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
-		"one that fails often is passed over": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Failing = 0.4 }), endpoint("b", nil)},
+		"avoids an endpoint that fails often": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Failing = 0.4 }), endpoint("b", nil)},
 			kind: vetchtrail.RunHere, name: "b", reason: vetchtrail.ReasonChosen,
 		},
-		"a cold one that was given enough is waited for": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
+		"waits for an endpoint in its cold start": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
 				e.Away, e.Why, e.Back = true, vetchtrail.ReasonCold, 0.2
 			})},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"one that names a rate of which nothing is left is passed over": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", limited), endpoint("b", busy)},
+		"avoids a rate-limited endpoint": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", rateLimited), endpoint("b", busy)},
 			kind: vetchtrail.RunHere, name: "b", reason: vetchtrail.ReasonChosen,
 		},
-		"what all named is left for another region": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", limited), endpoint("b", limited)},
+		"forwards when all endpoints are rate-limited": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", rateLimited), endpoint("b", rateLimited)},
 			remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
-		"what all named is waited for by the first": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", limited), endpoint("b", limited)},
+		"lets the first request wait for rate limits": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", rateLimited), endpoint("b", rateLimited)},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"and by nobody else": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", limited), endpoint("b", limited)}, line: 0.02,
+		"refuses further requests that would wait for rate limits": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", rateLimited), endpoint("b", rateLimited)}, queueWait: 0.02,
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonLimited,
 		},
-		"a full one that names none is waited for beside others": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", limited), endpoint("b", full)}, line: 0.02,
+		"queues for a full endpoint without a rate limit": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", rateLimited), endpoint("b", atLimit)}, queueWait: 0.02,
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"nowhere to go": {
-			weights: tail, remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Reachable = false })},
+		"refuses when no data centre is reachable": {
+			weights: latencyFirst, remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Reachable = false })},
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonUnreachable,
 		},
-		"a short line is waited in": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", full)}, line: 0.05,
+		"waits in a short queue": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, queueWait: 0.05,
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Wait = 2 })},
 			kind:    vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"a long line is left": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", full)}, line: 5,
+		"forwards from a long queue": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, queueWait: 5,
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Wait = 2 })},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
-		"no room elsewhere either": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", full)},
+		"waits when the other data centre is full too": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)},
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Own = 8 })},
 			kind:    vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"a short wait is left for what is no further": {
-			// Here 1.6 s of reading and a tenth of a second of waiting, there the same reading and a round trip.
-			request: stream, weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", cold)},
+		"forwards when the round trip is shorter than the wait": {
+			// Waiting here costs 0.3 s. Forwarding costs 40 ms for the round trip and 0.1 s for leaving the
+			// region. The cost of running the request is taken to be the same at both.
+			request: stream, weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", coldStart)},
 			remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
-		"a wait shorter than the way is not left": {
-			request: stream, weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", cold)},
+		"waits when the wait is shorter than the round trip": {
+			request: stream, weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", coldStart)},
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Delay = 300 * time.Millisecond })},
 			kind:    vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
-		"who has waited goes all the same": {
-			request: stream, weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", cold)}, waited: true,
+		"forwards a request that has waited as long as it may": {
+			request: stream, weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", coldStart)}, waited: true,
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Delay = 300 * time.Millisecond })},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
-		"who has waited waits no more": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", full)}, waited: true,
+		"refuses a request that has waited as long as it may": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, waited: true,
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
-		"a returned region takes a share first": {
-			weights: tail, endpoints: []vetchtrail.EndpointView{endpoint("a", busy)},
+		"limits the load of a data centre in its warm-up": {
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", busy)},
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Own, m.Warmth = 2, 0.2 })},
 			kind:    vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v := &vetchtrail.View{Region: 1, Weights: c.weights, Endpoints: c.endpoints, Remotes: c.remotes, Excluded: c.excluded, Events: c.events, Line: c.line, Waited: c.waited, UrgentPace: c.urgent, Borne: c.borne}
+			v := &vetchtrail.View{Region: 1, Weights: c.weights, Endpoints: c.endpoints, Remotes: c.remotes, Excluded: c.excluded, Events: c.events, Line: c.queueWait, Waited: c.waited, UrgentPace: c.urgentInterval, Borne: c.ratio}
 			d := Weighted{}.Decide(now, request(c.request), v, rand.New(rand.NewPCG(1, 1)))
 			assert.Equal(t, d.Kind, c.kind)
 			assert.Equal(t, d.Name, c.name)
@@ -290,9 +292,10 @@
 	}
 }
 
-// TestDecisionsAreSafe: whatever the view, no policy decides against
-// residency, hops, limits or what is out of use.
-func TestDecisionsAreSafe(t *testing.T) {
+// TestDecisionsRespectConstraints checks with random views that no policy chooses a place
+// that residency, the hop limit, the limit of requests, the deadline, an earlier attempt
+// or the state of the place forbids.
+func TestDecisionsRespectConstraints(t *testing.T) {
 	for _, name := range []string{NameWeighted, NameRoundRobin, NameLeastInFlight, NameTwoChoices} {
 		t.Run(name, func(t *testing.T) {
 			p, ok := ByName(name, 0)
@@ -335,6 +338,8 @@
 	}
 }
 
+// view returns a view of n endpoints with 0 to 7 running requests and two remote data
+// centres.
 func view(n int) *vetchtrail.View {
 	v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1, Away: 1, Cost: 0.01}}
 	for i := range n {
@@ -346,8 +351,8 @@
 	return v
 }
 
-// BenchmarkDecide: one decision among the endpoints of a data centre; 12,000
-// is the whole fleet, which no host sees.
+// BenchmarkDecide makes one decision among the endpoints of a data centre. 12,000 is the
+// size of the whole fleet, which no single host sees.
 func BenchmarkDecide(b *testing.B) {
 	for _, name := range []string{NameWeighted, NameTwoChoices, NameLeastInFlight, NameRoundRobin} {
 		for _, n := range []int{12, 270, 12000} {
@@ -363,17 +368,18 @@
 	}
 }
 
-// TestManyEndpoints: beyond the costs that are held between the passes, an
-// endpoint whose streams would end late is not drawn either.
-func TestManyEndpoints(t *testing.T) {
-	var ends []vetchtrail.EndpointView
-	for i := range heldCosts + 50 {
-		ends = append(ends, endpoint(fmt.Sprintf("e%03d", i), func(e *vetchtrail.EndpointView) { e.Gap = 0.1 }))
+// TestSlowEndpointsBeyondCachedCosts checks that an endpoint whose streams would end late
+// is not drawn when it lies beyond maxCachedCosts. The cost of such an endpoint is
+// calculated again on the second pass, which could miss the check of the first.
+func TestSlowEndpointsBeyondCachedCosts(t *testing.T) {
+	var endpoints []vetchtrail.EndpointView
+	for i := range maxCachedCosts + 50 {
+		endpoints = append(endpoints, endpoint(fmt.Sprintf("e%03d", i), func(e *vetchtrail.EndpointView) { e.Gap = 0.1 }))
 	}
-	ends[heldCosts+20].Gap = 0.001
+	endpoints[maxCachedCosts+20].Gap = 0.001
 	for seed := range uint64(50) {
-		v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, Endpoints: ends, Events: 50}
+		v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, Endpoints: endpoints, Events: 50}
 		d := Weighted{}.Decide(now, request(func(r *vetchtrail.Request) { r.Route, r.Fresh = "r", true }), v, rand.New(rand.NewPCG(seed, 1)))
-		assert.Equal(t, d.Name, ends[heldCosts+20].Name)
+		assert.Equal(t, d.Name, endpoints[maxCachedCosts+20].Name)
 	}
 }
--- a/request/policy/limited_test.go
+++ b/request/policy/ratelimited_test.go
@@ -11,8 +11,10 @@
 	"vetchtrail"
 )
 
-// TestLimitedBack: who is refused for rates alone is told when there is something left.
-func TestLimitedBack(t *testing.T) {
+// TestRetryAtWhenRateLimited checks that a request that is refused only because all
+// endpoints are rate-limited is told to retry when the first of them has requests left.
+// Any other time would make the caller retry too early or too late.
+func TestRetryAtWhenRateLimited(t *testing.T) {
 	v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, Line: 0.02, Endpoints: []vetchtrail.EndpointView{
 		endpoint("a", func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonLimited, 3 }),
 		endpoint("b", func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonLimited, 0.7 }),
@@ -21,9 +23,9 @@
 	assert.Equal(t, d.RetryAt.Sub(now), 700*time.Millisecond)
 }
 
-// BenchmarkDecideLimited: one decision where some endpoints name a rate of which nothing is left. Among
-// 270 it took 15.8 to 17.2 us with none, 7.4 to 11.6 with half and 2.4 to 3.5 with all of them (three runs);
-// nothing is allocated.
+// BenchmarkDecideLimited makes one decision where a share of the endpoints is rate-limited. With 270
+// endpoints it took 15.8 to 17.2 µs with none, 7.4 to 11.6 µs with half and 2.4 to 3.5 µs with all of them
+// rate-limited. It allocates no memory.
 func BenchmarkDecideLimited(b *testing.B) {
 	for _, share := range []int{0, 2, 1} {
 		b.Run(fmt.Sprintf("one-in=%d", share), func(b *testing.B) {
--- a/request/policy/refusal.go
+++ b/request/policy/refusal.go
@@ -8,16 +8,19 @@
 )
 
 const (
-	// backShare is the share of the time left after which the caller of a refused
-	// request may come back: callers heed up to a third.
-	backShare = 0.25
-	// minRetry and maxRetry bound the time to come back that a refusal names.
-	minRetry = 200 * time.Millisecond
-	maxRetry = 30 * time.Second
+	// retryDelayShare is the share of the time left until the deadline after which the
+	// caller of a refused request should retry. Callers follow a delay of up to a third
+	// of that time.
+	retryDelayShare = 0.25
+	// minRetryDelay and maxRetryDelay bound the delay before a retry that a refusal
+	// advertises.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 30 * time.Second
 )
 
-// refusal finds the reason that a caller is told when nothing is fit.
-func refusal(r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
+// refusalReason returns the reason that a caller receives when its request can neither
+// run nor wait anywhere.
+func refusalReason(r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
 	if r.Allowed == 0 {
 		return vetchtrail.ReasonResidency
 	}
@@ -26,40 +29,45 @@
 			return vetchtrail.ReasonOverCapacity
 		}
 	}
-	why := vetchtrail.ReasonNoEndpoint
+	reason := vetchtrail.ReasonNoEndpoint
 	for i := range v.Remotes {
-		switch unfitRemote(&v.Remotes[i], r, v) {
+		switch unusableRemoteReason(&v.Remotes[i], r, v) {
 		case vetchtrail.ReasonFull:
 			return vetchtrail.ReasonOverCapacity
 		case vetchtrail.ReasonUnreachable, vetchtrail.ReasonStale:
-			why = vetchtrail.ReasonUnreachable
+			reason = vetchtrail.ReasonUnreachable
 		}
 	}
-	return why
+	return reason
 }
 
-// backAfter is when the caller of a request that finds no room may come back. A
-// shortage lasts for seconds and callers ask again only once or twice: those of
-// routes are told a good part of the time that they have.
-func backAfter(now time.Time, r *vetchtrail.Request) time.Duration {
+// retryDelay returns how long the caller of a request that finds no capacity should wait
+// before it retries. A shortage lasts for seconds and callers retry only once or twice,
+// so a request of a route is delayed by a good part of the time that it has left.
+func retryDelay(now time.Time, r *vetchtrail.Request) time.Duration {
 	if r.Route == "" {
-		return minRetry
+		return minRetryDelay
 	}
-	return max(minRetry, time.Duration(backShare*float64(r.Deadline.Sub(now))))
+	return max(minRetryDelay, time.Duration(retryDelayShare*float64(r.Deadline.Sub(now))))
 }
 
-func refuse(d *vetchtrail.Decision, why vetchtrail.Reason, now time.Time, after time.Duration) vetchtrail.Decision {
-	d.Kind, d.Reason = vetchtrail.Refuse, why
-	d.RetryAt = now.Add(min(max(after, minRetry), maxRetry))
+// refuse turns d into a refusal that advertises a retry after the given delay, limited
+// to minRetryDelay and maxRetryDelay.
+func refuse(d *vetchtrail.Decision, reason vetchtrail.Reason, now time.Time, delay time.Duration) vetchtrail.Decision {
+	d.Kind, d.Reason = vetchtrail.Refuse, reason
+	d.RetryAt = now.Add(min(max(delay, minRetryDelay), maxRetryDelay))
 	return *d
 }
 
-func seconds(s float64) time.Duration {
-	if math.IsInf(s, 1) || s > maxRetry.Seconds()*10 {
-		return maxRetry * 10
+// cappedDuration converts predicted seconds, which may be infinite, to a duration of at
+// most ten times maxRetryDelay.
+func cappedDuration(seconds float64) time.Duration {
+	if math.IsInf(seconds, 1) || seconds > maxRetryDelay.Seconds()*10 {
+		return maxRetryDelay * 10
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// exactly is a time that is known, not predicted: it has no bound.
-func exactly(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// exactDuration converts seconds that are known rather than predicted, and so need no
+// cap.
+func exactDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/request/policy/remote.go
+++ b/request/policy/remote.go
@@ -8,60 +8,65 @@
 )
 
 const (
-	// doubt is the share of a digest's age that is added to the wait it tells of:
-	// others have read the same.
-	doubt = 0.05
-	// awayMargin is the share by which another data centre must be better, so
-	// that small errors of lagging digests don't send requests away.
-	awayMargin = 0.97
+	// digestAgePenalty is the share of a digest's age that is added to the wait it
+	// announces. Other hosts have read the same digest and may have forwarded requests
+	// since.
+	digestAgePenalty = 0.05
+	// remoteMargin is the share of the local cost that the cost of another data centre
+	// must stay below. Without it, small errors in old digests would cause requests to be
+	// forwarded.
+	remoteMargin = 0.97
 )
 
-// bestRemote returns the data centre with the lowest cost; -1: none.
-func bestRemote(d *vetchtrail.Decision, s *scored, r *vetchtrail.Request, v *vetchtrail.View) (at int, cost float64) {
-	at, cost = -1, math.Inf(1)
-	if s.off.Has(vetchtrail.Forwarding) {
-		return at, cost
+// bestRemote returns the index of the data centre with the lowest cost, or -1 if none
+// can be used.
+func bestRemote(d *vetchtrail.Decision, ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) (index int, cost float64) {
+	index, cost = -1, math.Inf(1)
+	if ev.off.Has(vetchtrail.Forwarding) {
+		return index, cost
 	}
 	for i := range v.Remotes {
 		m := &v.Remotes[i]
-		if why := unfitRemote(m, r, v); why != "" {
-			d.Note(m.DataCentre, 0, why)
+		if reason := unusableRemoteReason(m, r, v); reason != "" {
+			d.Note(m.DataCentre, 0, reason)
 			continue
 		}
-		if endsLate(s, m.Gap, 2*m.Delay.Seconds()+m.Wait, r, v) {
+		if streamTooSlow(ev, m.Gap, 2*m.Delay.Seconds()+m.Wait, r, v) {
 			d.Note(m.DataCentre, m.Gap, vetchtrail.ReasonSlow)
 			continue
 		}
-		c := v.Weights.Tail*(2*m.Delay.Seconds()+m.Wait+doubt*m.Age.Seconds()) + awayCost(m, v) + usualCost(s, r, v)
+		c := v.Weights.Tail*(2*m.Delay.Seconds()+m.Wait+digestAgePenalty*m.Age.Seconds()) + crossRegionCost(m, v) + idleCost(ev, r, v)
 		d.Note(m.DataCentre, c, vetchtrail.ReasonCost)
 		if c < cost {
-			at, cost = i, c
+			index, cost = i, c
 		}
 	}
-	return at, cost
+	return index, cost
 }
 
-// usualCost is what a request costs at an idle endpoint, as far as those here
-// show it: elsewhere it is no less.
-func usualCost(s *scored, r *vetchtrail.Request, v *vetchtrail.View) float64 {
+// idleCost estimates the cost of a request at an idle endpoint, from the observations of
+// an endpoint here. In another data centre a request is taken to cost at least as much.
+func idleCost(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) float64 {
 	if len(v.Endpoints) == 0 || r.Route == "" {
 		return 0
 	}
 	e := &v.Endpoints[0]
-	whole := idleTime(unreadElsewhere(s, r, v), e, v)
-	return v.Weights.Tail*(e.Base+whole+e.Service*wholeShare) + v.Weights.Cost*(whole+e.Service) + v.Weights.Read*whole
+	prefill := idlePrefillTime(remoteUncachedTokens(ev, r, v), e, v)
+	return v.Weights.Tail*(e.Base+prefill+e.Service*serviceTimeWeight) + v.Weights.Cost*(prefill+e.Service) + v.Weights.Read*prefill
 }
 
-// awayCost is what leaving the region costs; going to another data centre of
-// the same region is not leaving it.
-func awayCost(m *vetchtrail.RemoteView, v *vetchtrail.View) float64 {
+// crossRegionCost returns the cost of leaving the region. Another data centre of the
+// same region costs nothing extra.
+func crossRegionCost(m *vetchtrail.RemoteView, v *vetchtrail.View) float64 {
 	if m.Region == v.Region {
 		return 0
 	}
 	return v.Weights.Away
 }
 
-func unfitRemote(m *vetchtrail.RemoteView, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
+// unusableRemoteReason returns why a request can't be forwarded to a data centre. It is
+// empty if the data centre can be used.
+func unusableRemoteReason(m *vetchtrail.RemoteView, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
 	switch {
 	case r.Hops >= vetchtrail.MaxHops:
 		return vetchtrail.ReasonHops
@@ -69,7 +74,7 @@
 		return vetchtrail.ReasonResidency
 	case !m.Reachable:
 		return vetchtrail.ReasonUnreachable
-	case m.Age > staleAfter:
+	case m.Age > maxReportAge:
 		return vetchtrail.ReasonStale
 	case len(v.Excluded) > 0 && slices.Contains(v.Excluded, m.DataCentre):
 		return vetchtrail.ReasonExcluded
@@ -79,22 +84,25 @@
 	return ""
 }
 
-// worthLeaving compares waiting here, and what the request costs then, with going
-// elsewhere.
-func worthLeaving(s *scored, r *vetchtrail.Request, v *vetchtrail.View, remoteCost float64) bool {
-	return s.open > 0 || (v.Weights.Tail*s.wait+usualCost(s, r, v))*awayMargin > remoteCost
+// worthForwarding reports whether a request should be forwarded rather than wait here.
+// It compares the cost of first waiting and then running here with the cost elsewhere.
+// If an endpoint here is available, Decide has already found it more expensive.
+func worthForwarding(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View, remoteCost float64) bool {
+	return ev.available > 0 || (v.Weights.Tail*ev.wait+idleCost(ev, r, v))*remoteMargin > remoteCost
 }
 
-func runElsewhere(d *vetchtrail.Decision, s *scored, at int, cost float64, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Decision {
-	m := &v.Remotes[at]
-	d.Wait = 2*m.Delay + seconds(m.Wait)
-	if s.now.Add(d.Wait).After(r.Deadline) {
-		return refuse(d, vetchtrail.ReasonDeadline, s.now, d.Wait)
+// runElsewhere forwards a request to the data centre with the given index. It refuses
+// the request instead if its first token would come too late.
+func runElsewhere(d *vetchtrail.Decision, ev *evaluation, index int, cost float64, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Decision {
+	m := &v.Remotes[index]
+	d.Wait = 2*m.Delay + cappedDuration(m.Wait)
+	if ev.now.Add(d.Wait).After(r.Deadline) {
+		return refuse(d, vetchtrail.ReasonDeadline, ev.now, d.Wait)
 	}
-	if crowded(s, d.Wait, r) || unheard(s, d.Wait, r) {
-		return refuse(d, vetchtrail.ReasonOverCapacity, s.now, backAfter(s.now, r))
+	if missesGoal(ev, d.Wait, r) || callerLeavesFirst(ev, d.Wait, r) {
+		return refuse(d, vetchtrail.ReasonOverCapacity, ev.now, retryDelay(ev.now, r))
 	}
-	d.Kind, d.Target, d.Name, d.Cost = vetchtrail.RunElsewhere, at, m.DataCentre, cost
+	d.Kind, d.Target, d.Name, d.Cost = vetchtrail.RunElsewhere, index, m.DataCentre, cost
 	d.Reason = vetchtrail.ReasonChosen
 	return *d
 }
--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -1,5 +1,7 @@
-// Package policy holds the pure policies that decide where a request runs.
-// None does I/O or reads a clock.
+// Package policy decides where a request runs: at an endpoint of this data centre or in
+// another data centre, or whether it waits or is refused. A policy is a pure function of
+// its arguments: it does no I/O and reads no clock. It doesn't carry out its decisions;
+// package dispatch does.
 package policy
 
 import (
@@ -12,153 +14,165 @@
 )
 
 const (
-	// evenSpread is the share of a request's service time by which two
-	// candidates' costs may differ and still be taken as equal.
-	evenSpread = 0.002
-	// tooFar is how many spreads from the best a cost has no chance.
-	tooFar = 3.0
+	// costSpreadShare is the share of a request's service time by which the costs of two
+	// endpoints may differ and still count as equal.
+	costSpreadShare = 0.002
+	// maxSpreads limits the draw: only endpoints that cost less than this many cost
+	// spreads above the lowest cost can be drawn.
+	maxSpreads = 3.0
 )
 
-// Weighted is the policy of the system: it weighs the predicted time to the
-// first token, leaving the region, and engine time by the service's weights.
+// Weighted is the default policy. It chooses the place with the lowest cost, which is a
+// weighted sum of the predicted time to the first token, the cost of leaving the region,
+// the endpoint's processing time and the prompt tokens to process. The weights are those
+// of the service.
 type Weighted struct {
-	Off vetchtrail.Mechanisms // that are not used
+	Off vetchtrail.Mechanisms // mechanisms that are switched off
 }
 
-// scored is what is found on the pass over the endpoints.
-type scored struct {
-	costs   [heldCosts]float64 // of the first endpoints; unusable: the largest number
-	best    float64            // lowest cost
-	lowest  int                // endpoint that has it
-	open    int                // endpoints that may take a request now
-	full    int                // that may not for their limit only
-	limited int                // of these, that name a rate of which nothing is left
-	paused  int                // of these, that want nothing from this host for a time
-	slow    int                // that would not end the answer in time
-	wait    float64            // shortest predicted wait at those
-	others  float64            // requests of other hosts at an endpoint, in the mean
-	now     time.Time
-	off     vetchtrail.Mechanisms
+// evaluation holds the inputs of one decision and what the pass over the endpoints of
+// this data centre found.
+type evaluation struct {
+	costs           [maxCachedCosts]float64 // of the first endpoints; math.MaxFloat64 for those that can't be drawn
+	bestCost        float64                 // lowest cost of an available endpoint
+	bestIndex       int                     // endpoint with that cost
+	available       int                     // endpoints that can take the request now
+	waitable        int                     // endpoints that can't take it now, but are worth waiting for
+	rateLimited     int                     // waitable endpoints that have no requests left under their rate limit
+	pausedOrLimited int                     // waitable endpoints that are paused or rate-limited
+	slow            int                     // endpoints whose streams are too slow to end the answer in time
+	wait            float64                 // seconds until the first waitable endpoint is free, at least the wait in the queue
+	otherRequests   float64                 // mean number of requests of other hosts at an endpoint
+	now             time.Time
+	off             vetchtrail.Mechanisms // mechanisms that are switched off
 }
 
-// heldCosts is how many costs are held between the passes; those of further
-// endpoints are worked out again.
-const heldCosts = 320
+// maxCachedCosts is how many costs are kept from the first pass over the endpoints for the
+// second. The costs of further endpoints are calculated again.
+const maxCachedCosts = 320
 
-// Decide implements vetchtrail.Policy.
+// Decide implements vetchtrail.Policy. It runs the request here unless another data
+// centre is clearly cheaper. Without an available endpoint here it forwards the request,
+// lets it wait, or refuses it.
 func (w Weighted) Decide(now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
 	var d vetchtrail.Decision
-	s := scored{off: w.Off}
+	ev := evaluation{off: w.Off}
 	if !now.Before(r.Deadline) {
 		return refuse(&d, vetchtrail.ReasonDeadline, now, 0)
 	}
-	score(&s, &d, now, r, v)
-	s.wait = max(s.wait, v.Line)
-	remote, remoteCost := bestRemote(&d, &s, r, v)
-	if s.open > 0 && (remote < 0 || s.best*awayMargin <= remoteCost) {
-		return runHere(&d, &s, now, r, v, rnd)
+	evaluate(&ev, &d, now, r, v)
+	ev.wait = max(ev.wait, v.Line)
+	remote, remoteCost := bestRemote(&d, &ev, r, v)
+	if ev.available > 0 && (remote < 0 || ev.bestCost*remoteMargin <= remoteCost) {
+		return runHere(&d, &ev, now, r, v, rnd)
 	}
-	if remote >= 0 && (s.full == 0 || v.Waited || worthLeaving(&s, r, v, remoteCost)) {
-		return runElsewhere(&d, &s, remote, remoteCost, r, v)
+	if remote >= 0 && (ev.waitable == 0 || v.Waited || worthForwarding(&ev, r, v, remoteCost)) {
+		return runElsewhere(&d, &ev, remote, remoteCost, r, v)
 	}
-	if s.full > 0 && s.full == s.paused && now.Add(exactly(s.wait)).After(r.WaitUntil()) {
-		return refusePaused(&d, &s, now)
+	if ev.waitable > 0 && ev.waitable == ev.pausedOrLimited && now.Add(exactDuration(ev.wait)).After(r.WaitUntil()) {
+		return refusePaused(&d, &ev, now)
 	}
-	if s.full > 0 && s.slow == 0 && !v.Waited && !rationed(&s, v) && !s.off.Has(vetchtrail.Waiting) {
-		return waitHere(&d, &s, now, r, v)
+	if ev.waitable > 0 && ev.slow == 0 && !v.Waited && !queuedForRateLimits(&ev, v) && !ev.off.Has(vetchtrail.Waiting) {
+		return waitHere(&d, &ev, now, r, v)
 	}
-	if s.full > 0 && s.full == s.limited {
-		return refuse(&d, vetchtrail.ReasonLimited, now, seconds(s.wait))
+	if ev.waitable > 0 && ev.waitable == ev.rateLimited {
+		return refuse(&d, vetchtrail.ReasonLimited, now, cappedDuration(ev.wait))
 	}
-	return refuse(&d, refusal(r, v), now, backAfter(now, r))
+	return refuse(&d, refusalReason(r, v), now, retryDelay(now, r))
 }
 
-// refusePaused refuses a request that could only wait for endpoints that want nothing from this host for longer
-// than it may wait. It is told when the first of them does.
-func refusePaused(d *vetchtrail.Decision, s *scored, now time.Time) vetchtrail.Decision {
-	d.Kind, d.Reason, d.RetryAt = vetchtrail.Refuse, vetchtrail.ReasonPaused, now.Add(max(exactly(s.wait), minRetry))
+// refusePaused refuses a request when each endpoint that it could wait for is paused or
+// rate-limited for longer than the request may wait. The caller is told to retry when
+// the first of them takes requests again.
+func refusePaused(d *vetchtrail.Decision, ev *evaluation, now time.Time) vetchtrail.Decision {
+	d.Kind, d.Reason, d.RetryAt = vetchtrail.Refuse, vetchtrail.ReasonPaused, now.Add(max(exactDuration(ev.wait), minRetryDelay))
 	return *d
 }
 
-// rationed says whether all that a request could wait for here is a part of rates that endpoints
-// name, for which others wait already: the line would grow while the rates don't, and who joined it be
-// refused late.
-func rationed(s *scored, v *vetchtrail.View) bool { return s.full == s.limited && v.Line > 0 }
+// queuedForRateLimits reports whether all endpoints that a request could wait for are
+// rate-limited and other requests already wait for them. The queue would grow while the
+// rates don't, and a request that joined it would be refused late.
+func queuedForRateLimits(ev *evaluation, v *vetchtrail.View) bool {
+	return ev.waitable == ev.rateLimited && v.Line > 0
+}
 
-// score finds the cost of each endpoint and the lowest.
-func score(s *scored, d *vetchtrail.Decision, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) {
-	s.best, s.wait = math.Inf(1), math.Inf(1)
-	s.others, s.now = meanOthers(r, v), now
+// evaluate calculates the cost of each endpoint, finds the lowest, and counts the
+// endpoints that can't take the request by the reason why.
+func evaluate(ev *evaluation, d *vetchtrail.Decision, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) {
+	ev.bestCost, ev.wait = math.Inf(1), math.Inf(1)
+	ev.otherRequests, ev.now = meanOtherRequests(r, v), now
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		if why := unfit(e, r, v); why != "" {
-			s.hold(i, math.MaxFloat64)
-			d.Note(e.Name, 0, why)
-			switch why {
+		if reason := unusableReason(e, r, v); reason != "" {
+			ev.cacheCost(i, math.MaxFloat64)
+			d.Note(e.Name, 0, reason)
+			switch reason {
 			case vetchtrail.ReasonLimited:
-				s.limited++
+				ev.rateLimited++
 				fallthrough
 			case vetchtrail.ReasonPaused:
-				s.paused++
+				ev.pausedOrLimited++
 				fallthrough
 			case vetchtrail.ReasonRefused, vetchtrail.ReasonCold:
-				s.full++
-				s.wait = min(s.wait, e.Back)
+				ev.waitable++
+				ev.wait = min(ev.wait, e.Back)
 			}
 			continue
 		}
-		n := load(e, s.others)
-		if endsLate(s, e.Gap, firstAt(e, r, n), r, v) {
-			s.slow++
-			s.hold(i, math.MaxFloat64)
+		requests := estimateRequests(e, ev.otherRequests)
+		if streamTooSlow(ev, e.Gap, timeToFirstToken(e, r, requests), r, v) {
+			ev.slow++
+			ev.cacheCost(i, math.MaxFloat64)
 			d.Note(e.Name, e.Gap, vetchtrail.ReasonSlow)
 			continue
 		}
 		if e.Own >= e.Limit {
-			wait := waitAt(e, n) + e.Service/float64(max(e.Slots, 1))
-			s.full++
-			s.wait = min(s.wait, wait)
-			s.hold(i, math.MaxFloat64)
+			wait := startDelay(e, requests) + e.Service/float64(max(e.Slots, 1))
+			ev.waitable++
+			ev.wait = min(ev.wait, wait)
+			ev.cacheCost(i, math.MaxFloat64)
 			d.Note(e.Name, wait, vetchtrail.ReasonFull)
 			continue
 		}
-		s.open++
-		cost := costOf(s, e, r, v, n)
-		s.hold(i, cost)
-		s.found(i, cost)
+		ev.available++
+		cost := endpointCost(ev, e, r, v, requests)
+		ev.cacheCost(i, cost)
+		ev.updateBest(i, cost)
 	}
 }
 
-func (s *scored) hold(i int, cost float64) {
-	if i < heldCosts {
-		s.costs[i] = cost
+func (ev *evaluation) cacheCost(i int, cost float64) {
+	if i < maxCachedCosts {
+		ev.costs[i] = cost
 	}
 }
 
-func (s *scored) found(i int, cost float64) {
-	if cost < s.best {
-		s.best, s.lowest = cost, i
+func (ev *evaluation) updateBest(i int, cost float64) {
+	if cost < ev.bestCost {
+		ev.bestCost, ev.bestIndex = cost, i
 	}
 }
 
-// cost returns an endpoint's cost.
-func (s *scored) cost(i int, r *vetchtrail.Request, v *vetchtrail.View) float64 {
-	if i < heldCosts {
-		return s.costs[i]
+// cost returns the cost of the endpoint with index i. It is math.MaxFloat64 for an
+// endpoint that can't be drawn.
+func (ev *evaluation) cost(i int, r *vetchtrail.Request, v *vetchtrail.View) float64 {
+	if i < maxCachedCosts {
+		return ev.costs[i]
 	}
 	e := &v.Endpoints[i]
-	if unfit(e, r, v) != "" || e.Own >= e.Limit {
+	if unusableReason(e, r, v) != "" || e.Own >= e.Limit {
 		return math.MaxFloat64
 	}
-	n := load(e, s.others)
-	if endsLate(s, e.Gap, firstAt(e, r, n), r, v) {
+	requests := estimateRequests(e, ev.otherRequests)
+	if streamTooSlow(ev, e.Gap, timeToFirstToken(e, r, requests), r, v) {
 		return math.MaxFloat64
 	}
-	return costOf(s, e, r, v, n)
+	return endpointCost(ev, e, r, v, requests)
 }
 
-// unfit says why an endpoint can't be used at all; empty: it can.
-func unfit(e *vetchtrail.EndpointView, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
+// unusableReason returns why an endpoint can't be sent the request. It is empty if the
+// endpoint can be used. It doesn't check this host's limit of requests there.
+func unusableReason(e *vetchtrail.EndpointView, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
 	switch {
 	case !r.Allowed.Has(e.Region):
 		return vetchtrail.ReasonResidency
@@ -170,44 +184,47 @@
 	return ""
 }
 
-// runHere draws one of the endpoints whose costs are about the best.
-func runHere(d *vetchtrail.Decision, s *scored, now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
-	chosen := draw(d, s, r, v, rnd)
+// runHere draws one of the endpoints with about the lowest cost and runs the request
+// there. It refuses the request instead if its first token would come too late.
+func runHere(d *vetchtrail.Decision, ev *evaluation, now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
+	chosen := drawEndpoint(d, ev, r, v, rnd)
 	e := &v.Endpoints[chosen]
-	d.Wait = seconds(firstAt(e, r, load(e, s.others)))
-	if crowded(s, likely(d.Wait, v), r) || unheard(s, d.Wait, r) {
-		return refuse(d, vetchtrail.ReasonOverCapacity, now, backAfter(now, r))
+	d.Wait = cappedDuration(timeToFirstToken(e, r, estimateRequests(e, ev.otherRequests)))
+	if missesGoal(ev, expectedWait(d.Wait, v), r) || callerLeavesFirst(ev, d.Wait, r) {
+		return refuse(d, vetchtrail.ReasonOverCapacity, now, retryDelay(now, r))
 	}
 	if now.Add(d.Wait).After(r.Deadline) {
 		return refuse(d, vetchtrail.ReasonDeadline, now, d.Wait)
 	}
-	d.Kind, d.Target, d.Name, d.Cost = vetchtrail.RunHere, chosen, e.Name, s.cost(chosen, r, v)
+	d.Kind, d.Target, d.Name, d.Cost = vetchtrail.RunHere, chosen, e.Name, ev.cost(chosen, r, v)
 	d.Reason = vetchtrail.ReasonChosen
-	d.Backlog, d.Holds, d.Age, d.Gap = seconds(e.Backlog), e.Kept, e.Age, seconds(e.Gap)
+	d.Backlog, d.Holds, d.Age, d.Gap = cappedDuration(e.Backlog), e.Kept, e.Age, cappedDuration(e.Gap)
 	d.Running, d.Queued, d.Own = e.Running, e.Queued, e.Own
 	d.Limited, d.Rate, d.Left = e.Limited, e.Rate, e.Left
 	return *d
 }
 
-// draw picks an endpoint with a weight that falls with its distance from the
-// best: one random number decides between the weights one after the other.
-func draw(d *vetchtrail.Decision, s *scored, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) int {
-	chosen, total := s.lowest, 0.0
-	reach := 1 / (tooFar * spread(&v.Endpoints[s.lowest], v.Weights.Tail))
+// drawEndpoint draws an endpoint at random, with a weight that falls as its cost rises
+// above the lowest. One random number serves for the whole draw: each endpoint in turn
+// replaces the one drawn so far with a probability of its weight over the sum of the
+// weights up to it.
+func drawEndpoint(d *vetchtrail.Decision, ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) int {
+	chosen, total := ev.bestIndex, 0.0
+	inverseRange := 1 / (maxSpreads * costSpread(&v.Endpoints[ev.bestIndex], v.Weights.Tail))
 	u := rnd.Float64()
 	for i := range v.Endpoints {
-		cost := s.cost(i, r, v)
+		cost := ev.cost(i, r, v)
 		if cost == math.MaxFloat64 {
 			continue
 		}
 		d.Note(v.Endpoints[i].Name, cost, vetchtrail.ReasonCost)
-		near := 1 - (cost-s.best)*reach
-		if near <= 0 {
+		closeness := 1 - (cost-ev.bestCost)*inverseRange
+		if closeness <= 0 {
 			continue
 		}
-		weight := near * near
+		weight := closeness * closeness
 		total += weight
-		// u stays uniform: it is stretched over what is left of it.
+		// Each branch rescales its part of u's range to [0, 1), so that u is uniform again.
 		if p := weight / total; u < p {
 			chosen, u = i, u/p
 		} else {
@@ -217,15 +234,19 @@
 	return chosen
 }
 
-func spread(e *vetchtrail.EndpointView, tail float64) float64 {
-	return max(evenSpread*e.Service*max(tail, 0.1), 1e-6)
+// costSpread returns the difference up to which two costs count as equal. The endpoint's
+// service time and the service's weight of latency set the scale.
+func costSpread(e *vetchtrail.EndpointView, tailWeight float64) float64 {
+	return max(costSpreadShare*e.Service*max(tailWeight, 0.1), 1e-6)
 }
 
-func waitHere(d *vetchtrail.Decision, s *scored, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Decision {
-	d.Wait = seconds(s.wait)
+// waitHere lets a request wait for capacity here. It refuses the request instead if the
+// predicted wait ends after its deadline.
+func waitHere(d *vetchtrail.Decision, ev *evaluation, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Decision {
+	d.Wait = cappedDuration(ev.wait)
 	if now.Add(d.Wait).After(r.Deadline) {
 		return refuse(d, vetchtrail.ReasonDeadline, now, d.Wait)
 	}
-	d.Kind, d.Reason, d.Cost = vetchtrail.WaitHere, vetchtrail.ReasonFull, v.Weights.Tail*s.wait
+	d.Kind, d.Reason, d.Cost = vetchtrail.WaitHere, vetchtrail.ReasonFull, v.Weights.Tail*ev.wait
 	return *d
 }
