--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -1,6 +1,8 @@
-// Package queue holds the requests that wait on a host for room at a service's
-// endpoints: a short bounded line ordered by priority, then by fair shares
-// between workspaces, then by deadline, then by arrival.
+// Package queue holds the requests of one host that wait for capacity at the endpoints of
+// a service. Each service has a bounded queue. It is ordered by priority, then by fair
+// shares between workspaces (start-time fair queueing), then by deadline, then by
+// arrival. The package doesn't know the endpoints: the caller decides whether the first
+// request can run, and removes it.
 package queue
 
 import (
@@ -13,118 +15,126 @@
 )
 
 const (
-	// lookEvery is how often waiting requests are looked at when no room is
-	// made: reports may have changed what is known.
-	lookEvery = 50 * time.Millisecond
-	// smoothing is the weight of a new interval between turns in their mean.
-	smoothing = 0.2
-	// firstInterval stands until turns were seen.
-	firstInterval = 20 * time.Millisecond
+	// pollInterval is how long the queue waits for a signal of freed capacity before it
+	// checks its requests anyway. Load reports can show capacity that no signal announces.
+	pollInterval = 50 * time.Millisecond
+	// intervalSmoothing is the weight of a new interval between two served requests in
+	// the moving average.
+	intervalSmoothing = 0.2
+	// initialInterval is the estimated interval before any request was served.
+	initialInterval = 20 * time.Millisecond
 )
 
-// Line is the line of one service.
+// Line is the queue of one service. It is safe for concurrent use.
 type Line struct {
-	freed func() <-chan struct{}
-
-	mu       sync.Mutex
-	waiting  []*Waiter // first goes next
-	joined   uint64
-	pumping  bool
-	clock    float64            // start tag of the last one served
-	finish   map[string]float64 // finish tag of the last request, by workspace
-	interval time.Duration      // mean time between turns
-	lastTurn time.Time
+	freed func() <-chan struct{} // see New
+
+	mu          sync.Mutex
+	waiting     []*Waiter          // in the order in which they are served
+	joined      uint64             // number of calls of Join
+	running     bool               // whether run was started and has not returned
+	virtualTime float64            // greatest start tag of a served request
+	finishTags  map[string]float64 // finish tag of the last request of each workspace
+	interval    time.Duration      // moving average of the time between two served requests
+	lastServed  time.Time          // when a request was last served, or when run started
 }
 
-// Waiter is one request in the line.
+// Waiter is one request in the queue.
 type Waiter struct {
 	priority int8
-	start    float64 // fair-queueing start tag
+	startTag float64 // of start-time fair queueing: lower tags are served first
 	deadline time.Time
-	number   uint64 // of its joining
-	turn     chan struct{}
-	late     chan struct{}
+	sequence uint64        // order of arrival
+	ready    chan struct{} // see Turn
+	dropped  chan struct{} // see Late
 }
 
-// New returns an empty line. freed returns a channel that is closed when there
-// may be room.
+// New returns an empty queue. freed returns a channel that is closed when an endpoint may
+// have capacity again.
 func New(freed func() <-chan struct{}) *Line {
-	return &Line{freed: freed, finish: map[string]float64{}, interval: firstInterval}
+	return &Line{freed: freed, finishTags: map[string]float64{}, interval: initialInterval}
 }
 
-// Verdict is the end of Join.
-type Verdict struct {
-	Waiter *Waiter
-	Reason vetchtrail.Reason // without a Waiter: why not
-	Wait   time.Duration     // estimated until its turn
+// JoinResult is the result of Join.
+type JoinResult struct {
+	Waiter *Waiter           // nil if the request was refused
+	Reason vetchtrail.Reason // why it was refused
+	Wait   time.Duration     // estimated wait until the request is served
 }
 
-// Join puts a request into the line, unless it is full or the request's turn
-// would come after its deadline: then it is told at once.
-func (l *Line) Join(r *vetchtrail.Request, limit int, now time.Time) Verdict {
+// Join adds a request to the queue, which holds at most limit requests. It refuses the
+// request at once if the queue is full or if the request would probably not be served
+// before it may no longer wait.
+func (l *Line) Join(r *vetchtrail.Request, limit int, now time.Time) JoinResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.joined++
 	w := &Waiter{
-		priority: r.Priority, deadline: r.WaitUntil(), number: l.joined,
-		start: max(l.clock, l.finish[r.Workspace]),
-		turn:  make(chan struct{}, 1), late: make(chan struct{}),
+		priority: r.Priority, deadline: r.WaitUntil(), sequence: l.joined,
+		startTag: max(l.virtualTime, l.finishTags[r.Workspace]),
+		ready:    make(chan struct{}, 1), dropped: make(chan struct{}),
 	}
-	at, _ := slices.BinarySearchFunc(l.waiting, w, compare)
-	wait := time.Duration(at+1) * l.interval
-	// The first in the line always waits: how long turns took in an earlier crowd says
-	// nothing of it, and would be believed for as long as nobody may wait.
+	index, _ := slices.BinarySearchFunc(l.waiting, w, compare)
+	wait := time.Duration(index+1) * l.interval
+	// A request always joins an empty queue. The interval may stem from an earlier
+	// overload, and it is only updated while requests are served from the queue: if it
+	// kept all requests out, it would never shrink again.
 	if len(l.waiting) > 0 && now.Add(wait).After(w.deadline) {
-		return Verdict{Reason: vetchtrail.ReasonDeadline, Wait: wait}
+		return JoinResult{Reason: vetchtrail.ReasonDeadline, Wait: wait}
 	}
 	if len(l.waiting) >= limit && !l.displace(w, now) {
-		return Verdict{Reason: vetchtrail.ReasonQueueFull, Wait: wait}
+		return JoinResult{Reason: vetchtrail.ReasonQueueFull, Wait: wait}
 	}
-	at, _ = slices.BinarySearchFunc(l.waiting, w, compare)
-	l.waiting = slices.Insert(l.waiting, at, w)
-	l.finish[r.Workspace] = w.start + 1
-	if !l.pumping {
-		l.pumping = true
-		l.lastTurn = now
-		go l.pump()
+	index, _ = slices.BinarySearchFunc(l.waiting, w, compare)
+	l.waiting = slices.Insert(l.waiting, index, w)
+	l.finishTags[r.Workspace] = w.startTag + 1
+	if !l.running {
+		l.running = true
+		l.lastServed = now
+		go l.run()
 	}
-	return Verdict{Waiter: w, Wait: wait}
+	return JoinResult{Waiter: w, Wait: wait}
 }
 
-// displace gives up the last waiter for one that goes before it, if it has a
-// lower priority or a larger share.
+// displace drops the last request of a full queue if the new one has a higher priority or
+// if, at the same priority, its workspace has used less of its share. An earlier deadline
+// alone displaces nothing.
 func (l *Line) displace(w *Waiter, _ time.Time) bool {
 	if len(l.waiting) == 0 {
 		return false
 	}
 	last := l.waiting[len(l.waiting)-1]
-	if compare(w, last) >= 0 || (w.priority == last.priority && w.start == last.start) {
+	if compare(w, last) >= 0 || (w.priority == last.priority && w.startTag == last.startTag) {
 		return false
 	}
 	l.waiting = l.waiting[:len(l.waiting)-1]
-	close(last.late)
+	close(last.dropped)
 	return true
 }
 
+// compare orders requests for the queue. It is negative if a is served before b.
 func compare(a, b *Waiter) int {
 	switch {
 	case a.priority != b.priority:
 		return int(b.priority) - int(a.priority)
-	case a.start < b.start:
+	case a.startTag < b.startTag:
 		return -1
-	case a.start > b.start:
+	case a.startTag > b.startTag:
 		return 1
 	}
-	return cmp.Or(a.deadline.Compare(b.deadline), cmp.Compare(a.number, b.number))
+	return cmp.Or(a.deadline.Compare(b.deadline), cmp.Compare(a.sequence, b.sequence))
 }
 
-// Turn receives when the request is first and there may be room.
-func (w *Waiter) Turn() <-chan struct{} { return w.turn }
+// Turn returns a channel that receives a value each time the request is first in the
+// queue and there may be capacity.
+func (w *Waiter) Turn() <-chan struct{} { return w.ready }
 
-// Late is closed when the request is given up: its turn can't come in time.
-func (w *Waiter) Late() <-chan struct{} { return w.late }
+// Late returns a channel that is closed when the queue drops the request: because it can't
+// be served in time, or because another request displaced it.
+func (w *Waiter) Late() <-chan struct{} { return w.dropped }
 
-// Leave takes a waiter out; served: it got room.
+// Leave removes a request from the queue, if it is still there. served means that the
+// request got capacity. Then the next request is signalled.
 func (l *Line) Leave(w *Waiter, served bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,72 +144,75 @@
 	if !served {
 		return
 	}
-	l.clock = max(l.clock, w.start)
-	l.interval += time.Duration(smoothing * float64(now.Sub(l.lastTurn)-l.interval))
-	l.lastTurn = now
-	l.signal()
+	l.virtualTime = max(l.virtualTime, w.startTag)
+	l.interval += time.Duration(intervalSmoothing * float64(now.Sub(l.lastServed)-l.interval))
+	l.lastServed = now
+	l.signalFirst()
 }
 
-// Len returns how many wait.
+// Len returns the number of requests in the queue.
 func (l *Line) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting)
 }
 
-// Wait estimates how long one more would wait for those before it.
+// Wait estimates how long it takes to serve all requests that are in the queue now, so
+// how long one more would wait behind them.
 func (l *Line) Wait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(len(l.waiting)) * l.interval
 }
 
-// signal tells the first that there may be room. The caller holds the lock.
-func (l *Line) signal() {
+// signalFirst tells the first request that there may be capacity. The caller holds the
+// lock.
+func (l *Line) signalFirst() {
 	if len(l.waiting) == 0 {
 		return
 	}
 	select {
-	case l.waiting[0].turn <- struct{}{}:
+	case l.waiting[0].ready <- struct{}{}:
 	default:
 	}
 }
 
-// pump runs while there are waiters.
-func (l *Line) pump() {
+// run updates the queue whenever capacity is freed, and at each pollInterval. It returns
+// when the queue is empty; Join starts it again.
+func (l *Line) run() {
 	for {
 		freed := l.freed()
-		if !l.look(time.Now()) {
+		if !l.update(time.Now()) {
 			return
 		}
 		select {
 		case <-freed:
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// look gives up those whose turn can't come in time and signals the first. It
-// returns false when nobody waits.
-func (l *Line) look(now time.Time) bool {
+// update drops the requests that can't be served in time and signals the first of the
+// others. It returns false if none is left.
+func (l *Line) update(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := l.waiting[:0]
+	remaining := l.waiting[:0]
 	for _, w := range l.waiting {
-		if now.Add(time.Duration(len(kept)) * l.interval).After(w.deadline) {
-			close(w.late)
+		if now.Add(time.Duration(len(remaining)) * l.interval).After(w.deadline) {
+			close(w.dropped)
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(l.waiting[len(kept):])
-	l.waiting = kept
-	if len(kept) == 0 {
-		l.pumping = false
-		clear(l.finish)
-		l.clock = 0
+	clear(l.waiting[len(remaining):])
+	l.waiting = remaining
+	if len(remaining) == 0 {
+		l.running = false
+		clear(l.finishTags)
+		l.virtualTime = 0
 		return false
 	}
-	l.signal()
+	l.signalFirst()
 	return true
 }
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -12,11 +12,12 @@
 
 var now = time.Now()
 
-// still is a line that is never told of room, so that only the test moves it.
-func still() *Line {
+// stoppedLine returns a queue that never receives a signal of freed capacity and whose
+// run loop doesn't run, so that only the test changes it.
+func stoppedLine() *Line {
 	never := make(chan struct{})
 	l := New(func() <-chan struct{} { return never })
-	l.pumping = true
+	l.running = true
 	return l
 }
 
@@ -24,13 +25,15 @@
 	return &vetchtrail.Request{Workspace: workspace, Priority: priority, Deadline: now.Add(within)}
 }
 
-// serve takes the first out as if it got room, and returns its name.
-func serve(l *Line, names map[*Waiter]string) string {
+// serveFirst removes the first request as if it got capacity, and returns its name.
+func serveFirst(l *Line, names map[*Waiter]string) string {
 	w := l.waiting[0]
 	l.Leave(w, true, now)
 	return names[w]
 }
 
+// TestOrder checks the order in which requests are served: by priority, then by fair
+// shares between workspaces, then by deadline, then by arrival.
 func TestOrder(t *testing.T) {
 	type join struct {
 		workspace string
@@ -41,42 +44,43 @@
 		joins []join
 		want  []string
 	}{
-		"in order":                {[]join{{"a", 0, 9e9}, {"b", 0, 9e9}, {"c", 0, 9e9}}, []string{"a0", "b1", "c2"}},
-		"priority first":          {[]join{{"a", 0, 9e9}, {"b", 1, 9e9}}, []string{"b1", "a0"}},
-		"then fair shares":        {[]join{{"a", 0, 8e9}, {"a", 0, 8e9}, {"a", 0, 8e9}, {"b", 0, 9e9}}, []string{"a0", "b3", "a1", "a2"}},
-		"then the deadline":       {[]join{{"a", 0, 9e9}, {"b", 0, 5e9}}, []string{"b1", "a0"}},
-		"priority before a share": {[]join{{"a", 1, 9e9}, {"a", 1, 9e9}, {"b", 0, 9e9}}, []string{"a0", "a1", "b2"}},
+		"by arrival":                          {[]join{{"a", 0, 9e9}, {"b", 0, 9e9}, {"c", 0, 9e9}}, []string{"a0", "b1", "c2"}},
+		"higher priority first":               {[]join{{"a", 0, 9e9}, {"b", 1, 9e9}}, []string{"b1", "a0"}},
+		"workspace with fewer requests first": {[]join{{"a", 0, 8e9}, {"a", 0, 8e9}, {"a", 0, 8e9}, {"b", 0, 9e9}}, []string{"a0", "b3", "a1", "a2"}},
+		"earlier deadline first":              {[]join{{"a", 0, 9e9}, {"b", 0, 5e9}}, []string{"b1", "a0"}},
+		"priority before fair shares":         {[]join{{"a", 1, 9e9}, {"a", 1, 9e9}, {"b", 0, 9e9}}, []string{"a0", "a1", "b2"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			l, names := still(), map[*Waiter]string{}
+			l, names := stoppedLine(), map[*Waiter]string{}
 			for i, j := range c.joins {
-				v := l.Join(request(j.workspace, j.priority, j.within), 10, now)
-				assert.Assert(t, v.Waiter != nil, v.Reason)
-				names[v.Waiter] = fmt.Sprint(j.workspace, i)
+				result := l.Join(request(j.workspace, j.priority, j.within), 10, now)
+				assert.Assert(t, result.Waiter != nil, result.Reason)
+				names[result.Waiter] = fmt.Sprint(j.workspace, i)
 			}
 			var got []string
 			for range c.joins {
-				got = append(got, serve(l, names))
+				got = append(got, serveFirst(l, names))
 			}
 			assert.DeepEqual(t, got, c.want)
 		})
 	}
 }
 
-// TestRefusals: who can't be served in time, or finds the line full, is told
-// at once.
+// TestRefusals checks that Join refuses a request at once when it can't be served in time
+// or the queue is full. Otherwise its caller would wait in vain until the deadline. A
+// request with a smaller share or a higher priority displaces the last one instead.
 func TestRefusals(t *testing.T) {
-	l := still()
+	l := stoppedLine()
 	first := l.Join(request("a", 0, time.Second), 2, now)
 	assert.Assert(t, first.Waiter != nil)
 	assert.Equal(t, l.Join(request("b", 0, time.Millisecond), 2, now).Reason, vetchtrail.ReasonDeadline)
 	last := l.Join(request("a", 0, time.Second), 2, now)
 	assert.Assert(t, last.Waiter != nil)
 	assert.Equal(t, l.Join(request("a", 0, time.Second), 2, now).Reason, vetchtrail.ReasonQueueFull)
-	// One with a smaller share, or of a higher priority, takes the last place.
+	// Workspace b has used less of its share than a. The request of c has a higher priority.
 	assert.Assert(t, l.Join(request("b", 0, time.Second), 2, now).Waiter != nil)
-	assert.Assert(t, isClosed(last.Waiter.Late()), "the displaced one is told")
+	assert.Assert(t, isClosed(last.Waiter.Late()), "the displaced request is not told")
 	assert.Assert(t, l.Join(request("c", 5, time.Second), 2, now).Waiter != nil)
 	assert.Equal(t, l.Len(), 2)
 }
@@ -90,29 +94,31 @@
 	}
 }
 
-// TestGivenUp: as turns get slower, those whose turn can't come in time are
-// given up before their deadline.
-func TestGivenUp(t *testing.T) {
-	l := still()
-	var all []*Waiter
+// TestDropsLateRequests checks that requests which can no longer be served in time are
+// dropped before their deadline, so that they can still go elsewhere. This happens when
+// the interval between served requests grows after they joined.
+func TestDropsLateRequests(t *testing.T) {
+	l := stoppedLine()
+	var waiters []*Waiter
 	for i := range 10 {
-		v := l.Join(request(fmt.Sprint(i), 0, time.Second), 20, now)
-		assert.Assert(t, v.Waiter != nil)
-		all = append(all, v.Waiter)
+		result := l.Join(request(fmt.Sprint(i), 0, time.Second), 20, now)
+		assert.Assert(t, result.Waiter != nil)
+		waiters = append(waiters, result.Waiter)
 	}
 	l.interval = 300 * time.Millisecond
-	assert.Assert(t, l.look(now))
-	late := 0
-	for _, w := range all {
+	assert.Assert(t, l.update(now))
+	dropped := 0
+	for _, w := range waiters {
 		if isClosed(w.Late()) {
-			late++
+			dropped++
 		}
 	}
-	assert.Equal(t, late, 6) // turns at 0, 0.3, 0.6 and 0.9 s remain
-	assert.Assert(t, !l.look(now.Add(time.Minute)), "nobody is left")
+	assert.Equal(t, dropped, 6) // those to be served after 0, 0.3, 0.6 and 0.9 s remain
+	assert.Assert(t, !l.update(now.Add(time.Minute)), "the queue is not empty")
 }
 
-// TestTurn: the first is told when there is room, then the next.
+// TestTurn checks that the first request is signalled, and the next one as soon as the
+// first is served. A lost signal would leave requests waiting although there is capacity.
 func TestTurn(t *testing.T) {
 	freed := make(chan struct{})
 	l := New(func() <-chan struct{} { return freed })
@@ -125,14 +131,16 @@
 	assert.Equal(t, l.Len(), 0)
 }
 
-// TestFirstWaits: however long turns took before, the first in the line waits; the
-// next is told at once if its turn can't come in time.
-func TestFirstWaits(t *testing.T) {
-	l := still()
+// TestEmptyQueueAccepts checks that a request joins an empty queue however long the last
+// interval between served requests was; the next request is refused at once if it can't
+// be served in time. The interval is only updated while requests are served, so a long
+// one would otherwise keep the queue empty for good.
+func TestEmptyQueueAccepts(t *testing.T) {
+	l := stoppedLine()
 	l.interval = time.Hour
 	assert.Equal(t, l.Wait(), time.Duration(0))
 	assert.Assert(t, l.Join(request("a", 0, time.Second), 10, now).Waiter != nil)
-	v := l.Join(request("b", 0, time.Second), 10, now)
-	assert.Assert(t, v.Waiter == nil)
-	assert.Equal(t, v.Reason, vetchtrail.ReasonDeadline)
+	result := l.Join(request("b", 0, time.Second), 10, now)
+	assert.Assert(t, result.Waiter == nil)
+	assert.Equal(t, result.Reason, vetchtrail.ReasonDeadline)
 }
