--- a/request/budget/budget.go
+++ b/request/budget/budget.go
@@ -1,7 +1,8 @@
-// Package budget bounds the attempts beyond the first that the hosts together
-// make for a service within any span of time, so that an outage never
-// multiplies the load. Each host keeps to its part, which follows from its own
-// requests and the number of live hosts, without a call to anyone.
+// Package budget limits the retries that all hosts together make for a service within a
+// time window, so that an outage doesn't multiply the load. Each host keeps to its part
+// of the limit, which it calculates from its own requests and the number of live hosts.
+// It exchanges no messages with other hosts. The package only counts: whether a request
+// may safely be retried is for the caller to decide.
 package budget
 
 import (
@@ -10,107 +11,113 @@
 )
 
 const (
-	// buckets is how many parts the window is counted in.
+	// buckets is the number of equal parts into which the window is divided for counting.
 	buckets = 10
-	// caution is the share of the bound that is used: hosts count at slightly
-	// different moments, and membership lags.
-	caution = 0.8
+	// safetyFactor is the share of the limit that a host uses. The rest allows for hosts
+	// that count at slightly different moments and learn of membership changes late.
+	safetyFactor = 0.8
 )
 
-// Config is what a Budget needs.
+// Config sets the limit of a Budget.
 type Config struct {
-	Window time.Duration
-	Share  float64 // further attempts for each request
-	Base   float64 // further attempts of all hosts together beside the share
-	Hosts  func() int
+	Window time.Duration // time window in which requests and retries are counted
+	Share  float64       // retries allowed per request
+	Base   float64       // additional retries allowed to all hosts together, however few their requests
+	Hosts  func() int    // number of hosts among which Base is divided
 }
 
-// Budget is the further attempts left to one service on this host. It is safe
-// for use by many.
+// Budget limits the retries of one service on this host. It is safe for concurrent use.
 type Budget struct {
 	cfg Config
 
 	mu       sync.Mutex
-	began    time.Time // of the first part; differences of times know no steps of the clock
-	requests ring
-	further  ring
+	start    time.Time // of the first bucket; the monotonic clock makes differences immune to clock changes
+	requests slidingCounter
+	retries  slidingCounter
 }
 
-// Set replaces the bounds. A window of another length begins anew.
+// Set replaces the limit. If the window has another length, counting starts again from
+// zero.
 func (b *Budget) Set(c Config) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c.Window != b.cfg.Window {
-		b.requests, b.further, b.began = ring{}, ring{}, time.Time{}
+		b.requests, b.retries, b.start = slidingCounter{}, slidingCounter{}, time.Time{}
 	}
 	b.cfg = c
 }
 
-// ring counts by parts of the window; the part under way comes on top of them,
-// so that what is counted is never less than the window.
-type ring struct {
+// slidingCounter counts events in a sliding window. It keeps the counts of the last
+// complete buckets, which cover the window, and that of the current bucket, so that it
+// never covers less than the window.
+type slidingCounter struct {
 	counts [buckets + 1]int
-	newest int64 // number of the newest part
+	newest int64 // number of the current bucket
 }
 
-// New returns a budget with nothing spent.
+// New returns a budget in which no request and no retry was counted.
 func New(c Config) *Budget { return &Budget{cfg: c} }
 
-// part is the number of the part of the window that now is in. The caller holds
-// the lock.
-func (b *Budget) part(now time.Time) int64 {
-	if b.began.IsZero() {
-		b.began = now
+// bucket returns the number of the bucket that contains now. The caller holds the lock.
+func (b *Budget) bucket(now time.Time) int64 {
+	if b.start.IsZero() {
+		b.start = now
 	}
-	return int64(now.Sub(b.began) / (b.cfg.Window / buckets))
+	return int64(now.Sub(b.start) / (b.cfg.Window / buckets))
 }
 
-// turn forgets the parts that have left the window.
-func (r *ring) turn(part int64) {
-	if part-r.newest > buckets {
-		*r = ring{newest: part}
+// advance makes the given bucket the current one and clears the counts that have left the
+// window.
+func (c *slidingCounter) advance(bucket int64) {
+	if bucket-c.newest > buckets {
+		*c = slidingCounter{newest: bucket}
 		return
 	}
-	for r.newest < part {
-		r.newest++
-		r.counts[r.newest%(buckets+1)] = 0
+	for c.newest < bucket {
+		c.newest++
+		c.counts[c.newest%(buckets+1)] = 0
 	}
 }
 
-func (r *ring) add(part int64) {
-	r.turn(part)
-	r.counts[r.newest%(buckets+1)]++
+// add counts one event in the given bucket.
+func (c *slidingCounter) add(bucket int64) {
+	c.advance(bucket)
+	c.counts[c.newest%(buckets+1)]++
 }
 
-func (r *ring) sum(part int64) int {
-	r.turn(part)
+// sum returns the number of events in the window that ends with the given bucket.
+func (c *slidingCounter) sum(bucket int64) int {
+	c.advance(bucket)
 	sum := 0
-	for _, n := range r.counts {
+	for _, n := range c.counts {
 		sum += n
 	}
 	return sum
 }
 
-// Earn counts a request that a caller made.
+// Earn counts a request of a caller, which raises the number of allowed retries.
 func (b *Budget) Earn(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.requests.add(b.part(now))
+	b.requests.add(b.bucket(now))
 }
 
-// Take takes a further attempt; false: none is left.
+// Take counts a retry and returns true if the budget allows it. Otherwise it returns
+// false and counts nothing.
 func (b *Budget) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	part := b.part(now)
-	if float64(b.further.sum(part)+1) > b.allowed(part) {
+	bucket := b.bucket(now)
+	if float64(b.retries.sum(bucket)+1) > b.allowedRetries(bucket) {
 		return false
 	}
-	b.further.add(part)
+	b.retries.add(bucket)
 	return true
 }
 
-func (b *Budget) allowed(part int64) float64 {
+// allowedRetries returns how many retries this host may make in the window that ends with
+// the given bucket.
+func (b *Budget) allowedRetries(bucket int64) float64 {
 	base := b.cfg.Base / float64(max(1, b.cfg.Hosts()))
-	return caution * (b.cfg.Share*float64(b.requests.sum(part)) + base)
+	return safetyFactor * (b.cfg.Share*float64(b.requests.sum(bucket)) + base)
 }
--- a/request/budget/budget_test.go
+++ b/request/budget/budget_test.go
@@ -12,42 +12,45 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// TestShare: over a long outage further attempts stay a share of the requests
-// beside the base, and nothing is earned without requests.
-func TestShare(t *testing.T) {
+// TestRetriesStayWithinShare checks that the retries stay within the share of the requests
+// and the base when the caller wants three retries for each request, as in an outage.
+// More would multiply the load. At least half of the share can be used, and without
+// requests and base no retry is allowed.
+func TestRetriesStayWithinShare(t *testing.T) {
 	b := New(Config{Window: 10 * time.Second, Share: 0.1, Base: 5, Hosts: func() int { return 1 }})
-	made := 0
+	retries := 0
 	for range 1000 {
 		b.Earn(start)
 		for range 3 {
 			if b.Take(start) {
-				made++
+				retries++
 			}
 		}
 	}
-	assert.Assert(t, made <= 1000/10+5, "%d", made)
-	assert.Assert(t, made >= 1000/20, "%d", made)
+	assert.Assert(t, retries <= 1000/10+5, "%d", retries)
+	assert.Assert(t, retries >= 1000/20, "%d", retries)
 	assert.Assert(t, !b.Take(start))
-	quiet := New(Config{Window: 10 * time.Second, Share: 0.1, Hosts: func() int { return 1 }})
-	assert.Assert(t, !quiet.Take(start))
+	withoutRequests := New(Config{Window: 10 * time.Second, Share: 0.1, Hosts: func() int { return 1 }})
+	assert.Assert(t, !withoutRequests.Take(start))
 }
 
-// TestSumOverHosts: whatever order hosts act in, and however many more hosts than
-// there are each believes in, the further attempts of all in any window stay within
-// the share of the requests and the base.
-func TestSumOverHosts(t *testing.T) {
+// TestRetriesOfAllHosts checks that the retries of all hosts together in any window stay
+// within the share of their requests and the base. Hosts act in random order, and each may
+// count hosts as live that are gone. It guards against a host that uses more than its part
+// of the limit: then the sum over many hosts multiplies the load of an outage.
+func TestRetriesOfAllHosts(t *testing.T) {
 	const window, share, base = 10 * time.Second, 0.2, 54.0
 	rapid.Check(t, func(t *rapid.T) {
 		type event struct {
-			at      time.Duration
-			further bool
+			at    time.Duration // since start
+			retry bool          // false: a request of a caller
 		}
 		n := rapid.IntRange(1, 12).Draw(t, "hosts")
 		budgets := make([]*Budget, n)
-		seen := make([]int, n)
+		hostCounts := make([]int, n) // number of live hosts as each host knows it
 		for i := range budgets {
-			seen[i] = n
-			budgets[i] = New(Config{Window: window, Share: share, Base: base, Hosts: func() int { return seen[i] }})
+			hostCounts[i] = n
+			budgets[i] = New(Config{Window: window, Share: share, Base: base, Hosts: func() int { return hostCounts[i] }})
 		}
 		var events []event
 		at := time.Duration(0)
@@ -58,26 +61,26 @@
 			case 0:
 				budgets[i].Earn(start.Add(at))
 				events = append(events, event{at: at})
-			case 1: // a host hears of others that are dead, or gone
-				seen[i] = n + rapid.IntRange(0, 3).Draw(t, "more")
+			case 1: // a host also counts hosts that are dead or have left
+				hostCounts[i] = n + rapid.IntRange(0, 3).Draw(t, "more")
 			default:
 				if budgets[i].Take(start.Add(at)) {
-					events = append(events, event{at: at, further: true})
+					events = append(events, event{at: at, retry: true})
 				}
 			}
 		}
 		for i, first := range events {
-			further, requests := 0, 0
+			retries, requests := 0, 0
 			for _, e := range events {
-				if e.further && e.at >= first.at && e.at < first.at+window {
-					further++
+				if e.retry && e.at >= first.at && e.at < first.at+window {
+					retries++
 				}
-				if !e.further && e.at >= first.at-window && e.at < first.at+window {
-					requests++ // of the window and the one before it
+				if !e.retry && e.at >= first.at-window && e.at < first.at+window {
+					requests++ // in the window or in the one before it, whose requests may still count
 				}
 			}
-			if float64(further) > share*float64(requests)+base {
-				t.Fatalf("from event %d: %d further attempts for %d requests", i, further, requests)
+			if float64(retries) > share*float64(requests)+base {
+				t.Fatalf("from event %d: %d retries for %d requests", i, retries, requests)
 			}
 		}
 	})
