--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -13,52 +13,55 @@
 )
 
 const (
-	// keptAfter is how long an answer is kept after its key expired.
-	keptAfter = 10 * time.Minute
-	// maxKept bounds one kept answer, in bytes.
-	maxKept = 1 << 20
-	// recordCost is the memory of a record beside its answer, in bytes.
-	recordCost = 512
-	sweepEvery = 10 * time.Second
+	// retention is how long after the expiry of its key a record is kept.
+	retention = 10 * time.Minute
+	// maxAnswerBytes is the size of the largest answer that is stored.
+	maxAnswerBytes = 1 << 20
+	// recordBytes is the memory that a record takes without its answer.
+	recordBytes = 512
+	// sweepInterval is the least time between two sweeps for old records.
+	sweepInterval = 10 * time.Second
 )
 
 // Errors of Begin.
 var (
-	ErrFull    = errors.New("no room to remember one more request")
+	ErrFull    = errors.New("no memory left to record another request with a key")
 	ErrExpired = errors.New("the key has expired")
-	ErrReused  = errors.New("the key was used for another request")
+	ErrReused  = errors.New("the key was already used for a different request")
 )
 
-// Config is what a Keeper needs.
+// Config configures a Keeper.
 type Config struct {
-	Host        string
-	Incarnation uint64
-	KeyTime     time.Duration // from a key's issue to its expiry
-	MaxBytes    int           // of all records
+	Host        string        // name of this host, for the keys that it issues
+	Incarnation uint64        // of this process, for the keys that it issues
+	KeyTime     time.Duration // from the issue of a key to its expiry
+	MaxBytes    int           // limit of the memory of all records
 }
 
-// Keeper issues keys and remembers what became of them.
+// Keeper issues keys and records the requests that were started with them. It is safe
+// for concurrent use. Its records are lost with the process.
 type Keeper struct {
 	cfg Config
 
-	mu      sync.Mutex
-	records map[string]*Record // by nonce
-	bytes   int
-	swept   time.Time
+	mu        sync.Mutex
+	records   map[string]*Record // by the key's nonce
+	bytes     int                // memory of all records
+	lastSweep time.Time
 }
 
-// Record is what is known of one key's request.
+// Record is the record of one key's request.
 type Record struct {
-	done    chan struct{} // closed when the request has ended
-	print   uint64        // hash of the request
-	expires time.Time     // of the key
+	done        chan struct{} // closed when the request has ended
+	fingerprint uint64        // see Fingerprint
+	expires     time.Time     // expiry of the key
+
+	// The fields below are set before done is closed and don't change afterwards.
 
-	// Set before done is closed, and not changed after.
 	outcome vetchtrail.Outcome
 	status  int
 	header  []vetchtrail.HeaderField
 	body    []byte
-	whole   bool // the answer is kept whole
+	stored  bool // status, header and body hold the whole answer
 }
 
 // New returns a keeper without records.
@@ -74,12 +77,12 @@
 	}
 }
 
-// Mine says whether this process issued the key.
+// Mine reports whether this process issued the key.
 func (k *Keeper) Mine(key Key) bool {
 	return key.Host == k.cfg.Host && key.Incarnation == k.cfg.Incarnation
 }
 
-// Fingerprint returns a hash of what makes a request the same request.
+// Fingerprint returns a hash of the fields in which repeated requests must agree.
 func Fingerprint(r *vetchtrail.Request) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -91,15 +94,16 @@
 	return d.Sum64()
 }
 
-// Begin returns the record of a key that this process issued. With first, the
-// request has not been started: the caller starts it and calls Finish.
-// Otherwise it was, and the record tells or will tell what became of it.
-func (k *Keeper) Begin(key Key, print uint64, now time.Time) (rec *Record, first bool, err error) {
+// Begin returns the record of a key that this process issued. If first is true, the
+// request has not been started: the caller starts it and calls Finish. Otherwise it was
+// started before and may still be running: the caller waits for the record's Done and
+// calls Replay.
+func (k *Keeper) Begin(key Key, fingerprint uint64, now time.Time) (rec *Record, first bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.sweep(now)
 	if rec, ok := k.records[key.Nonce]; ok {
-		if rec.print != print {
+		if rec.fingerprint != fingerprint {
 			return nil, false, ErrReused
 		}
 		return rec, false, nil
@@ -107,16 +111,17 @@
 	if !now.Before(key.Expires) {
 		return nil, false, ErrExpired
 	}
-	if k.bytes+recordCost > k.cfg.MaxBytes {
+	if k.bytes+recordBytes > k.cfg.MaxBytes {
 		return nil, false, ErrFull
 	}
-	rec = &Record{done: make(chan struct{}), print: print, expires: key.Expires}
+	rec = &Record{done: make(chan struct{}), fingerprint: fingerprint, expires: key.Expires}
 	k.records[key.Nonce] = rec
-	k.bytes += recordCost
+	k.bytes += recordBytes
 	return rec, true, nil
 }
 
-// Begun says whether there is a record of a key that this process issued.
+// Begun reports whether the request of a key that this process issued may have been
+// started: there is a record of it, or there could have been one that was removed.
 func (k *Keeper) Begun(key Key) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -124,117 +129,120 @@
 	return ok || Forgotten(key, time.Now())
 }
 
-// Finish notes how a request ended. One that did not run may be begun again
-// with the same key.
+// Finish records how a request ended, with its answer if that is not too large. The
+// record of a request that did not run is removed, so that its key can be used again.
 func (k *Keeper) Finish(key Key, rec *Record, a *Tee, o vetchtrail.Outcome) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	rec.outcome = o
-	if o.Kind == vetchtrail.Answered && !a.over && k.bytes+len(a.body) <= k.cfg.MaxBytes {
-		rec.status, rec.header, rec.body, rec.whole = a.status, a.header, a.body, true
+	if o.Kind == vetchtrail.Answered && !a.tooLarge && k.bytes+len(a.body) <= k.cfg.MaxBytes {
+		rec.status, rec.header, rec.body, rec.stored = a.status, a.header, a.body, true
 		k.bytes += len(a.body)
 	}
 	if o.Kind == vetchtrail.NotRun {
-		k.drop(key.Nonce, rec)
+		k.remove(key.Nonce, rec)
 	}
 	close(rec.done)
 }
 
-func (k *Keeper) drop(nonce string, rec *Record) {
+func (k *Keeper) remove(nonce string, rec *Record) {
 	delete(k.records, nonce)
-	k.bytes -= recordCost + len(rec.body)
+	k.bytes -= recordBytes + len(rec.body)
 }
 
-// sweep drops ended records whose keys expired long ago. The caller holds the
-// lock.
+// sweep removes the records of requests that have ended and whose keys expired longer ago
+// than the retention. The caller holds the lock.
 func (k *Keeper) sweep(now time.Time) {
-	if now.Sub(k.swept) < sweepEvery {
+	if now.Sub(k.lastSweep) < sweepInterval {
 		return
 	}
-	k.swept = now
+	k.lastSweep = now
 	for nonce, rec := range k.records {
 		select {
 		case <-rec.done:
-			if now.After(rec.expires.Add(keptAfter)) {
-				k.drop(nonce, rec)
+			if now.After(rec.expires.Add(retention)) {
+				k.remove(nonce, rec)
 			}
 		default:
 		}
 	}
 }
 
-// Forgotten says whether a record of the key could have been dropped by now.
-func Forgotten(key Key, now time.Time) bool { return now.After(key.Expires.Add(keptAfter)) }
+// Forgotten reports whether a record of the key may have been removed by now. Without a
+// record it is then not known whether the request ran.
+func Forgotten(key Key, now time.Time) bool { return now.After(key.Expires.Add(retention)) }
 
-// Stats are the keeper's records and their memory in bytes.
+// Stats is the size of a Keeper.
 type Stats struct {
-	Records int
-	Bytes   int
+	Records int // number of records
+	Bytes   int // their memory, including the stored answers
 }
 
-// Stats returns the keeper's size.
+// Stats returns the size of the keeper.
 func (k *Keeper) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return Stats{Records: len(k.records), Bytes: k.bytes}
 }
 
-// Done is closed when the request has ended.
+// Done returns a channel that is closed when the request has ended.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// Replay gives a caller the first answer again. It may only be called after
-// Done.
+// Replay sends the stored answer of the request to a caller that repeated it, and returns
+// the outcome. It may only be called after Done is closed.
 func (r *Record) Replay(a vetchtrail.Answer) vetchtrail.Outcome {
 	o := r.outcome
 	if o.Kind != vetchtrail.Answered {
 		return o
 	}
-	if !r.whole {
+	if !r.stored {
 		return vetchtrail.Outcome{
 			Kind: vetchtrail.Unknown, Status: 502, Step: vetchtrail.StepOnce, Reason: vetchtrail.ReasonNotKept,
-			Err: errors.New("the request ran once and was answered, but its answer is not kept"),
+			Err: errors.New("the request ran once and was answered, but its answer was not stored"),
 		}
 	}
 	if err := a.Begin(r.status, r.header); err != nil {
-		return gone(o, err)
+		return callerGone(o, err)
 	}
 	if err := a.Write(r.body); err != nil {
-		return gone(o, err)
+		return callerGone(o, err)
 	}
 	o.Begun = true
 	return o
 }
 
-func gone(o vetchtrail.Outcome, err error) vetchtrail.Outcome {
+// callerGone returns the outcome of a replay whose caller is gone.
+func callerGone(o vetchtrail.Outcome, err error) vetchtrail.Outcome {
 	o.Reason, o.Err, o.Begun = vetchtrail.ReasonCallerGone, err, true
 	return o
 }
 
-// Tee passes an answer on and keeps a copy. When the first caller has gone, it
-// goes on keeping: a repeat will ask.
+// Tee forwards an answer to the caller and keeps a copy of it. If the caller is gone, it
+// goes on copying without an error, because the caller may repeat the request to get the
+// answer.
 type Tee struct {
-	To     vetchtrail.Answer
-	status int
-	header []vetchtrail.HeaderField
-	body   []byte
-	over   bool
-	gone   bool
+	To         vetchtrail.Answer // where the answer is forwarded
+	status     int
+	header     []vetchtrail.HeaderField
+	body       []byte
+	tooLarge   bool // the body exceeds maxAnswerBytes and is not kept
+	callerGone bool
 }
 
 // Begin implements vetchtrail.Answer.
 func (t *Tee) Begin(status int, header []vetchtrail.HeaderField) error {
 	t.status, t.header = status, header
-	t.gone = t.To.Begin(status, header) != nil
+	t.callerGone = t.To.Begin(status, header) != nil
 	return nil
 }
 
 // Write implements vetchtrail.Answer.
 func (t *Tee) Write(part []byte) error {
-	if !t.gone {
-		t.gone = t.To.Write(part) != nil
+	if !t.callerGone {
+		t.callerGone = t.To.Write(part) != nil
 	}
-	if t.over || len(t.body)+len(part) > maxKept {
-		t.over, t.body = true, nil
+	if t.tooLarge || len(t.body)+len(part) > maxAnswerBytes {
+		t.tooLarge, t.body = true, nil
 		return nil
 	}
 	t.body = append(t.body, part...)
