--- /dev/null
+++ b/process/load/availability.go
@@ -0,0 +1,306 @@
+package load
+
+import (
+	"math"
+	"net/netip"
+	"slices"
+	"time"
+
+	"vetchtrail"
+)
+
+const (
+	// leavingValidFor is how long an announcement that an endpoint is leaving is valid. An endpoint that still
+	// runs after that gets requests again, and its answers say whether it is still leaving.
+	leavingValidFor = time.Hour
+	// maxUnlisted bounds the process instances that are not listed and whose announcements are kept.
+	maxUnlisted = 1 << 12
+)
+
+// availabilityBySource is what is known of whether an endpoint wants requests, separately for each source. No
+// source withdraws or shortens what another said: for one, a listing that was read while the platform's store
+// was away or after it lost its data may have a leaving endpoint as ready.
+type availabilityBySource struct {
+	reportUntil       time.Time // leaving until then, by its newest load report
+	platformUntil     time.Time // leaving until then, by the platform's list of hosts
+	otherProcessUntil time.Time // another process is assumed at its address until then
+	announcements
+}
+
+// announcements is what an endpoint's answers said of whether it wants requests. A later answer that doesn't
+// repeat an announcement doesn't withdraw it. Announcements are valid for one process instance, also if that
+// leaves the listing and comes back.
+type announcements struct {
+	leavingUntil     time.Time // until when the announcement that it is leaving is valid; zero: there is none
+	requestSentAt    time.Time // when the request of the last announcement was sent
+	firstAnnouncedAt time.Time // when an answer first said that it is leaving
+	receivedAt       time.Time // when the last announcement was received
+	learnedAt        time.Time // when this host learned that it is leaving
+	pausedUntil      time.Time // until when it wants no requests from this host; zero: not paused
+}
+
+// isLeaving says whether the endpoint is known to be leaving. It then gets no new requests.
+func (s *endpointState) isLeaving(now time.Time) bool {
+	return s.leavingBy(now) != ""
+}
+
+// Bars implements vetchtrail.Endpoints. It is checked just before a request is sent, as the endpoint may have
+// announced that it is leaving or paused after it was chosen.
+func (t *Table) Bars(name string, now time.Time) (why vetchtrail.Reason, until time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok := t.endpoints[name]
+	switch {
+	case !ok || s.isLeaving(now):
+		return vetchtrail.ReasonDraining, time.Time{}
+	case now.Before(s.availability.pausedUntil):
+		return vetchtrail.ReasonPaused, s.availability.pausedUntil
+	}
+	return "", time.Time{}
+}
+
+// Leaves says whether an endpoint is configured and known to be leaving.
+func (t *Table) Leaves(name string, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok := t.endpoints[name]
+	return ok && s.isLeaving(now)
+}
+
+// LeavingBy is the source that says that an endpoint is leaving.
+type LeavingBy string
+
+// Sources that say that an endpoint is leaving; empty: none does.
+const (
+	ByAnswers  LeavingBy = "its answers"
+	ByList     LeavingBy = "list" // the configuration, or the platform's listing
+	ByReport   LeavingBy = "load report"
+	ByPlatform LeavingBy = "list of hosts"
+	ByMisled   LeavingBy = "another process" // answered at its address
+)
+
+// leavingBy returns the first source that says that the endpoint is leaving.
+func (s *endpointState) leavingBy(now time.Time) LeavingBy {
+	a := &s.availability
+	switch {
+	case now.Before(a.leavingUntil):
+		return ByAnswers
+	case s.Draining:
+		return ByList
+	case now.Before(a.reportUntil):
+		return ByReport
+	case now.Before(a.platformUntil):
+		return ByPlatform
+	case now.Before(a.otherProcessUntil):
+		return ByMisled
+	}
+	return ""
+}
+
+// NoticeNews is the part of an announcement that this host didn't know.
+type NoticeNews struct {
+	Endpoint string // empty: it is not listed
+	Leaves   bool   // it is leaving
+	Paused   bool   // it is paused, or for longer than known
+}
+
+// HearNotice records the announcement of an endpoint's answer, and returns what of it is new.
+func (t *Table) HearNotice(name string, born time.Time, n vetchtrail.Notice) NoticeNews {
+	return t.HearNoticeShort(Short(name), born, n, n.Heard)
+}
+
+// HearNoticeShort records an announcement that any host received. It names the endpoint by Short. The
+// announcement is valid only for the process instance that started at the given time.
+func (t *Table) HearNoticeShort(short uint32, born time.Time, n vetchtrail.Notice, now time.Time) NoticeNews {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var news NoticeNews
+	if s, ok := t.byShortHash[short]; ok && !s.isOtherInstance(born) {
+		news = s.availability.record(n, now)
+		news.Endpoint, s.announced = s.Name, true
+		if news.Leaves {
+			t.logLeaving(keyOf(short, s.Born), &s.availability.announcements)
+		}
+		if news.Paused {
+			s.warmUp = math.Min(s.warmUp, initialWarmUp) // it is overloaded, and all hosts return when the pause ends
+		}
+	} else {
+		news = t.recordUnlisted(keyOf(short, born), n, now)
+	}
+	return news
+}
+
+// record adds an announcement. Where two differ, the one that is valid for longer counts.
+func (a *announcements) record(n vetchtrail.Notice, now time.Time) NoticeNews {
+	news := NoticeNews{Leaves: n.Leaving && !n.Heard.Before(a.leavingUntil), Paused: n.Until.After(a.pausedUntil)}
+	if news.Leaves {
+		a.firstAnnouncedAt, a.learnedAt = n.Heard, now
+	}
+	if n.Leaving {
+		a.leavingUntil = vetchtrail.Later(a.leavingUntil, n.Heard.Add(leavingValidFor))
+	}
+	a.pausedUntil = vetchtrail.Later(a.pausedUntil, n.Until)
+	a.requestSentAt, a.receivedAt = vetchtrail.Later(a.requestSentAt, n.Asked), vetchtrail.Later(a.receivedAt, n.Heard)
+	return news
+}
+
+// merge combines two records of the same process instance.
+func (a announcements) merge(b announcements) announcements {
+	if a.leavingUntil.IsZero() || !b.leavingUntil.IsZero() && b.firstAnnouncedAt.Before(a.firstAnnouncedAt) {
+		a.firstAnnouncedAt, a.learnedAt = b.firstAnnouncedAt, b.learnedAt
+	}
+	a.leavingUntil, a.pausedUntil = vetchtrail.Later(a.leavingUntil, b.leavingUntil), vetchtrail.Later(a.pausedUntil, b.pausedUntil)
+	a.requestSentAt, a.receivedAt = vetchtrail.Later(a.requestSentAt, b.requestSentAt), vetchtrail.Later(a.receivedAt, b.receivedAt)
+	return a
+}
+
+// Noticed implements vetchtrail.Observer.
+func (t *Table) Noticed(e vetchtrail.Endpoint, n vetchtrail.Notice, _ error) {
+	t.HearNotice(e.Name, e.Born, n)
+}
+
+// instanceKey identifies a process instance of an endpoint.
+type instanceKey struct {
+	shortHash uint32 // of the endpoint's name, see Short
+	startedAt int64  // Unix nanoseconds; 0: not known
+}
+
+func keyOf(shortHash uint32, startedAt time.Time) instanceKey {
+	if startedAt.IsZero() {
+		return instanceKey{shortHash: shortHash}
+	}
+	return instanceKey{shortHash: shortHash, startedAt: startedAt.UnixNano()}
+}
+
+// startTime returns the instance's start time; zero: not known.
+func (k instanceKey) startTime() time.Time {
+	if k.startedAt == 0 {
+		return time.Time{}
+	}
+	return time.Unix(0, k.startedAt)
+}
+
+// Unknown implements vetchtrail.Observer. The table has no use for unknown fields.
+func (t *Table) Unknown(vetchtrail.Endpoint, string) {}
+
+// unlistedInstance holds the announcements of a process instance that is not listed now: its entry may have
+// lapsed while the platform's store was away, the listing may be an older copy, or may not have it yet.
+type unlistedInstance struct {
+	addr netip.AddrPort // not valid: not known
+	announcements
+}
+
+// expiresAt is when the last of the announcements becomes invalid.
+func (a *announcements) expiresAt() time.Time { return vetchtrail.Later(a.leavingUntil, a.pausedUntil) }
+
+// recordUnlisted records an announcement of a process instance that is not listed. The caller holds the lock.
+func (t *Table) recordUnlisted(key instanceKey, n vetchtrail.Notice, now time.Time) NoticeNews {
+	u := t.unlisted[key]
+	news := u.record(n, now)
+	if news.Leaves {
+		t.logLeaving(key, &u.announcements)
+	}
+	t.addUnlisted(key, u)
+	return news
+}
+
+// keepAnnouncements keeps the announcements of a process instance that is no longer listed. The caller holds
+// the lock.
+func (t *Table) keepAnnouncements(s *endpointState) {
+	if !s.availability.expiresAt().IsZero() {
+		t.addUnlisted(keyOf(Short(s.Name), s.Born), unlistedInstance{addr: s.Addr, announcements: s.availability.announcements})
+	}
+}
+
+// restoreAnnouncements gives an endpoint that is listed now what the same process instance announced while it
+// was not. The caller holds the lock.
+func (t *Table) restoreAnnouncements(s *endpointState, e vetchtrail.Endpoint) {
+	key := keyOf(Short(e.Name), e.Born)
+	u, ok := t.unlisted[key]
+	if !ok {
+		return
+	}
+	delete(t.unlisted, key)
+	if !u.addr.IsValid() || u.addr == e.Addr {
+		s.availability.announcements = s.availability.merge(u.announcements)
+	}
+}
+
+// addUnlisted adds a process instance that is not listed. If there are too many, the one whose announcements
+// expire first is dropped. The caller holds the lock.
+func (t *Table) addUnlisted(key instanceKey, u unlistedInstance) {
+	if _, known := t.unlisted[key]; !known && len(t.unlisted) >= maxUnlisted {
+		first, firstExpiry := key, u.expiresAt()
+		for other, o := range t.unlisted {
+			if o.expiresAt().Before(firstExpiry) {
+				first, firstExpiry = other, o.expiresAt()
+			}
+		}
+		if first == key {
+			return
+		}
+		delete(t.unlisted, first)
+	}
+	t.unlisted[key] = u
+}
+
+// Leaver is a process instance of an endpoint whose answers said that it is leaving.
+type Leaver struct {
+	Short uint32    // hash of the endpoint's name, see the function Short
+	Born  time.Time // start of the instance
+	Said  time.Time // when an answer first said so
+}
+
+// leavingLogEntry records when this host learned that a process instance is leaving.
+type leavingLogEntry struct {
+	instanceKey
+	learnedAt time.Time
+}
+
+// maxLeavingLog bounds the log of leaving process instances.
+const maxLeavingLog = 2 * maxUnlisted
+
+// logLeaving adds a process instance to the end of the log if it announced that it is leaving. So that the log
+// stays in the order of learnedAt, that is moved up to the last entry's. The caller holds the lock.
+func (t *Table) logLeaving(key instanceKey, a *announcements) {
+	if a.leavingUntil.IsZero() {
+		return
+	}
+	if n := len(t.leavingLog); n > 0 {
+		a.learnedAt = vetchtrail.Later(a.learnedAt, t.leavingLog[n-1].learnedAt)
+	}
+	if len(t.leavingLog) >= maxLeavingLog {
+		t.leavingLog = slices.Delete(t.leavingLog, 0, maxLeavingLog/2)
+	}
+	t.leavingLog = append(t.leavingLog, leavingLogEntry{instanceKey: key, learnedAt: a.learnedAt})
+}
+
+// announcementsOf returns what a process instance announced; nil: it is no longer known. The caller holds the
+// lock.
+func (t *Table) announcementsOf(key instanceKey) *announcements {
+	if s, ok := t.byShortHash[key.shortHash]; ok && keyOf(key.shortHash, s.Born) == key {
+		return &s.availability.announcements
+	}
+	if u, ok := t.unlisted[key]; ok {
+		return &u.announcements
+	}
+	return nil
+}
+
+// Leavers returns the process instances of which this host learned after a time that their answers say that
+// they are leaving, if that announcement is still valid.
+func (t *Table) Leavers(after, now time.Time) []Leaver {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []Leaver
+	for _, entry := range slices.Backward(t.leavingLog) {
+		if !entry.learnedAt.After(after) {
+			break
+		}
+		a := t.announcementsOf(entry.instanceKey)
+		if a != nil && a.learnedAt.Equal(entry.learnedAt) && now.Before(a.leavingUntil) {
+			out = append(out, Leaver{Short: entry.shortHash, Born: entry.startTime(), Said: a.firstAnnouncedAt})
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/process/load/availability_test.go
@@ -0,0 +1,335 @@
+package load
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"pgregory.net/rapid"
+
+	"vetchtrail"
+	_ "vetchtrail/standin/seeded"
+)
+
+// availabilityModel is a model of one endpoint that starts again and again under its name and whose answers
+// announce that it is leaving or paused, while the listing, reports and other processes at its address say
+// otherwise. It records next to the table what the answers announced.
+type availabilityModel struct {
+	t            *rapid.T
+	table        *Table
+	now          time.Time
+	startedAt    []time.Time       // of the process instances so far
+	listed       int               // instance that is listed; -1: none is
+	leavingUntil map[int]time.Time // by instance
+	pausedUntil  map[int]time.Time // by instance
+	othersUntil  time.Time         // until when another source may keep the endpoint out of use
+}
+
+const maxInstances = 4
+
+func (m *availabilityModel) endpoint(instance int) vetchtrail.Endpoint {
+	return vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4, Born: m.startedAt[instance]}
+}
+
+// list configures the table with an instance of the endpoint, or without the endpoint.
+func (m *availabilityModel) list(instance int) {
+	m.listed = instance
+	var placed []Placed
+	if instance >= 0 {
+		placed = []Placed{{Endpoint: m.endpoint(instance)}}
+	}
+	m.table.Configure(placed)
+}
+
+// start starts the next instance, which is listed later.
+func (m *availabilityModel) start(*rapid.T) {
+	if len(m.startedAt) < maxInstances {
+		m.now = m.now.Add(10 * time.Millisecond)
+		m.startedAt = append(m.startedAt, m.now)
+	}
+}
+
+// relist lists any instance, also an earlier one as an older copy of the listing has it, or none.
+func (m *availabilityModel) relist(t *rapid.T) {
+	m.list(rapid.IntRange(-1, len(m.startedAt)-1).Draw(t, "listed"))
+}
+
+// answer is an answer of any instance, also one that was in transit for long. Its request was sent to that
+// instance.
+func (m *availabilityModel) answer(t *rapid.T) {
+	instance := rapid.IntRange(0, len(m.startedAt)-1).Draw(t, "instance")
+	n := vetchtrail.Notice{
+		Leaving: rapid.IntRange(0, 3).Draw(t, "leaving") == 0, Heard: m.now, Asked: m.startedAt[instance].Add(time.Millisecond),
+	}
+	if pause := rapid.IntRange(-5, 20).Draw(t, "pause"); pause > 0 {
+		n.Until = n.Heard.Add(time.Duration(pause) * time.Second)
+		m.pausedUntil[instance] = vetchtrail.Later(m.pausedUntil[instance], n.Until)
+	}
+	m.table.Noticed(m.endpoint(instance), n, nil)
+	m.note(instance, n.Leaving, n.Heard)
+}
+
+// released is the end of a request that the endpoint answered, or refused without announcing a pause.
+func (m *availabilityModel) released(t *rapid.T) {
+	if m.listed < 0 {
+		return
+	}
+	o := vetchtrail.Outcome{Kind: vetchtrail.Answered, Step: vetchtrail.StepAnswer, Status: 200}
+	if rapid.Bool().Draw(t, "refused") {
+		o = vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonRefused, RetryAt: m.now.Add(100 * time.Millisecond)}
+	}
+	m.table.Release("e000", vetchtrail.Observation{Born: m.startedAt[m.listed], Outcome: o}, m.now)
+}
+
+// reported is another host's message that an instance announced that it is leaving, some time after the
+// announcement.
+func (m *availabilityModel) reported(t *rapid.T) {
+	instance := rapid.IntRange(0, len(m.startedAt)-1).Draw(t, "instance")
+	announcedAt := vetchtrail.Later(m.now.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond), m.startedAt[instance].Add(time.Millisecond))
+	if instance+1 < len(m.startedAt) {
+		announcedAt = vetchtrail.Earlier(announcedAt, m.startedAt[instance+1].Add(-time.Millisecond)) // the instance has ended by then
+	}
+	m.table.HearNoticeShort(Short("e000"), m.startedAt[instance], vetchtrail.Notice{Leaving: true, Asked: announcedAt, Heard: announcedAt}, m.now)
+	m.note(instance, true, announcedAt)
+}
+
+// note records until when an instance's announcement must be valid.
+func (m *availabilityModel) note(instance int, leaving bool, announcedAt time.Time) {
+	if leaving {
+		m.leavingUntil[instance] = vetchtrail.Later(m.leavingUntil[instance], announcedAt.Add(leavingValidFor))
+	}
+}
+
+// report is a load report of the listed endpoint.
+func (m *availabilityModel) report(t *rapid.T) {
+	leaving := rapid.Bool().Draw(t, "leaving")
+	until := m.now.Add(time.Second)
+	if m.table.Report("e000", vetchtrail.LoadReport{At: m.now, Leaving: leaving}, until) && leaving {
+		m.othersUntil = vetchtrail.Later(m.othersUntil, until)
+	}
+}
+
+// leave is an entry of the platform's list of hosts.
+func (m *availabilityModel) leave(*rapid.T) {
+	until := m.now.Add(2 * time.Second)
+	m.table.Leave("e000", until)
+	m.othersUntil = vetchtrail.Later(m.othersUntil, until)
+}
+
+// otherProcess is an answer of another process at the endpoint's address.
+func (m *availabilityModel) otherProcess(*rapid.T) {
+	if m.listed < 0 {
+		return
+	}
+	m.table.Release("e000", vetchtrail.Observation{
+		Born: m.startedAt[m.listed], Outcome: vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonMisled},
+	}, m.now)
+	m.othersUntil = vetchtrail.Later(m.othersUntil, m.now.Add(otherProcessBackOff))
+}
+
+// wait lets time pass: some seconds, or up to as long as an announcement is valid.
+func (m *availabilityModel) wait(t *rapid.T) {
+	most := 3 * time.Second
+	if rapid.IntRange(0, 9).Draw(t, "long") == 0 {
+		most = leavingValidFor
+	}
+	m.now = m.now.Add(time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(most)).Draw(t, "time")))
+}
+
+// check requires that the listed instance's announcements are valid, whatever other sources said since, and
+// that those of other instances are not.
+func (m *availabilityModel) check(t *rapid.T) {
+	if m.listed < 0 {
+		return
+	}
+	why, until := m.table.Bars("e000", m.now)
+	leaving, paused := m.now.Before(m.leavingUntil[m.listed]), m.now.Before(m.pausedUntil[m.listed])
+	switch {
+	case leaving:
+		assert.Equal(t, why, vetchtrail.ReasonDraining, "instance %d announced that it is leaving", m.listed)
+	case !m.now.Before(m.othersUntil) && paused:
+		assert.Equal(t, why, vetchtrail.ReasonPaused, "instance %d is paused", m.listed)
+		assert.Equal(t, until, m.pausedUntil[m.listed])
+	case !m.now.Before(m.othersUntil):
+		assert.Equal(t, why, vetchtrail.Reason(""), "instance %d wants requests", m.listed)
+	}
+	if leaving || paused {
+		assert.Assert(t, why != "", "instance %d wants no requests", m.listed)
+		assert.Assert(t, viewOf(m.table, m.now).Away)
+		assert.Assert(t, !m.table.Acquire("e000", &vetchtrail.Request{ID: "a", Service: "s"}, m.now))
+	}
+}
+
+// TestAnnouncementsPerInstance guards against an announcement that is lost, shortened or applied to another
+// process instance. It applies answers, listings, reports and restarts in any order.
+func TestAnnouncementsPerInstance(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &availabilityModel{t: t, table: New(), now: now, startedAt: []time.Time{now}, leavingUntil: map[int]time.Time{}, pausedUntil: map[int]time.Time{}}
+		m.list(0)
+		t.Repeat(map[string]func(*rapid.T){
+			"start": m.start, "list": m.relist, "answer": m.answer, "reported": m.reported, "report": m.report, "leave": m.leave,
+			"other process": m.otherProcess, "released": m.released, "wait": m.wait, "": m.check,
+		})
+	})
+}
+
+// TestLeavingExpires guards against an endpoint that stays out of use for ever because it announced that it is
+// leaving but still runs. The announcement expires, and the next one is news again. A shorter back-off for
+// another reason doesn't shorten it.
+func TestLeavingExpires(t *testing.T) {
+	tab := New()
+	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
+	tab.Configure([]Placed{{Endpoint: e}})
+	announce := func(at time.Time) NoticeNews {
+		return tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: at, Heard: at})
+	}
+	usable := func(at time.Time) bool { why, _ := tab.Bars("e000", at); return why == "" }
+	assert.Assert(t, announce(now).Leaves)
+	assert.Assert(t, !announce(now.Add(time.Minute)).Leaves, "reported as news again")
+	assert.Assert(t, !announce(now.Add(time.Second)).Leaves, "an older announcement that arrives late is news")
+	tab.Release("e000", vetchtrail.Observation{
+		Outcome: vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonMisled},
+	}, now.Add(time.Minute))
+	assert.Assert(t, !usable(now.Add(time.Minute+leavingValidFor-1)), "a shorter back-off shortens it")
+	again := now.Add(time.Minute + leavingValidFor)
+	assert.Assert(t, usable(again))
+	assert.Assert(t, announce(again).Leaves)
+	assert.Assert(t, !usable(again.Add(time.Second)))
+	assert.Equal(t, len(tab.Leavers(now.Add(time.Minute), again)), 1)
+}
+
+// TestUnlistedInstances guards against the loss of announcements of endpoints that are not listed yet, and
+// against unbounded memory for them: beyond the bound, the announcement that expires first is dropped.
+func TestUnlistedInstances(t *testing.T) {
+	tab := New()
+	for n := range maxUnlisted + 10 {
+		at := now.Add(time.Duration(n) * time.Millisecond)
+		tab.HearNotice(fmt.Sprint("e", n), time.Time{}, vetchtrail.Notice{Leaving: true, Asked: at, Heard: at})
+	}
+	assert.Equal(t, len(tab.unlisted), maxUnlisted)
+	last := fmt.Sprint("e", maxUnlisted+9)
+	tab.Configure([]Placed{
+		{Endpoint: vetchtrail.Endpoint{Name: last, Service: "s", Slots: 4}},
+		{Endpoint: vetchtrail.Endpoint{Name: "e0", Service: "s", Slots: 4}},
+	})
+	why, _ := tab.Bars(last, now.Add(time.Minute))
+	assert.Equal(t, why, vetchtrail.ReasonDraining)
+	why, _ = tab.Bars("e0", now.Add(time.Minute))
+	assert.Equal(t, why, vetchtrail.Reason(""), "the announcement that expires first is dropped for the last")
+	assert.Equal(t, len(tab.unlisted), maxUnlisted-1)
+}
+
+// TestLeavingIsNoFailure guards against the ejection of an endpoint that ends with requests in flight after it
+// announced that it is leaving.
+func TestLeavingIsNoFailure(t *testing.T) {
+	cases := map[string]struct{ announced, ejected bool }{"announced": {true, false}, "not announced": {false, true}}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			tab := New()
+			tab.Configure([]Placed{
+				{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 9}}, {Endpoint: vetchtrail.Endpoint{Name: "e001", Service: "s", Slots: 9}},
+			})
+			for n := range failuresToEject {
+				assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{ID: fmt.Sprint(n), Service: "s"}, now))
+			}
+			if c.announced {
+				tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+			}
+			for n := range failuresToEject {
+				tab.Release("e000", vetchtrail.Observation{
+					Request: fmt.Sprint(n), Outcome: vetchtrail.Outcome{Kind: vetchtrail.Unknown, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonLost},
+				}, now)
+			}
+			assert.Equal(t, now.Before(tab.endpoints["e000"].ejectedUntil), c.ejected)
+		})
+	}
+}
+
+// TestAvailabilityRow guards against operators that can't see which source says that an endpoint is leaving,
+// since when, and until when it is paused.
+func TestAvailabilityRow(t *testing.T) {
+	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
+	later := now.Add(time.Minute)
+	cases := map[string]struct {
+		announce func(tab *Table)
+		by       LeavingBy
+		row      Row
+	}{
+		"nothing": {func(*Table) {}, "", Row{}},
+		"its answers, after the list of hosts": {func(tab *Table) {
+			tab.Leave("e000", later)
+			tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+		}, ByAnswers, Row{LeavingSince: now}},
+		"the list of hosts": {func(tab *Table) { tab.Leave("e000", later) }, ByPlatform, Row{}},
+		"a load report":     {func(tab *Table) { tab.Report("e000", vetchtrail.LoadReport{At: now, Leaving: true}, later) }, ByReport, Row{}},
+		"the listing": {func(tab *Table) {
+			drained := e
+			drained.Draining = true
+			tab.Configure([]Placed{{Endpoint: drained}})
+		}, ByList, Row{}},
+		"paused": {func(tab *Table) {
+			tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Until: later, Asked: now, Heard: now})
+		}, "", Row{PausedUntil: later}},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			tab := New()
+			tab.Configure([]Placed{{Endpoint: e}})
+			c.announce(tab)
+			row := tab.Rows(now)[0]
+			assert.Equal(t, row.LeavingBy, c.by)
+			assert.Equal(t, row.LeavingSince, c.row.LeavingSince)
+			assert.Equal(t, row.PausedUntil, c.row.PausedUntil)
+		})
+	}
+}
+
+// TestReportOfNewProcess guards against an announcement that outlives its process: a load report that says that
+// the process started after the announcement withdraws it. A report without a start time or with an earlier one
+// doesn't.
+func TestReportOfNewProcess(t *testing.T) {
+	cases := map[string]struct {
+		started time.Time
+		want    vetchtrail.Reason
+	}{
+		"start not known":             {time.Time{}, vetchtrail.ReasonDraining},
+		"before the announcement":     {now.Add(-time.Hour), vetchtrail.ReasonDraining},
+		"after the announcement":      {now.Add(time.Second), ""},
+		"when it was received":        {now, vetchtrail.ReasonDraining},
+		"long after the announcement": {now.Add(time.Minute), ""},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			tab := New()
+			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}}})
+			tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Until: now.Add(time.Hour), Asked: now, Heard: now})
+			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{At: now.Add(2 * time.Minute), Started: c.started}, time.Time{}))
+			why, _ := tab.Bars("e000", now.Add(2*time.Minute))
+			assert.Equal(t, why, c.want)
+			assert.Assert(t, allReports(tab)[0].Said, "other hosts don't learn of its start")
+		})
+	}
+}
+
+// BenchmarkFillLeaving measures a decision's view of endpoints of which none or a tenth are leaving. Nothing
+// may be allocated.
+func BenchmarkFillLeaving(b *testing.B) {
+	for _, share := range []int{0, 10} {
+		b.Run(fmt.Sprintf("one-in=%d", share), func(b *testing.B) {
+			t := table(267)
+			n := 0
+			for name := range t.endpoints {
+				if n++; share > 0 && n%share == 0 {
+					t.HearNotice(name, time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+				}
+			}
+			r, v := &vetchtrail.Request{Service: "s"}, vetchtrail.View{}
+			b.ReportAllocs()
+			for b.Loop() {
+				v.Endpoints = v.Endpoints[:0]
+				t.Fill(&v, r, now)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/process/load/event_interval.go
@@ -0,0 +1,100 @@
+package load
+
+import (
+	"math"
+	"time"
+
+	"vetchtrail"
+)
+
+const (
+	// eventIntervalSmoothing is the weight of a new interval in the mean. An endpoint's streams send some tens
+	// of events a second.
+	eventIntervalSmoothing = 0.05
+	// eventIntervalDecay is the time in which a mean without new observations falls to 1/e: the streams that it
+	// was observed on have ended since.
+	eventIntervalDecay = time.Second
+	// maxIntervalReportAge is the age up to which a report tells how many requests an endpoint runs, for
+	// estimates of its event interval. Streams take some seconds.
+	maxIntervalReportAge = 2 * time.Second
+	// maxIntervalSecondsPerRequest bounds what one more running request adds to the interval.
+	maxIntervalSecondsPerRequest = 0.05
+)
+
+// eventInterval is the mean time between two events of an endpoint's streams. It grows with the number of
+// streams that run there.
+type eventInterval struct {
+	mean       float64 // seconds
+	observedAt time.Time
+}
+
+func (i *eventInterval) observe(d time.Duration, now time.Time) {
+	i.mean = i.decayedMean(now)
+	if i.mean == 0 {
+		i.mean = d.Seconds()
+	}
+	i.mean += eventIntervalSmoothing * (d.Seconds() - i.mean)
+	i.observedAt = now
+}
+
+// decayedMean is the mean after the decay since the last observation; 0: nothing is known.
+func (i *eventInterval) decayedMean(now time.Time) float64 {
+	if i.observedAt.IsZero() {
+		return 0
+	}
+	return i.mean * math.Exp(-max(0, now.Sub(i.observedAt).Seconds())/eventIntervalDecay.Seconds())
+}
+
+const (
+	// An endpoint counts as silent when nothing arrived on any of its streams for silentIntervals mean
+	// intervals and at least minSilence: a long prompt delays its streams by some hundred milliseconds.
+	silentIntervals = 10
+	minSilence      = 700 * time.Millisecond
+)
+
+// silent says whether the endpoint runs streams of this host and nothing has arrived on any of them for long. A
+// new request would wait as they do. The caller holds the lock.
+func (t *Table) silent(s *endpointState, now time.Time) bool {
+	if len(s.startedStreams) == 0 || t.switchedOff.Has(vetchtrail.Silence) {
+		return false
+	}
+	patience := max(minSilence, time.Duration(silentIntervals*s.eventInterval.mean*float64(time.Second)))
+	return now.Sub(s.lastSeen) > patience
+}
+
+// Silent implements vetchtrail.Observer.
+func (t *Table) Silent(e vetchtrail.Endpoint, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok := t.instance(e.Name, e.Born)
+	return ok && t.silent(s, now)
+}
+
+// expectedEventInterval is the time between two events that a new stream will probably see, in seconds; 0: not
+// known. It follows this host's streams at the endpoint. The longer they show nothing, the more it follows what
+// the service's endpoints show with as many running requests as this one last reported.
+func (s *endpointState) expectedEventInterval(svc *serviceStats, now time.Time) float64 {
+	if !svc.eventIntervalFit.known() || !s.hasReport || now.Sub(s.report.At) > maxIntervalReportAge {
+		return s.eventInterval.decayedMean(now)
+	}
+	base, slope := svc.eventIntervalFit.line()
+	usual := base + slope*float64(s.report.Running)
+	if s.eventInterval.observedAt.IsZero() {
+		return usual
+	}
+	trust := math.Exp(-max(0, now.Sub(s.eventInterval.observedAt).Seconds()) / eventIntervalDecay.Seconds())
+	return trust*s.eventInterval.mean + (1-trust)*usual
+}
+
+// Paced implements vetchtrail.Observer.
+func (t *Table) Paced(e vetchtrail.Endpoint, interval time.Duration, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s, ok := t.instance(e.Name, e.Born); ok {
+		s.eventInterval.observe(interval, now)
+		s.lastSeen = now
+		if s.hasReport && now.Sub(s.report.At) < maxIntervalReportAge {
+			t.serviceStats[s.Service].eventIntervalFit.observe(float64(s.report.Running), interval.Seconds())
+		}
+	}
+}
--- /dev/null
+++ b/process/load/in_flight.go
@@ -0,0 +1,86 @@
+package load
+
+import (
+	"time"
+
+	"vetchtrail"
+)
+
+// inFlightChange is the number of this host's requests in flight at an endpoint from a time on.
+type inFlightChange struct {
+	at       time.Time
+	inFlight int
+}
+
+// currentLimit is how many requests this host may have in flight at the endpoint now: its limit, reduced to its
+// warm-up share.
+func (t *Table) currentLimit(s *endpointState) int {
+	if t.switchedOff.Has(vetchtrail.WarmUp) {
+		return max(1, int(s.limit))
+	}
+	return max(1, int(s.limit*s.warmUp))
+}
+
+// inFlightAt returns the requests in flight at a time. For times before the history it returns the oldest
+// remembered number.
+func (s *endpointState) inFlightAt(at time.Time) int {
+	oldest := max(0, s.inFlightChanges-maxInFlightHistory)
+	for i := s.inFlightChanges - 1; i >= oldest; i-- {
+		if c := s.inFlightHistory[i%maxInFlightHistory]; !c.at.After(at) {
+			return c.inFlight
+		}
+	}
+	if oldest > 0 {
+		return s.inFlightHistory[oldest%maxInFlightHistory].inFlight
+	}
+	return 0
+}
+
+// changeInFlight changes the number of requests in flight and records the new number.
+func (s *endpointState) changeInFlight(now time.Time, by int) {
+	s.inFlight += by
+	c := inFlightChange{at: now, inFlight: s.inFlight}
+	if len(s.inFlightHistory) < maxInFlightHistory {
+		s.inFlightHistory = append(s.inFlightHistory, c)
+	} else {
+		s.inFlightHistory[s.inFlightChanges%maxInFlightHistory] = c
+	}
+	s.inFlightChanges++
+}
+
+// Acquire counts a request as in flight at an endpoint. It returns false when the endpoint is out of use, at
+// its limit, or in its cold start with this host's share used up. Release ends the request.
+func (t *Table) Acquire(name string, r *vetchtrail.Request, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok := t.endpoints[name]
+	if !ok || s.isLeaving(now) || now.Before(s.availability.pausedUntil) || now.Before(s.ejectedUntil) || now.Before(s.backOffUntil) || s.inFlight >= t.currentLimit(s) {
+		return false
+	}
+	if !s.coldStart.acquire(now) {
+		return false
+	}
+	s.changeInFlight(now, 1)
+	t.recordPrompt(s, r, now)
+	return true
+}
+
+// Freed returns a channel that is closed when a service may have capacity again.
+func (t *Table) Freed(service string) <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c, ok := t.freed[service]
+	if !ok {
+		c = make(chan struct{})
+		t.freed[service] = c
+	}
+	return c
+}
+
+// wake closes the channel that Freed returned for a service. The caller holds the lock.
+func (t *Table) wake(service string) {
+	if c, ok := t.freed[service]; ok {
+		close(c)
+		delete(t.freed, service)
+	}
+}
--- /dev/null
+++ b/process/load/instance_test.go
@@ -0,0 +1,52 @@
+package load
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"vetchtrail"
+)
+
+// TestRestartedEndpoint guards against state that survives a restart. An endpoint that starts again under its
+// name has none of the earlier process instance's load and isn't leaving as that was. The outcome of a request
+// to the earlier instance doesn't change the requests in flight at the present one.
+func TestRestartedEndpoint(t *testing.T) {
+	first, second := now.Add(-time.Minute), now
+	configure := func(tab *Table, startedAt time.Time) {
+		tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4, Born: startedAt}}})
+	}
+	cases := map[string]struct {
+		next time.Time // start of the instance that is configured next
+		kept bool      // the state of the first instance
+		late int       // in flight after a late answer of the first instance
+	}{
+		"the same instance":        {first, true, 0},
+		"a new instance":           {second, false, 1},
+		"start not known any more": {time.Time{}, true, 0},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			tab := New()
+			configure(tab, first)
+			r := &vetchtrail.Request{ID: "a", Service: "s"}
+			assert.Assert(t, tab.Acquire("e000", r, now))
+			tab.Leave("e000", now.Add(time.Hour))
+			tab.Report("e000", vetchtrail.LoadReport{At: now, Running: 9}, now)
+			configure(tab, c.next)
+			why, _ := tab.Bars("e000", now)
+			assert.Equal(t, why == "", !c.kept, "only the first instance was leaving")
+			assert.Equal(t, viewOf(tab, now).Running == 9, c.kept)
+			if !c.kept {
+				assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{ID: "b", Service: "s"}, now))
+			}
+			o := answered(now)
+			o.Request, o.Born = "a", first
+			tab.Release("e000", o, now)
+			assert.Equal(t, viewOf(tab, now).Own, c.late)
+			tab.Started(vetchtrail.Endpoint{Name: "e000", Born: first}, r, now)
+			assert.Equal(t, len(tab.endpoints["e000"].startedStreams) > 0, false)
+		})
+	}
+}
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -1,6 +1,9 @@
-// Package load keeps what a host knows of the endpoints of its data centre:
-// their late reports, its own requests in flight, what it observed of their
-// speed, their limits, and which are out of use. It lives for the process.
+// Package load holds what this host knows about the load and the availability of its data centre's endpoints:
+// their load reports, this host's requests in flight, observed speeds and failures, rate limits, and whether
+// they are leaving. A request's decision is made from this knowledge; the outcome of the request adds to it.
+//
+// The package neither chooses endpoints nor sends requests or fetches reports. Its state is held in memory only
+// and ends with the process.
 package load
 
 import (
@@ -14,195 +17,196 @@
 )
 
 const (
-	// smoothing is the weight of a new observation in a running mean.
-	smoothing = 0.05
-	// usual is how far an endpoint's mean may be over its service's and still be
-	// taken as the same, and fewSeen how many observations say nothing: means of
-	// few requests differ by chance, and would unbalance the load. One that seems
-	// faster is taken as the same too: it would draw load until it isn't.
-	fewSeen = 8
-	usual   = 0.4
-	// firstService and firstPrefill stand until something was observed.
-	firstService = 1.0    // seconds a request occupies a slot
-	firstPrefill = 0.0002 // seconds a prompt token takes
-	fastest      = 0.1    // bounds of an endpoint's pace beside its service's
-	slowest      = 50.0
-	// forget is the time in which an unrepeated observation of an endpoint falls
-	// to 1/e beside the mean of its service, so that one that was slow is tried
-	// again.
-	forget = 10 * time.Second
-	// limitRoom is how far over its slots an endpoint's limit may grow: what it
-	// may hold back itself.
-	limitRoom = 2.0
-	limitCut  = 0.7 // on a refusal or a timeout
-	// heldBack is how many times longer than a usual request one must take to its
-	// first byte to be taken as held back: beyond what requests differ by.
-	heldBack   = 4.0
-	failuresTo = 3 // failures in a row until an endpoint is ejected
-	// downFor is how long an endpoint that refuses connections is left alone at
-	// first, twice as long each time up to downMost; the next report puts it back
-	// sooner.
-	downFor  = time.Second
-	downMost = 8 * time.Second
-	// refusedMost bounds how long an endpoint's own refusal is heeded.
-	refusedMost = 5 * time.Second
-	// misledFor is how long an endpoint is left alone whose address turned out to
-	// be another process's; the platform's list drops it sooner.
-	misledFor  = time.Minute
-	ejectFirst = 2 * time.Second
-	ejectMost  = time.Minute
-	// failsChance is how unlikely a row of an endpoint's own failures must be to be
-	// taken as its fault: with some hundred answers a second, one wrong verdict in
-	// some ten seconds, for two seconds. failsLeast and failsMost bound how often the
-	// others are taken to fail: one that answers two of three requests well is of more
-	// use than none.
-	failsChance = 0.001
-	failsLeast  = 0.3
-	failsMost   = 0.5
-	// ejectShare is the share of a service's endpoints that may be ejected at
-	// once: beyond it the fault is not the endpoints'.
-	ejectShare = 0.34
-	coldStart  = 0.2 // warmth after a return
-	warmStep   = 0.1 // warmth gained by an answer
-	// ownHistory is how many changes of the requests in flight are kept to
-	// correct late reports.
-	ownHistory = 64
+	// meanSmoothing is the weight of a new observation in a running mean.
+	meanSmoothing = 0.05
+	// An endpoint counts as slower than its service only after minObservations, and only if its mean is more
+	// than slowdownTolerance over the service's. Means of few requests differ by chance and would unbalance the
+	// load. An endpoint that seems faster counts as equal: it would attract load until it is no longer faster.
+	minObservations   = 8
+	slowdownTolerance = 0.4
+	// initialServiceSeconds and initialTokenSeconds are the estimates before the first observation.
+	initialServiceSeconds = 1.0    // seconds that a request occupies a slot
+	initialTokenSeconds   = 0.0002 // seconds that a prompt token takes
+	minTokenSlowdown      = 0.1    // bounds of an endpoint's time for a token over its service's
+	maxTokenSlowdown      = 50.0
+	// observationDecay is the time in which the difference between an endpoint's observations and its service's
+	// mean falls to 1/e, so that an endpoint that was slow is tried again.
+	observationDecay = 10 * time.Second
+	// maxLimitPerSlot bounds an endpoint's limit, as a multiple of its slots. Requests beyond its slots queue
+	// at the endpoint.
+	maxLimitPerSlot = 2.0
+	// limitCutFactor multiplies the limit after a refusal or a timeout.
+	limitCutFactor = 0.7
+	// A request counts as queued at its endpoint if its first byte took more than lateStartFactor times as long
+	// as a usual request takes as a whole. Requests that aren't queued differ by less.
+	lateStartFactor = 4.0
+	// failuresToEject is the number of failures in a row after which an endpoint is ejected.
+	failuresToEject = 3
+	// An endpoint that refuses connections gets no requests for minConnectBackOff, doubled for each further
+	// refusal up to maxConnectBackOff. A load report ends the back-off sooner.
+	minConnectBackOff = time.Second
+	maxConnectBackOff = 8 * time.Second
+	// maxRefusalBackOff bounds the back-off that an endpoint asks for when it refuses a request.
+	maxRefusalBackOff = 5 * time.Second
+	// otherProcessBackOff is how long an endpoint gets no requests after another process answered at its
+	// address. The platform's list usually drops such an endpoint sooner.
+	otherProcessBackOff = time.Minute
+	// An ejection lasts minEjection, doubled for each further one up to maxEjection.
+	minEjection = 2 * time.Second
+	maxEjection = time.Minute
+	// An endpoint is ejected when the probability that its run of error answers is chance falls below
+	// maxErrorRunProbability. With some hundred answers a second, 0.001 ejects one endpoint wrongly in some ten
+	// seconds, for two seconds.
+	maxErrorRunProbability = 0.001
+	// minUsualErrorShare and maxUsualErrorShare bound the share of errors that is assumed for the other
+	// endpoints. The lower bound keeps an endpoint in use that answers two of three requests well: it is of
+	// more use than none.
+	minUsualErrorShare = 0.3
+	maxUsualErrorShare = 0.5
+	// maxEjectedShare is the share of a service's endpoints that may be ejected at once. When more fail, the
+	// fault is not theirs.
+	maxEjectedShare = 0.34
+	initialWarmUp   = 0.2 // warm-up share of an endpoint that returns
+	warmUpStep      = 0.1 // added to the warm-up share by each answer
+	// maxInFlightHistory is how many changes of the requests in flight are remembered for each endpoint, to
+	// correct reports that arrive late.
+	maxInFlightHistory = 64
 )
 
-// Table is the state of the endpoints of one data centre.
+// Table is the state of the endpoints of one data centre. It is safe for concurrent use.
 type Table struct {
-	mu        sync.Mutex
-	endpoints map[string]*state
-	services  map[string][]*state
-	shorts    map[uint32]*state
-	means     map[string]*means        // for each service
-	freed     map[string]chan struct{} // for each service, closed when room is made
-	off       vetchtrail.Mechanisms    // that are not used
-	far       map[string][]farEndpoint // of other regions, for each service: only where prompts are kept
-	absent    map[lifeKey]absentee     // words of lives of endpoints that are not listed now
-	leavers   []leaver                 // whose words of leaving were learned, in the order of that
-	heard     []heard                  // reports, in the order in which they were taken
-	taken     uint64                   // reports
+	mu           sync.Mutex
+	endpoints    map[string]*endpointState        // by name
+	services     map[string][]*endpointState      // by service
+	byShortHash  map[uint32]*endpointState        // see Short
+	serviceStats map[string]*serviceStats         // by service
+	freed        map[string]chan struct{}         // by service; closed when capacity is freed
+	switchedOff  vetchtrail.Mechanisms            // not used
+	remote       map[string][]remoteEndpoint      // by service; in other regions, sources of cached prompts
+	unlisted     map[instanceKey]unlistedInstance // announcements of instances that are not listed now
+	leavingLog   []leavingLogEntry                // oldest first
+	reportLog    []reportLogEntry                 // oldest first
+	reportNumber uint64                           // reports accepted so far
 }
 
-// state is one endpoint's.
-type state struct {
+// endpointState is what is known of one process instance of an endpoint.
+type endpointState struct {
 	vetchtrail.Endpoint
-	region   vetchtrail.RegionID
-	hash     uint64 // of its name
-	report   vetchtrail.LoadReport
-	reported bool
-	polled   bool   // the report was fetched by this host
-	taken    uint64 // how many reports of all endpoints were taken up to its newest
-	own      int
-	history  []ownMark // a ring once it is full
-	marks    int
-	limit    float64
-	service  average   // seconds a request occupies a slot
-	pace     average   // its time to the first token over its service's
-	observed time.Time // when service and pace last were
-	warmth   float64
-	failures int
-	failRun  int // failures of its own in a row
-	ejects   int
-	reading  map[string]unread // prompts of own requests whose answers have not begun, by request
-	sessions sessions          // whose prompts this host sent here lately
-	cold     coldGate
-	gap      gap
-	streams  map[string]bool // own streams that have begun, by request
-	heard    time.Time       // when anything came from it last
-	downs    int             // connections in a row that it did not take
-	fails    average         // share of its answers that were failures of its own
-	failsAt  time.Time       // when one was last seen
-	ejected  time.Time       // until when, for failures
-	backOff  time.Time       // until when, by its own refusal or as it is down
-	backWhy  vetchtrail.Reason
-	leaving  departure            // what is known of its leaving beside the configuration
-	worded   bool                 // its answers once said something of it
-	says     bool                 // its newest report says that it is leaving
-	rate     vetchtrail.RateLimit // what it last said of the requests that it takes
-	limited  time.Time            // since when it names a rate, or did last; zero: never in its life
-	shut     time.Time            // until when nothing of its rate is left
-	left     float64              // of its rate when its keeper was last asked, in requests
+	region               vetchtrail.RegionID
+	nameHash             uint64
+	report               vetchtrail.LoadReport // the newest
+	hasReport            bool
+	fetchedHere          bool                    // this host fetched the report itself
+	reportNumber         uint64                  // Table.reportNumber when the report was accepted
+	inFlight             int                     // this host's requests
+	inFlightHistory      []inFlightChange        // a ring once it is full
+	inFlightChanges      int                     // recorded so far
+	limit                float64                 // of inFlight, before the warm-up share
+	serviceTime          average                 // seconds that a request occupies a slot
+	tokenSlowdown        average                 // seconds to the first byte for each prompt token, over the service's
+	observedAt           time.Time               // when serviceTime and tokenSlowdown last were
+	warmUp               float64                 // share of its limit that it may get, up to 1
+	failuresInRow        int                     // requests in a row without a whole answer
+	errorsInRow          int                     // error answers in a row, see minErrorStatus
+	ejections            int                     // since the last good answer
+	unreadPrompts        map[string]unreadPrompt // of this host's requests without a first byte, by request
+	sessionUses          sessionUses
+	coldStart            coldStartLimiter
+	eventInterval        eventInterval
+	startedStreams       map[string]bool // this host's streams with a first byte, by request
+	lastSeen             time.Time       // when the first byte of an answer or an event of a stream last arrived
+	connectFailuresInRow int
+	errorShare           average   // share of its answers that are errors
+	errorShareAt         time.Time // when errorShare was last observed
+	ejectedUntil         time.Time
+	backOffUntil         time.Time // after its own refusal, or as it is unreachable
+	backOffReason        vetchtrail.Reason
+	availability         availabilityBySource
+	announced            bool                 // an answer once said something of its availability
+	reportsLeaving       bool                 // its newest report says that it is leaving
+	rateLimit            vetchtrail.RateLimit // last advertised
+	rateLimitedSince     time.Time            // when it last began to advertise a rate limit; zero: this instance never did
+	rateExhaustedUntil   time.Time            // no request fits its rate limit before
+	rateLeft             float64              // requests that its rate limit allowed at once when the owner was last asked
 }
 
-// means are a service's, over all its endpoints.
-type means struct {
-	service average          // seconds a request occupies a slot
-	token   average          // seconds a prompt token takes to the first of the answer
-	reading reading          // of prompts, by idle endpoints
-	prefill fit              // seconds to the first of the answer by tokens read
-	gaps    fit              // seconds between two events of a stream by the requests that run
-	fails   average          // share of the answers that were failures of the endpoints
-	kinds   map[string]*kind // of streams, by route
-	prompt  average          // tokens that a request makes an endpoint read
-	borne   borne            // of what is predicted
-	waiting float64          // requests of other hosts that wait at an endpoint, in the mean
+// serviceStats are a service's observations over all of its endpoints.
+type serviceStats struct {
+	serviceTime      average // seconds that a request occupies a slot
+	tokenTime        average // seconds to the first byte, for each prompt token
+	promptStats      promptStats
+	prefillFit       linearFit // seconds to the first byte, by the tokens to read
+	eventIntervalFit linearFit // seconds between two events of a stream, by the requests that run
+	errorShare       average   // share of the answers that are errors
+	streamsByRoute   map[string]*streamStats
+	unreadTokens     average // tokens that an endpoint must read for one request
+	predictionRatio  predictionRatio
+	othersQueued     float64 // mean number of other hosts' requests in an endpoint's queue
 }
 
-func newMeans() *means {
-	return &means{
-		service: average{value: firstService},
-		token:   average{value: firstPrefill},
-		reading: newReading(),
-		borne:   borne{part: 1},
-		prefill: newPrefill(),
-		gaps:    fit{most: gapSlopeMost},
-		kinds:   map[string]*kind{},
+func newServiceStats() *serviceStats {
+	return &serviceStats{
+		serviceTime:      average{value: initialServiceSeconds},
+		tokenTime:        average{value: initialTokenSeconds},
+		promptStats:      newPromptStats(),
+		predictionRatio:  predictionRatio{median: 1},
+		prefillFit:       newPrefillFit(),
+		eventIntervalFit: linearFit{maxSlope: maxIntervalSecondsPerRequest},
+		streamsByRoute:   map[string]*streamStats{},
 	}
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		endpoints: map[string]*state{},
-		services:  map[string][]*state{},
-		means:     map[string]*means{},
-		freed:     map[string]chan struct{}{},
-		absent:    map[lifeKey]absentee{},
+		endpoints:    map[string]*endpointState{},
+		services:     map[string][]*endpointState{},
+		serviceStats: map[string]*serviceStats{},
+		freed:        map[string]chan struct{}{},
+		unlisted:     map[instanceKey]unlistedInstance{},
 	}
 }
 
-// Placed is an endpoint with its region's id.
+// Placed is an endpoint with the id of its region.
 type Placed struct {
 	vetchtrail.Endpoint
 	RegionID vetchtrail.RegionID
 }
 
-// Configure makes the table hold the given endpoints, keeping what is known of
-// those it had.
+// Configure replaces the table's endpoints. An endpoint that stays keeps its state if it has the same address,
+// service and process instance.
 func (t *Table) Configure(endpoints []Placed) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.endpoints
-	t.endpoints = make(map[string]*state, len(endpoints))
-	t.services = map[string][]*state{}
-	t.shorts = make(map[uint32]*state, len(endpoints))
+	t.endpoints = make(map[string]*endpointState, len(endpoints))
+	t.services = map[string][]*endpointState{}
+	t.byShortHash = make(map[uint32]*endpointState, len(endpoints))
 	for _, e := range endpoints {
 		s, ok := old[e.Name]
-		if !ok || s.Addr != e.Addr || s.Service != e.Service || s.another(e.Born) {
-			s = &state{
-				hash: xxhash.Sum64String(e.Name), limit: float64(e.Slots), service: average{value: firstService},
-				pace: average{value: 1}, warmth: 1,
+		if !ok || s.Addr != e.Addr || s.Service != e.Service || s.isOtherInstance(e.Born) {
+			s = &endpointState{
+				nameHash: xxhash.Sum64String(e.Name), limit: float64(e.Slots), serviceTime: average{value: initialServiceSeconds},
+				tokenSlowdown: average{value: 1}, warmUp: 1,
 			}
-			t.recall(s, e.Endpoint)
+			t.restoreAnnouncements(s, e.Endpoint)
 			if ok {
-				s.takeOver(old[e.Name], e.Born)
+				s.carryOver(old[e.Name], e.Born)
 			}
-			t.noteLeaver(keyOf(Short(e.Name), e.Born), &s.leaving.answers)
+			t.logLeaving(keyOf(Short(e.Name), e.Born), &s.availability.announcements)
 		}
-		s.cold.configure(e.ColdUntil, e.ColdRate)
+		s.coldStart.configure(e.ColdUntil, e.ColdRate)
 		s.Endpoint, s.region = e.Endpoint, e.RegionID
 		t.endpoints[e.Name] = s
-		t.shorts[Short(e.Name)] = s
+		t.byShortHash[Short(e.Name)] = s
 		t.services[e.Service] = append(t.services[e.Service], s)
-		if t.means[e.Service] == nil {
-			t.means[e.Service] = newMeans()
+		if t.serviceStats[e.Service] == nil {
+			t.serviceStats[e.Service] = newServiceStats()
 		}
 	}
 	for name, s := range old {
 		if t.endpoints[name] != s {
-			t.remember(s)
+			t.keepAnnouncements(s)
 		}
 	}
 	for service := range t.services {
@@ -210,36 +214,38 @@
 	}
 }
 
-// SetColdRate sets this host's part of the requests a second that a cold endpoint bears.
+// SetColdRate sets this host's share of the requests a second that an endpoint accepts during its cold start.
 func (t *Table) SetColdRate(name string, rate float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
 		s.ColdRate = rate
-		s.cold.configure(s.ColdUntil, rate)
+		s.coldStart.configure(s.ColdUntil, rate)
 	}
 }
 
-// another says whether an endpoint's life that began at a moment is another than the one that
-// is known: what it held is gone, and what is on its way to the earlier life isn't in this one.
-func (s *state) another(born time.Time) bool {
-	return !s.Born.IsZero() && !born.IsZero() && !s.Born.Equal(born)
+// isOtherInstance says whether a start time belongs to another process instance of the endpoint than the known
+// one. The state of one instance says nothing about another, and outcomes of requests that were sent to an
+// earlier one are ignored. A start time that isn't known matches any.
+func (s *endpointState) isOtherInstance(startedAt time.Time) bool {
+	return !s.Born.IsZero() && !startedAt.IsZero() && !s.Born.Equal(startedAt)
 }
 
-// life returns what is known of an endpoint's life. The caller holds the lock.
-func (t *Table) life(name string, born time.Time) (*state, bool) {
+// instance returns the state of an endpoint, and false if it is of another process instance or there is none.
+// The caller holds the lock.
+func (t *Table) instance(name string, startedAt time.Time) (*endpointState, bool) {
 	s, ok := t.endpoints[name]
-	return s, ok && !s.another(born)
+	return s, ok && !s.isOtherInstance(startedAt)
 }
 
-// SwitchOff leaves mechanisms out, until it is called again.
-func (t *Table) SwitchOff(off vetchtrail.Mechanisms) {
+// SwitchOff replaces the set of mechanisms that are not used.
+func (t *Table) SwitchOff(switchedOff vetchtrail.Mechanisms) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.off = off
+	t.switchedOff = switchedOff
 }
 
-// Known returns an endpoint that requests were placed on, whatever became of it.
+// Known returns a configured endpoint, whether or not it is in use.
 func (t *Table) Known(name string) (vetchtrail.Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -261,66 +267,68 @@
 	return out
 }
 
-// Fill appends the endpoints of a request's service to a view.
+// Fill appends the endpoints of the request's service to a view, and sets the view's estimates for that
+// service.
 func (t *Table) Fill(v *vetchtrail.View, r *vetchtrail.Request, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	states := t.services[r.Service]
-	if m, ok := t.means[r.Service]; ok {
-		m.asked(r, now)
-		v.IdleRead, v.KeptShare, v.Borne = m.reading.idle, m.reading.kept.value, m.borne.part
-		v.Events, v.UrgentPace = m.usualEvents(r.Route), m.urgentPace(r, now)
-		m.waiting = meanWaiting(states, now)
+	if svc, ok := t.serviceStats[r.Service]; ok {
+		svc.recordStreamRequest(r, now)
+		v.IdleRead, v.KeptShare, v.Borne = svc.promptStats.idleTokenTime, svc.promptStats.cachedShare.value, svc.predictionRatio.median
+		v.Events, v.UrgentPace = svc.expectedEvents(r.Route), svc.urgentEventInterval(r, now)
+		svc.othersQueued = meanOthersQueued(states, now)
 	}
 	session, sticky := r.Session()
 	home := -1
 	if sticky {
-		home = homeOf(states, session.ID, now)
+		home = sessionHome(states, session.ID, now)
 	}
 	for i, s := range states {
 		e := s.view(t, now)
-		if !t.off.Has(vetchtrail.PromptBacklog) {
-			e.Backlog = e.Prefill * s.backlog(r.Priority, t.means[r.Service], now)
+		if !t.switchedOff.Has(vetchtrail.PromptBacklog) {
+			e.Backlog = e.Prefill * s.backlog(r.Priority, t.serviceStats[r.Service], now)
 		}
-		if sticky && !t.off.Has(vetchtrail.Affinity) {
-			e.Kept = t.keeps(s, r, session, i == home, now)
+		if sticky && !t.switchedOff.Has(vetchtrail.Affinity) {
+			e.Kept = t.cachedTokens(s, r, session, i == home, now)
 		}
 		v.Endpoints = append(v.Endpoints, e)
 	}
 }
 
-func (s *state) view(t *Table, now time.Time) vetchtrail.EndpointView {
-	m := t.means[s.Service]
-	trust := math.Exp(-now.Sub(s.observed).Seconds() / forget.Seconds())
+// view returns what a decision sees of the endpoint. The caller holds the lock.
+func (s *endpointState) view(t *Table, now time.Time) vetchtrail.EndpointView {
+	svc := t.serviceStats[s.Service]
+	trust := math.Exp(-now.Sub(s.observedAt).Seconds() / observationDecay.Seconds())
 	v := vetchtrail.EndpointView{
-		Name: s.Name, Region: s.region, Slots: s.Slots, Limit: t.allowedNow(s), Own: s.own,
+		Name: s.Name, Region: s.region, Slots: s.Slots, Limit: t.currentLimit(s), Own: s.inFlight,
 		Running: s.report.Running, Queued: s.report.Queued, Age: -1,
-		Prefill: m.token.value * notable(1+trust*(s.pace.value-1), s.pace.seen),
-		Service: m.service.value * notable(1+trust*(s.service.value/m.service.value-1), s.service.seen),
-		Warmth:  s.warmth, Failing: s.excess(m, now), Gap: s.gapNow(m, now), Limited: s.rate.Named, Rate: s.rate.Rate, Left: s.left,
+		Prefill: svc.tokenTime.value * significantSlowdown(1+trust*(s.tokenSlowdown.value-1), s.tokenSlowdown.count),
+		Service: svc.serviceTime.value * significantSlowdown(1+trust*(s.serviceTime.value/svc.serviceTime.value-1), s.serviceTime.count),
+		Warmth:  s.warmUp, Failing: s.excessErrorShare(svc, now), Gap: s.expectedEventInterval(svc, now), Limited: s.rateLimit.Named, Rate: s.rateLimit.Rate, Left: s.rateLeft,
 	}
-	if m.prefill.known() {
-		v.Base, v.Prefill = m.prefill.line()
+	if svc.prefillFit.known() {
+		v.Base, v.Prefill = svc.prefillFit.line()
 	}
-	if s.reported {
+	if s.hasReport {
 		v.Age = now.Sub(s.report.At)
-		v.OwnSince = s.own - s.ownAt(s.report.At)
+		v.OwnSince = s.inFlight - s.inFlightAt(s.report.At)
 	}
 	switch {
-	case s.leaves(now):
+	case s.isLeaving(now):
 		v.Away, v.Why = true, vetchtrail.ReasonDraining
-	case now.Before(s.leaving.pause):
-		v.Away, v.Why, v.Back = true, vetchtrail.ReasonPaused, s.leaving.pause.Sub(now).Seconds()
-	case now.Before(s.ejected):
+	case now.Before(s.availability.pausedUntil):
+		v.Away, v.Why, v.Back = true, vetchtrail.ReasonPaused, s.availability.pausedUntil.Sub(now).Seconds()
+	case now.Before(s.ejectedUntil):
 		v.Away, v.Why = true, vetchtrail.ReasonEjected
-	case now.Before(s.backOff):
-		v.Away, v.Why, v.Back = true, s.backWhy, s.backOff.Sub(now).Seconds()
+	case now.Before(s.backOffUntil):
+		v.Away, v.Why, v.Back = true, s.backOffReason, s.backOffUntil.Sub(now).Seconds()
 	case t.silent(s, now):
 		v.Away, v.Why = true, vetchtrail.ReasonSilent
-	case s.rate.Named && now.Before(s.shut):
-		v.Away, v.Why, v.Back = true, vetchtrail.ReasonLimited, s.shut.Sub(now).Seconds()
-	case !s.cold.open(now):
-		v.Away, v.Why, v.Back = true, vetchtrail.ReasonCold, s.cold.wait(now).Seconds()
+	case s.rateLimit.Named && now.Before(s.rateExhaustedUntil):
+		v.Away, v.Why, v.Back = true, vetchtrail.ReasonLimited, s.rateExhaustedUntil.Sub(now).Seconds()
+	case !s.coldStart.allows(now):
+		v.Away, v.Why, v.Back = true, vetchtrail.ReasonCold, s.coldStart.wait(now).Seconds()
 	}
 	return v
 }
--- a/process/load/load_test.go
+++ b/process/load/load_test.go
@@ -13,6 +13,7 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
+// table has n endpoints of one service: e000, e001, ...
 func table(n int) *Table {
 	t := New()
 	var placed []Placed
@@ -23,6 +24,7 @@
 	return t
 }
 
+// viewOf is the view of the endpoint e000.
 func viewOf(t *Table, at time.Time) vetchtrail.EndpointView {
 	var v vetchtrail.View
 	t.Fill(&v, &vetchtrail.Request{Service: "s"}, at)
@@ -34,10 +36,12 @@
 	return vetchtrail.EndpointView{}
 }
 
-func fail(kind vetchtrail.OutcomeKind, step vetchtrail.Step, why vetchtrail.Reason) vetchtrail.Observation {
+// failure observes a request that failed at a step for a reason, and may be retried a second later.
+func failure(kind vetchtrail.OutcomeKind, step vetchtrail.Step, why vetchtrail.Reason) vetchtrail.Observation {
 	return vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: kind, Step: step, Reason: why, RetryAt: now.Add(time.Second)}}
 }
 
+// answered observes a request that was sent at a time and answered well.
 func answered(at time.Time) vetchtrail.Observation {
 	return vetchtrail.Observation{
 		Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered},
@@ -45,58 +49,60 @@
 	}
 }
 
-// TestLimit: what lowers the requests that an endpoint may have from this host.
-func TestLimit(t *testing.T) {
+// TestLimitLowered guards against a limit that a lost connection lowers: only refusals and timeouts are signs
+// of overload.
+func TestLimitLowered(t *testing.T) {
 	cases := map[string]struct {
-		seen  vetchtrail.Observation
-		lower bool
+		outcome vetchtrail.Observation
+		lower   bool
 	}{
-		"an answer":                   {answered(now), false},
-		"a lost answer":               {fail(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost), false},
-		"a broken answer":             {fail(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonBroken), false},
-		"no answer in its time":       {fail(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonDeadline), true},
-		"a refusal for its load":      {fail(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), true},
-		"no connection was to be had": {fail(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), false},
+		"an answer":         {answered(now), false},
+		"a lost answer":     {failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost), false},
+		"a broken answer":   {failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonBroken), false},
+		"no answer in time": {failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonDeadline), true},
+		"a refusal":         {failure(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), true},
+		"no connection":     {failure(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab := table(1)
 			before := tab.endpoints["e000"].limit
-			release(tab, c.seen, 1)
+			release(tab, c.outcome, 1)
 			assert.Equal(t, tab.endpoints["e000"].limit < before, c.lower)
 		})
 	}
 }
 
-// TestOutOfUse: which failures take an endpoint out, and what brings it back.
+// TestOutOfUse guards against two faults: an endpoint stays in use though it fails in a row, refuses or is
+// leaving; or it is out of use after too few failures, for a failure of this host, or after the cause is over.
 func TestOutOfUse(t *testing.T) {
-	lost := fail(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost)
+	lost := failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost)
 	cases := map[string]struct {
 		do   func(t *Table)
 		at   time.Duration
 		away bool
 		why  vetchtrail.Reason
 	}{
-		"fresh":                   {func(*Table) {}, 0, false, ""},
-		"two failures are chance": {func(t *Table) { release(t, lost, 2) }, 0, false, ""},
-		"three in a row":          {func(t *Table) { release(t, lost, 3) }, 0, true, vetchtrail.ReasonEjected},
-		"tried again later":       {func(t *Table) { release(t, lost, 3) }, ejectFirst, false, ""},
-		"an answer between":       {func(t *Table) { release(t, lost, 2); release(t, answered(now), 1); release(t, lost, 2) }, 0, false, ""},
-		"its own refusal": {func(t *Table) {
-			release(t, fail(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), 1)
+		"never used":                 {func(*Table) {}, 0, false, ""},
+		"two failures in a row":      {func(t *Table) { release(t, lost, 2) }, 0, false, ""},
+		"three failures in a row":    {func(t *Table) { release(t, lost, 3) }, 0, true, vetchtrail.ReasonEjected},
+		"ejection over":              {func(t *Table) { release(t, lost, 3) }, minEjection, false, ""},
+		"an answer between failures": {func(t *Table) { release(t, lost, 2); release(t, answered(now), 1); release(t, lost, 2) }, 0, false, ""},
+		"its refusal": {func(t *Table) {
+			release(t, failure(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), 1)
 		}, 0, true, vetchtrail.ReasonRefused},
-		"until the time it named": {func(t *Table) {
-			release(t, fail(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), 1)
+		"the time after its refusal over": {func(t *Table) {
+			release(t, failure(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), 1)
 		}, time.Second, false, ""},
 		"refuses connections": {func(t *Table) {
-			release(t, fail(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), 1)
+			release(t, failure(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), 1)
 		}, 0, true, vetchtrail.ReasonUnreachable},
-		"a report brings it back": {func(t *Table) { t.Down("e000", now); report(t, false) }, 0, false, ""},
-		"says that it leaves":     {func(t *Table) { report(t, true) }, 0, true, vetchtrail.ReasonDraining},
-		"says that it stays":      {func(t *Table) { report(t, true); reportAt(t, now.Add(2), false) }, 0, false, ""},
-		"the list says it leaves": {func(t *Table) { t.Leave("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
-		"kept back here is no sign": {func(t *Table) {
-			release(t, fail(vetchtrail.NotRun, vetchtrail.StepResidency, vetchtrail.ReasonResidency), 5)
+		"reachable again by its report":       {func(t *Table) { t.Down("e000", now); report(t, false) }, 0, false, ""},
+		"report says it is leaving":           {func(t *Table) { report(t, true) }, 0, true, vetchtrail.ReasonDraining},
+		"later report says it is not leaving": {func(t *Table) { report(t, true); reportAt(t, now.Add(2), false) }, 0, false, ""},
+		"platform says it is leaving":         {func(t *Table) { t.Leave("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
+		"not sent by this host": {func(t *Table) {
+			release(t, failure(vetchtrail.NotRun, vetchtrail.StepResidency, vetchtrail.ReasonResidency), 5)
 		}, 0, false, ""},
 	}
 	for name, c := range cases {
@@ -111,6 +117,7 @@
 	}
 }
 
+// release has an outcome observed at e000 several times.
 func release(t *Table, o vetchtrail.Observation, times int) {
 	for range times {
 		t.Acquire("e000", &vetchtrail.Request{}, now)
@@ -118,34 +125,37 @@
 	}
 }
 
+// report reports whether e000 is leaving, just after now.
 func report(t *Table, leaving bool) { reportAt(t, now.Add(1), leaving) }
 
 func reportAt(t *Table, at time.Time, leaving bool) {
 	t.Report("e000", vetchtrail.LoadReport{At: at, Leaving: leaving}, now.Add(time.Hour))
 }
 
-// TestEjectionIsBounded: a fault that all share ejects no more than a share.
+// TestEjectionIsBounded guards against a fault that all endpoints share, as in a network, which would eject all
+// of them.
 func TestEjectionIsBounded(t *testing.T) {
 	tab := table(12)
-	lost := fail(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost)
+	lost := failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost)
 	for i := range 12 {
-		for range failuresTo {
+		for range failuresToEject {
 			tab.Release(fmt.Sprintf("e%03d", i), lost, now)
 		}
 	}
 	var v vetchtrail.View
 	tab.Fill(&v, &vetchtrail.Request{Service: "s"}, now)
-	out := 0
+	ejected := 0
 	for _, e := range v.Endpoints {
 		if e.Away {
-			out++
+			ejected++
 		}
 	}
-	assert.Equal(t, out, 4)
+	assert.Equal(t, ejected, 4)
 }
 
-// TestReturnRamps: an endpoint that comes back takes more with each answer.
-func TestReturnRamps(t *testing.T) {
+// TestWarmUp guards against an endpoint that gets its full load at once after it returns: its limit grows with
+// each answer.
+func TestWarmUp(t *testing.T) {
 	tab := table(1)
 	tab.Down("e000", now)
 	later := now.Add(time.Minute)
@@ -161,9 +171,9 @@
 	assert.Assert(t, last >= 4)
 }
 
-// TestReportsAreCorrected: a late report is corrected by what was started and
-// ended since.
-func TestReportsAreCorrected(t *testing.T) {
+// TestChangeSinceReport guards against decisions by a late report alone: the view says how the requests in
+// flight from this host have changed since. An older report that arrives later is ignored.
+func TestChangeSinceReport(t *testing.T) {
 	tab := table(1)
 	for i := range 3 {
 		tab.Acquire("e000", &vetchtrail.Request{}, now.Add(time.Duration(i)*time.Second))
@@ -175,26 +185,26 @@
 	assert.Assert(t, !tab.Report("e000", vetchtrail.LoadReport{At: now.Add(time.Second), Running: 9}, now), "an older report")
 }
 
-// BenchmarkFill: a view for one decision, by the endpoints; and their memory.
+// BenchmarkFill measures a decision's view by the number of endpoints, and the memory for them.
 func BenchmarkFill(b *testing.B) {
 	for _, n := range []int{12, 67, 267} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
 			before := meter.Heap()
 			t := table(n)
-			held := meter.Heap() - before
+			size := meter.Heap() - before
 			var v vetchtrail.View
 			for b.Loop() {
 				v.Endpoints = v.Endpoints[:0]
 				t.Fill(&v, &vetchtrail.Request{Service: "s"}, now)
 			}
-			b.ReportMetric(float64(held), "heap-bytes")
+			b.ReportMetric(float64(size), "heap-bytes")
 		})
 	}
 }
 
-// TestLimitStands: answers that are read whole, and so begin when they end,
-// don't close an endpoint's limit by taking a little longer than usual.
-func TestLimitStands(t *testing.T) {
+// TestLimitStable guards against a limit that closes under answers that are read whole. Their first byte comes
+// with their last, so that half of them take longer to it than the mean answer takes as a whole.
+func TestLimitStable(t *testing.T) {
 	tab := table(1)
 	for i := range 300 {
 		sent := now.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -207,16 +217,16 @@
 	assert.Assert(t, viewOf(tab, now.Add(time.Minute)).Limit >= 4)
 }
 
-// TestFailsInRow: an endpoint whose own failures come in a row that chance does not
-// explain is out of use; one of a service that fails now and then is not.
-func TestFailsInRow(t *testing.T) {
-	failure := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 500}}
+// TestErrorsInRow guards against an endpoint that stays in use though all of its answers are errors, and
+// against an ejection where the service's other endpoints have as many errors.
+func TestErrorsInRow(t *testing.T) {
+	failed := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 500}}
 	answer := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 200}}
 	cases := map[string]struct {
-		usual  float64 // share of failures of the others
-		row    int
-		before []vetchtrail.Observation // between the row and the last failure
-		out    bool
+		usual   float64                  // error share of the others
+		row     int                      // error answers
+		between []vetchtrail.Observation // before the last of them
+		ejected bool
 	}{
 		"five where none fail":       {0, 5, nil, false},
 		"six where none fail":        {0, 6, nil, true},
@@ -227,24 +237,24 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			tab := models(0)
+			tab := twoRegions(0)
 			for _, other := range []string{"b", "c"} {
-				tab.endpoints[other].fails.value = c.usual
+				tab.endpoints[other].errorShare.value = c.usual
 			}
 			end := func(o vetchtrail.Observation) {
-				assert.Assert(t, tab.Acquire("a", asking("x", 1, 0), now))
+				assert.Assert(t, tab.Acquire("a", request("x", 1, 0), now))
 				o.Request, o.Timing = "x", vetchtrail.Timing{Sent: now, First: now, Done: now.Add(time.Second)}
 				tab.Release("a", o, now)
 			}
 			for i := range c.row {
 				if i == c.row-1 {
-					for _, o := range c.before {
+					for _, o := range c.between {
 						end(o)
 					}
 				}
-				end(failure)
+				end(failed)
 			}
-			assert.Equal(t, views(tab, asking("y", 1, 0))["a"].Away, c.out)
+			assert.Equal(t, views(tab, request("y", 1, 0))["a"].Away, c.ejected)
 		})
 	}
 }
--- a/process/load/mechanisms_test.go
+++ b/process/load/mechanisms_test.go
@@ -9,15 +9,16 @@
 	"vetchtrail"
 )
 
-// TestSwitchedOff: each mechanism of the table shows where it is on, and not where it
-// is off.
+// TestSwitchedOff guards against a switch that does nothing: the effect of each mechanism shows while it is on,
+// and doesn't while it is switched off.
 func TestSwitchedOff(t *testing.T) {
 	const session = 5
-	at := home(models(1e-7), session)
+	at := homeName(twoRegions(1e-7), session)
 	other := map[string]string{"a": "b", "b": "c", "c": "a"}[at]
 	third := map[string]string{"a": "c", "b": "a", "c": "b"}[at]
-	from := func(tab *Table, target string) byte {
-		r := asking("r", session, 0)
+	// source is the last byte of the address from which target is told to transfer the prompt; 0: none.
+	source := func(tab *Table, target string) byte {
+		r := request("r", session, 0)
 		tab.Acquire(target, r, now)
 		if !r.PromptFrom.IsValid() {
 			return 0
@@ -26,57 +27,57 @@
 	}
 	lost := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonLost}}
 	cases := map[string]struct {
-		off  vetchtrail.Mechanism
-		does func(tab *Table) bool // true while it is on
+		off   vetchtrail.Mechanism
+		shows func(tab *Table) bool // its effect
 	}{
-		"affinity":     {vetchtrail.Affinity, func(tab *Table) bool { return views(tab, asking("x", session, 0))[at].Kept > 0 }},
-		"prompt moves": {vetchtrail.PromptMoves, func(tab *Table) bool { return from(tab, other) > 0 }},
-		"far moves":    {vetchtrail.FarMoves, func(tab *Table) bool { return from(tab, at) == 9 }},
+		"affinity":     {vetchtrail.Affinity, func(tab *Table) bool { return views(tab, request("x", session, 0))[at].Kept > 0 }},
+		"prompt moves": {vetchtrail.PromptMoves, func(tab *Table) bool { return source(tab, other) > 0 }},
+		"far moves":    {vetchtrail.FarMoves, func(tab *Table) bool { return source(tab, at) == 9 }},
 		"last sent": {vetchtrail.LastSent, func(tab *Table) bool {
-			tab.Acquire(third, asking("before", session, 0), now)
-			return from(tab, other) == third[0]-'a'+1
+			tab.Acquire(third, request("before", session, 0), now)
+			return source(tab, other) == third[0]-'a'+1
 		}},
 		"backlog": {vetchtrail.PromptBacklog, func(tab *Table) bool {
-			tab.Acquire("a", asking("x", session, 0), now)
-			return views(tab, asking("y", session, 0))["a"].Backlog > 0
+			tab.Acquire("a", request("x", session, 0), now)
+			return views(tab, request("y", session, 0))["a"].Backlog > 0
 		}},
 		"silence": {vetchtrail.Silence, func(tab *Table) bool {
-			r := asking("x", session, 0)
+			r := request("x", session, 0)
 			r.Stream = true
 			tab.Acquire("a", r, now)
 			tab.Started(vetchtrail.Endpoint{Name: "a"}, r, now)
 			return tab.Silent(vetchtrail.Endpoint{Name: "a"}, now.Add(time.Minute))
 		}},
 		"ejection": {vetchtrail.Ejection, func(tab *Table) bool {
-			for range failuresTo {
-				tab.Acquire("a", asking("x", session, 0), now)
+			for range failuresToEject {
+				tab.Acquire("a", request("x", session, 0), now)
 				tab.Release("a", lost, now)
 			}
-			return views(tab, asking("x", session, 0))["a"].Away
+			return views(tab, request("x", session, 0))["a"].Away
 		}},
 		"adaptive limits": {vetchtrail.AdaptiveLimits, func(tab *Table) bool {
-			before := views(tab, asking("x", session, 0))["a"].Limit
-			tab.Acquire("a", asking("x", session, 0), now)
+			before := views(tab, request("x", session, 0))["a"].Limit
+			tab.Acquire("a", request("x", session, 0), now)
 			tab.Release("a", vetchtrail.Observation{Outcome: vetchtrail.Outcome{Reason: vetchtrail.ReasonRefused, RetryAt: now}}, now)
-			return views(tab, asking("x", session, 0))["a"].Limit < before
+			return views(tab, request("x", session, 0))["a"].Limit < before
 		}},
 		"warm up": {vetchtrail.WarmUp, func(tab *Table) bool {
-			before := views(tab, asking("x", session, 0))["a"].Limit
+			before := views(tab, request("x", session, 0))["a"].Limit
 			tab.Down("a", now)
-			return views(tab, asking("x", session, 0))["a"].Limit < before
+			return views(tab, request("x", session, 0))["a"].Limit < before
 		}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			on, off := models(1e-7), models(1e-7)
+			on, off := twoRegions(1e-7), twoRegions(1e-7)
 			off.SwitchOff(vetchtrail.MechanismsOf(c.off))
 			for _, tab := range []*Table{on, off} {
-				for i := range fitFew {
-					tab.means["s"].prefill.observe(float64(1000*(i+1)), 0.01*float64(i+1))
+				for i := range minFitObservations {
+					tab.serviceStats["s"].prefillFit.observe(float64(1000*(i+1)), 0.01*float64(i+1))
 				}
 			}
-			assert.Assert(t, c.does(on), "it is on")
-			assert.Assert(t, !c.does(off), "it is off")
+			assert.Assert(t, c.shows(on), "no effect while on")
+			assert.Assert(t, !c.shows(off), "an effect while off")
 		})
 	}
 }
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -9,60 +9,62 @@
 )
 
 const (
-	// keptFor is how long an endpoint is taken to hold the prompt of a session
-	// after its last use: longer than most sessions rest between two requests.
-	keptFor = 30 * time.Second
-	// sessionsMost bounds the sessions remembered for an endpoint.
-	sessionsMost = 1024
-	// moveShare is the share of a kept prompt's reading that is saved by taking it
-	// from another endpoint: moving takes a fiftieth of the time, but the other may no
-	// longer hold it.
-	moveShare = 0.8
-	// queuedFades is the time in which an endpoint's word of those that wait for it
-	// moves to the mean of all endpoints but for 1/e: at a peak some ten wait, and
-	// an endpoint reads as many prompts in a second.
-	queuedFades = time.Second
-	// queuedAge is the age of an endpoint's word from which it says nothing of those
-	// that wait.
-	queuedAge = 3 * time.Second
-	// Bounds of what a prompt token may take, in seconds, a factor of 200 apart, so that
-	// a fit through few points says nothing impossible; and the tokens of the guess that
-	// stands at first.
-	tokenLeast  = 5e-6
-	tokenMost   = 1e-3
-	priorTokens = 4000.0
+	// promptCachedFor is how long after its last use an endpoint is assumed to have a session's prompt cached:
+	// longer than most sessions pause between two requests.
+	promptCachedFor = 30 * time.Second
+	// maxSessionUses bounds the sessions that are remembered for an endpoint.
+	maxSessionUses = 1024
+	// transferSaving is the share of the reading of a cached prompt that a KV cache transfer from another
+	// endpoint saves. The transfer takes a fiftieth of the time, but the other endpoint may have dropped the
+	// prompt.
+	transferSaving = 0.8
+	// queuedDecay is the time in which the difference between an endpoint's reported queue and the mean of all
+	// endpoints falls to 1/e. At a peak some ten requests are queued, and an endpoint reads as many prompts in
+	// a second.
+	queuedDecay = time.Second
+	// maxQueuedReportAge is the age up to which a report counts for the mean queue.
+	maxQueuedReportAge = 3 * time.Second
+	// minTokenSeconds and maxTokenSeconds bound the fitted time for a prompt token, a factor of 200 apart, so
+	// that a fit through few points stays possible.
+	minTokenSeconds = 5e-6
+	maxTokenSeconds = 1e-3
+	// initialGuessTokens is the prompt length of the initial guess.
+	initialGuessTokens = 4000.0
 )
 
-// sessions is when this host last sent a session's prompt to an endpoint.
-type sessions map[uint64]time.Time
+// sessionUses is when this host last sent each session's prompt to an endpoint.
+type sessionUses map[uint64]time.Time
 
-func (s sessions) holds(id uint64, now time.Time) bool {
-	at, ok := s[id]
-	return ok && now.Sub(at) < keptFor
+// cached says whether the endpoint is likely to have the session's prompt cached.
+func (u sessionUses) cached(id uint64, now time.Time) bool {
+	at, ok := u[id]
+	return ok && now.Sub(at) < promptCachedFor
 }
 
-func (s sessions) use(id uint64, now time.Time) {
-	if len(s) >= sessionsMost {
-		for old, at := range s {
-			if now.Sub(at) > keptFor/2 {
-				delete(s, old)
+// record remembers that the session's prompt is sent now. When full, it first drops old sessions; if none is
+// old enough, the session isn't remembered.
+func (u sessionUses) record(id uint64, now time.Time) {
+	if len(u) >= maxSessionUses {
+		for old, at := range u {
+			if now.Sub(at) > promptCachedFor/2 {
+				delete(u, old)
 			}
 		}
 	}
-	if len(s) < sessionsMost {
-		s[id] = now
+	if len(u) < maxSessionUses {
+		u[id] = now
 	}
 }
 
-// homeOf returns the endpoint that all hosts send a session to while it has
-// room, by rendezvous hashing over those in use; -1: none is.
-func homeOf(states []*state, session uint64, now time.Time) int {
+// sessionHome returns the index of a session's home: the endpoint to which all hosts send the session while it
+// has capacity. It is chosen by rendezvous hashing over the endpoints in use; -1: there are none.
+func sessionHome(states []*endpointState, session uint64, now time.Time) int {
 	best, at := uint64(0), -1
 	for i, s := range states {
 		if !s.inUse(now) {
 			continue
 		}
-		if w := weighSession(s.hash, session); at < 0 || w > best {
+		if w := sessionWeight(s.nameHash, session); at < 0 || w > best {
 			best, at = w, i
 		}
 	}
@@ -70,17 +72,17 @@
 }
 
 // inUse says whether all hosts are likely to use the endpoint.
-func (s *state) inUse(now time.Time) bool {
-	return !s.leaves(now) && !now.Before(s.ejected)
+func (s *endpointState) inUse(now time.Time) bool {
+	return !s.isLeaving(now) && !now.Before(s.ejectedUntil)
 }
 
-// weighSession is the weight of an endpoint for a session, by the hash of the endpoint's name.
-func weighSession(hash, session uint64) uint64 {
-	return mix(hash ^ session*0x9e3779b97f4a7c15)
+// sessionWeight is the rendezvous hashing weight of an endpoint for a session.
+func sessionWeight(nameHash, session uint64) uint64 {
+	return mixBits(nameHash ^ session*0x9e3779b97f4a7c15)
 }
 
-// mix spreads the bits of x (the finalizer of splitmix64).
-func mix(x uint64) uint64 {
+// mixBits spreads the bits of x (the finalizer of splitmix64).
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -88,22 +90,22 @@
 	return x ^ x>>31
 }
 
-// keeps is how many tokens of a request's prompt an endpoint needn't read: those
-// that it is likely to hold, or most of them if it can take them from another.
-func (t *Table) keeps(s *state, r *vetchtrail.Request, session vetchtrail.PromptPart, home bool, now time.Time) int {
+// cachedTokens is how many tokens of a request's prompt the endpoint is expected not to read: the shared ones
+// if it has them cached, or most of them if it can transfer them from another endpoint.
+func (t *Table) cachedTokens(s *endpointState, r *vetchtrail.Request, session vetchtrail.PromptPart, isHome bool, now time.Time) int {
 	shared := r.PromptTokens() - r.Prompt[len(r.Prompt)-1].Tokens
 	switch {
-	case home || s.sessions.holds(session.ID, now):
+	case isHome || s.sessionUses.cached(session.ID, now):
 		return shared
-	case s.MoveToken > 0 && !t.off.Has(vetchtrail.PromptMoves):
-		return int(moveShare * float64(shared))
+	case s.MoveToken > 0 && !t.switchedOff.Has(vetchtrail.PromptMoves):
+		return int(transferSaving * float64(shared))
 	}
 	return 0
 }
 
-// expect notes what a request will make the endpoint read, and where it may
-// take from what it lacks.
-func (t *Table) expect(s *state, r *vetchtrail.Request, now time.Time) {
+// recordPrompt records the prompt that a request makes the endpoint read, and sets r.PromptFrom to the endpoint
+// from which it can transfer the part that it hasn't cached.
+func (t *Table) recordPrompt(s *endpointState, r *vetchtrail.Request, now time.Time) {
 	r.PromptFrom = netip.AddrPort{}
 	tokens := r.PromptTokens()
 	if tokens == 0 {
@@ -111,80 +113,81 @@
 	}
 	if session, ok := r.Session(); ok {
 		all := t.services[s.Service]
-		home := homeOf(all, session.ID, now)
+		home := sessionHome(all, session.ID, now)
 		atHome := home >= 0 && all[home] == s
-		if !s.sessions.holds(session.ID, now) {
-			r.PromptFrom = t.holder(s, r, session.ID, now)
+		if !s.sessionUses.cached(session.ID, now) {
+			r.PromptFrom = t.transferSource(s, r, session.ID, now)
 		}
 		own := r.Prompt[len(r.Prompt)-1].Tokens
-		if atHome || r.PromptFrom.IsValid() || s.sessions.holds(session.ID, now) {
+		if atHome || r.PromptFrom.IsValid() || s.sessionUses.cached(session.ID, now) {
 			tokens = own
 		}
-		t.means[s.Service].reading.observeKept(tokens, own, r.PromptTokens())
-		if s.sessions == nil {
-			s.sessions = sessions{}
+		t.serviceStats[s.Service].promptStats.observeCached(tokens, own, r.PromptTokens())
+		if s.sessionUses == nil {
+			s.sessionUses = sessionUses{}
 		}
-		s.sessions.use(session.ID, now)
+		s.sessionUses.record(session.ID, now)
 	}
-	if s.reading == nil {
-		s.reading = map[string]unread{}
+	if s.unreadPrompts == nil {
+		s.unreadPrompts = map[string]unreadPrompt{}
 	}
-	s.reading[r.ID] = unread{
-		tokens: tokens, before: s.backlog(r.Priority, t.means[s.Service], now), priority: r.Priority, sent: now,
+	s.unreadPrompts[r.ID] = unreadPrompt{
+		tokens: tokens, tokensAhead: s.backlog(r.Priority, t.serviceStats[s.Service], now), priority: r.Priority, sentAt: now,
 	}
-	t.means[s.Service].prompt.observe(float64(tokens))
+	t.serviceStats[s.Service].unreadTokens.observe(float64(tokens))
 }
 
-// holder is the endpoint that most likely holds a session's prompt beside s: the one
-// of this region that this host sent the session to last, or else the home of the
-// session here, or its home among all. A home that was too busy for a session has
-// never read it: asked all the same, it gives nothing, and the prompt is read again.
-func (t *Table) holder(s *state, r *vetchtrail.Request, session uint64, now time.Time) netip.AddrPort {
-	if s.MoveToken == 0 || t.off.Has(vetchtrail.PromptMoves) {
+// transferSource is the address of the endpoint other than s that most likely has a session's prompt cached:
+// the local one to which this host last sent the session, else the session's home among the local endpoints,
+// else its home among the remote ones. A home that was too busy for the session never read the prompt. It is
+// named all the same: the transfer then gives nothing, and s reads the prompt again.
+func (t *Table) transferSource(s *endpointState, r *vetchtrail.Request, session uint64, now time.Time) netip.AddrPort {
+	if s.MoveToken == 0 || t.switchedOff.Has(vetchtrail.PromptMoves) {
 		return netip.AddrPort{}
 	}
-	near := t.services[s.Service]
-	if last := lastSent(near, s, session, now); last != nil && !t.off.Has(vetchtrail.LastSent) {
+	local := t.services[s.Service]
+	if last := lastSent(local, s, session, now); last != nil && !t.switchedOff.Has(vetchtrail.LastSent) {
 		return last.Addr
 	}
-	if home := homeOf(near, session, now); home >= 0 && near[home] != s {
-		return near[home].Addr
+	if home := sessionHome(local, session, now); home >= 0 && local[home] != s {
+		return local[home].Addr
 	}
-	if t.off.Has(vetchtrail.FarMoves) {
+	if t.switchedOff.Has(vetchtrail.FarMoves) {
 		return netip.AddrPort{}
 	}
-	if home, ok := farHome(t.far[s.Service], session); ok && r.Allowed.Has(home.region) {
+	if home, ok := remoteHome(t.remote[s.Service], session); ok && r.Allowed.Has(home.region) {
 		return home.addr
 	}
 	return netip.AddrPort{}
 }
 
-// lastSent is the endpoint beside s that this host sent a session to last; nil: none.
-func lastSent(states []*state, s *state, session uint64, now time.Time) *state {
-	var last *state
+// lastSent is the endpoint other than s to which this host last sent a session; nil: none that is in use and
+// likely to have its prompt cached.
+func lastSent(states []*endpointState, s *endpointState, session uint64, now time.Time) *endpointState {
+	var last *endpointState
 	for _, other := range states {
-		if other == s || !other.inUse(now) || !other.sessions.holds(session, now) {
+		if other == s || !other.inUse(now) || !other.sessionUses.cached(session, now) {
 			continue
 		}
-		if last == nil || other.sessions[session].After(last.sessions[session]) {
+		if last == nil || other.sessionUses[session].After(last.sessionUses[session]) {
 			last = other
 		}
 	}
 	return last
 }
 
-// unread is a prompt that an endpoint was sent and has still to read.
-type unread struct {
-	tokens   int
-	before   float64 // tokens that were expected to be read before it
-	priority int8
-	sent     time.Time
+// unreadPrompt is a prompt that was sent to an endpoint and that it has still to read.
+type unreadPrompt struct {
+	tokens      int
+	tokensAhead float64 // expected to be read before it, when it was sent
+	priority    int8
+	sentAt      time.Time
 }
 
-// ahead is the tokens of own requests that the endpoint reads before a request
-// of a priority: it lets the more urgent ones in first.
-func (s *state) ahead(priority int8) (tokens, all int) {
-	for _, u := range s.reading {
+// unreadAhead returns the tokens of this host's unread prompts that the endpoint reads before a request of a
+// priority, and those of all of them. It reads prompts of a higher priority first.
+func (s *endpointState) unreadAhead(priority int8) (tokens, all int) {
+	for _, u := range s.unreadPrompts {
 		all += u.tokens
 		if u.priority >= priority {
 			tokens += u.tokens
@@ -193,48 +196,46 @@
 	return tokens, all
 }
 
-// backlog estimates the tokens that the endpoint reads before a request of a
-// priority: own ones, and those of other hosts that wait there by what the
-// endpoint said last, split as the own are.
-func (s *state) backlog(priority int8, m *means, now time.Time) float64 {
-	ahead, all := s.ahead(priority)
+// backlog estimates the tokens that the endpoint reads before a request of a priority: those of this host's
+// prompts and of other hosts'. Of the latter the priorities aren't known, and are assumed to be as of this
+// host's.
+func (s *endpointState) backlog(priority int8, svc *serviceStats, now time.Time) float64 {
+	unreadAhead, all := s.unreadAhead(priority)
 	share := 1.0
 	if all > 0 {
-		share = float64(ahead) / float64(all)
+		share = float64(unreadAhead) / float64(all)
 	}
-	return float64(ahead) + share*s.othersUnread(m, now)
+	return float64(unreadAhead) + share*s.othersUnreadTokens(svc, now)
 }
 
-// othersUnread estimates the tokens of other hosts' requests that wait there: as
-// the endpoint said last, and, the older its word, as all do in the mean.
-func (s *state) othersUnread(m *means, now time.Time) float64 {
-	waiting := m.waiting
-	if s.reported {
-		trust := math.Exp(-now.Sub(s.report.At).Seconds() / queuedFades.Seconds())
-		waiting += trust * (float64(s.othersWaiting()) - m.waiting)
+// othersUnreadTokens estimates the tokens of other hosts' requests in the endpoint's queue: by its report, and
+// the older that is, by the mean of all endpoints.
+func (s *endpointState) othersUnreadTokens(svc *serviceStats, now time.Time) float64 {
+	othersQueued := svc.othersQueued
+	if s.hasReport {
+		trust := math.Exp(-now.Sub(s.report.At).Seconds() / queuedDecay.Seconds())
+		othersQueued += trust * (float64(s.reportedOthersQueued()) - svc.othersQueued)
 	}
-	return waiting * m.prompt.value
+	return othersQueued * svc.unreadTokens.value
 }
 
-// othersWaiting is how many requests of other hosts waited at the endpoint when it
-// last told of them.
-func (s *state) othersWaiting() int {
+// reportedOthersQueued is how many requests of other hosts were in the endpoint's queue at its last report.
+func (s *endpointState) reportedOthersQueued() int {
 	own := 0
-	for _, u := range s.reading {
-		if !u.sent.After(s.report.At) {
+	for _, u := range s.unreadPrompts {
+		if !u.sentAt.After(s.report.At) {
 			own++
 		}
 	}
 	return max(0, s.report.Queued-own)
 }
 
-// meanWaiting is how many requests of other hosts wait at an endpoint in the mean,
-// by what was lately told.
-func meanWaiting(states []*state, now time.Time) float64 {
+// meanOthersQueued is the mean number of other hosts' requests in an endpoint's queue, by the recent reports.
+func meanOthersQueued(states []*endpointState, now time.Time) float64 {
 	sum, n := 0, 0
 	for _, s := range states {
-		if s.reported && now.Sub(s.report.At) < queuedAge {
-			sum += s.othersWaiting()
+		if s.hasReport && now.Sub(s.report.At) < maxQueuedReportAge {
+			sum += s.reportedOthersQueued()
 			n++
 		}
 	}
@@ -244,47 +245,48 @@
 	return float64(sum) / float64(n)
 }
 
-// Started implements vetchtrail.Observer: the endpoint has read the prompt.
+// Started implements vetchtrail.Observer. The first byte of an answer shows that the endpoint has read the
+// prompt.
 func (t *Table) Started(e vetchtrail.Endpoint, r *vetchtrail.Request, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.life(e.Name, e.Born)
+	s, ok := t.instance(e.Name, e.Born)
 	if !ok {
 		return
 	}
-	s.heard = now
-	read, waited := s.reading[r.ID]
-	if !waited {
-		return // no room was taken for it: a stream that is only fetched again
+	s.lastSeen = now
+	prompt, known := s.unreadPrompts[r.ID]
+	if !known {
+		return // not admitted by Acquire: a stream that is only fetched again
 	}
 	if r.Stream {
-		if s.streams == nil {
-			s.streams = map[string]bool{}
+		if s.startedStreams == nil {
+			s.startedStreams = map[string]bool{}
 		}
-		s.streams[r.ID] = true
+		s.startedStreams[r.ID] = true
 	}
-	delete(s.reading, r.ID)
-	m, took := t.means[s.Service], now.Sub(read.sent).Seconds()
-	m.prefill.observe(read.before+float64(read.tokens), took)
-	m.reading.observe(read.before+float64(read.tokens), took)
+	delete(s.unreadPrompts, r.ID)
+	svc, seconds := t.serviceStats[s.Service], now.Sub(prompt.sentAt).Seconds()
+	svc.prefillFit.observe(prompt.tokensAhead+float64(prompt.tokens), seconds)
+	svc.promptStats.observe(prompt.tokensAhead+float64(prompt.tokens), seconds)
 	t.wake(s.Service)
 }
 
-// Told implements vetchtrail.Observer: a load that an endpoint tells in an
-// answer is as good as a fetched report.
+// Told implements vetchtrail.Observer. A load that an endpoint reports in an answer counts like a fetched
+// report.
 func (t *Table) Told(e vetchtrail.Endpoint, l vetchtrail.LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s, ok := t.life(e.Name, e.Born); ok {
-		t.take(s, l, true, time.Time{})
+	if s, ok := t.instance(e.Name, e.Born); ok {
+		t.acceptReport(s, l, true, time.Time{})
 	}
 }
 
-// newPrefill returns the fit of the seconds to the first of an answer by the
-// tokens read.
-func newPrefill() fit {
-	f := fit{least: tokenLeast, most: tokenMost}
-	f.add(0, 0, priorWeight)
-	f.add(priorTokens, priorTokens*firstPrefill/10, priorWeight)
+// newPrefillFit returns the fit of the seconds to the first byte of an answer by the tokens to read. It starts
+// with two points: nothing to read, and initialGuessTokens at a tenth of initialTokenSeconds each.
+func newPrefillFit() linearFit {
+	f := linearFit{minSlope: minTokenSeconds, maxSlope: maxTokenSeconds}
+	f.add(0, 0, initialGuessWeight)
+	f.add(initialGuessTokens, initialGuessTokens*initialTokenSeconds/10, initialGuessWeight)
 	return f
 }
--- /dev/null
+++ b/process/load/rate_limit.go
@@ -0,0 +1,111 @@
+package load
+
+import (
+	"math"
+	"time"
+
+	"vetchtrail"
+)
+
+// HearLimit records the rate limit that an endpoint advertised, unless a later one is known, and returns the
+// limit that was known before and the one that is now. ok is false for an endpoint that isn't known and for
+// another process instance.
+func (t *Table) HearLimit(name string, born time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok := t.instance(name, born)
+	if !ok {
+		return was, is, false
+	}
+	return s.recordRateLimit(t, news)
+}
+
+// NamedLimit is the rate limit that a process instance of an endpoint advertised.
+type NamedLimit struct {
+	Endpoint string
+	Born     time.Time // start of the instance
+	Limit    vetchtrail.RateLimit
+}
+
+// Limits returns the rate limits of the endpoints that ever advertised one in their present process instance.
+// Those that have withdrawn it are included, so that other hosts learn of that.
+func (t *Table) Limits() []NamedLimit {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []NamedLimit
+	for _, s := range t.endpoints {
+		if !s.rateLimitedSince.IsZero() {
+			out = append(out, NamedLimit{Endpoint: s.Name, Born: s.Born, Limit: s.rateLimit})
+		}
+	}
+	return out
+}
+
+// recordRateLimit implements HearLimit for one endpoint. The caller holds the lock.
+func (s *endpointState) recordRateLimit(t *Table, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+	was = s.rateLimit
+	s.rateLimit = was.Update(news)
+	if s.rateLimit.Named && !was.Named {
+		s.rateLimitedSince = news.Heard
+	}
+	if was.Named && !s.rateLimit.Named {
+		// The endpoint was overloaded until now: its share of the load grows with its answers, as after a
+		// return.
+		s.rateExhaustedUntil, s.warmUp = time.Time{}, math.Min(s.warmUp, initialWarmUp)
+		t.wake(s.Service)
+	}
+	return was, s.rateLimit, true
+}
+
+// carryOver copies what the process instance that starts here advertised before it was listed: its answers may
+// reach a host before the listing has it, and are then recorded with the state of the earlier instance. Nothing
+// that the earlier instance itself said is copied, and nothing at all if the listing is an older copy and goes
+// back to an earlier instance.
+func (s *endpointState) carryOver(old *endpointState, startedAt time.Time) {
+	if startedAt.IsZero() || !old.Born.Before(startedAt) {
+		return
+	}
+	if old.rateLimit.Asked.After(startedAt) {
+		s.rateLimit, s.rateLimitedSince = old.rateLimit, old.rateLimitedSince
+	}
+	if old.availability.requestSentAt.After(startedAt) {
+		s.availability.announcements = s.availability.merge(old.availability.announcements)
+	}
+}
+
+// Limited implements vetchtrail.Observer.
+func (t *Table) Limited(e vetchtrail.Endpoint, news vetchtrail.RateLimit, err error) {
+	if err == nil {
+		t.HearLimit(e.Name, e.Born, news)
+	}
+}
+
+// Limit returns the rate limit that an endpoint last advertised, and the start time of its process instance.
+func (t *Table) Limit(name string) (l vetchtrail.RateLimit, born time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s, ok := t.endpoints[name]; ok {
+		return s.rateLimit, s.Born
+	}
+	return vetchtrail.RateLimit{}, time.Time{}
+}
+
+// Rationed records what the owner of an endpoint's rate limit last said: rateLeft is the number of requests
+// that can be sent at once. Until the given time the endpoint is out of use, as nothing is left; zero:
+// something is.
+func (t *Table) Rationed(name string, rateLeft float64, until time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s, ok := t.endpoints[name]; ok && s.rateLimit.Named {
+		s.rateLeft, s.rateExhaustedUntil = rateLeft, until
+	}
+}
+
+// concurrency is how many requests of all hosts the endpoint can run at once: its slots, or fewer if its rate
+// limit keeps some of them idle in the mean.
+func (s *endpointState) concurrency(svc *serviceStats) int {
+	if !s.rateLimit.Named {
+		return s.Slots
+	}
+	return min(s.Slots, int(math.Ceil(s.rateLimit.Rate*svc.serviceTime.value)))
+}
--- /dev/null
+++ b/process/load/rate_limit_test.go
@@ -0,0 +1,126 @@
+package load
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"vetchtrail"
+)
+
+// advertised is a rate limit that an endpoint advertised between two times, in seconds from now; a negative
+// rate: it advertises none.
+func advertised(rate float64, asked, heard float64) vetchtrail.RateLimit {
+	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
+	return vetchtrail.RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: at(asked), Heard: at(heard)}
+}
+
+// rateLimitedTable has one endpoint, which advertises a rate limit of 2 requests a second.
+func rateLimitedTable(t *testing.T, startedAt time.Time) *Table {
+	t.Helper()
+	tab := New()
+	tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: startedAt}}})
+	_, is, ok := tab.HearLimit("e000", startedAt, advertised(2, 1, 2))
+	assert.Assert(t, ok && is.Named)
+	return tab
+}
+
+// TestRateLimitInView guards against requests to an endpoint whose rate limit is used up: it's out of use, with
+// the reason and the time, until its limit allows requests again. One that withdraws its limit is in use at
+// once, at the initial warm-up share, and requests that wait for capacity are woken.
+func TestRateLimitInView(t *testing.T) {
+	tab := rateLimitedTable(t, now)
+	v := viewOf(tab, now)
+	assert.Assert(t, !v.Away && v.Limited && v.Rate == 2)
+	tab.Rationed("e000", 0, now.Add(600*time.Millisecond))
+	v = viewOf(tab, now)
+	assert.Assert(t, v.Away && v.Why == vetchtrail.ReasonLimited && v.Back == 0.6, "%+v", v)
+	assert.Assert(t, !viewOf(tab, now.Add(time.Second)).Away)
+	freed := tab.Freed("s")
+	tab.Limited(vetchtrail.Endpoint{Name: "e000", Born: now}, advertised(-1, 3, 4), nil)
+	v = viewOf(tab, now)
+	assert.Assert(t, !v.Away && !v.Limited && v.Warmth == initialWarmUp, "%+v", v)
+	select {
+	case <-freed:
+	default:
+		t.Fatal("requests that wait for capacity are not woken")
+	}
+	tab.Rationed("e000", 0, now.Add(time.Hour))
+	assert.Assert(t, !viewOf(tab, now).Away, "an endpoint without a rate limit can't use it up")
+}
+
+// TestRateLimitPerInstance guards against a rate limit that is valid beyond its process instance: it ends with
+// the instance, and late answers of another instance change nothing. A limit that a new instance advertised
+// before it was listed is kept.
+func TestRateLimitPerInstance(t *testing.T) {
+	second := now.Add(10 * time.Second)
+	cases := map[string]struct {
+		first      vetchtrail.RateLimit // received while the first instance is listed
+		instance   time.Time            // start of the instance that advertises last
+		last       vetchtrail.RateLimit // received once the second instance is listed
+		advertises bool                 // a limit counts in the end
+	}{
+		"ends with the first instance":         {advertised(2, 3, 4), now, advertised(-1, 11, 12), false},
+		"late answer of the first instance":    {advertised(2, 3, 4), now, advertised(2, 5, 20), false},
+		"received before the second is listed": {advertised(2, 11, 12), now, advertised(9, 13, 14), true},
+		"advertised by the second instance":    {advertised(2, 3, 4), second, advertised(3, 11, 12), true},
+		"in transit as the second started":     {advertised(2, 9, 12), now, advertised(2, 9, 12), false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			tab := rateLimitedTable(t, now)
+			tab.HearLimit("e000", now, c.first)
+			tab.Rationed("e000", 0, second.Add(time.Hour))
+			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: second}}})
+			tab.HearLimit("e000", c.instance, c.last)
+			l, startedAt := tab.Limit("e000")
+			assert.Equal(t, l.Named, c.advertises, "%+v", l)
+			assert.Assert(t, startedAt.Equal(second))
+			assert.Assert(t, !viewOf(tab, second).Away)
+			assert.Equal(t, len(tab.Limits()) > 0, c.advertises, "reported to other hosts")
+		})
+	}
+}
+
+// TestRateLimitInSummary guards against a summary that offers other data centres all slots of an endpoint
+// although its rate limit keeps some of them idle.
+func TestRateLimitInSummary(t *testing.T) {
+	tab := rateLimitedTable(t, now)
+	tab.serviceStats["s"].serviceTime = average{value: 0.8, count: 100}
+	assert.Equal(t, tab.Summaries(now)[0].Slots, 2) // 2 a second of 0.8 s each
+	tab.HearLimit("e000", now, advertised(-1, 3, 4))
+	assert.Equal(t, tab.Summaries(now)[0].Slots, 8)
+}
+
+// TestLimits guards against hosts that keep to a rate limit after the endpoint has withdrawn it: the withdrawal
+// is reported to other hosts like a limit.
+func TestLimits(t *testing.T) {
+	tab := rateLimitedTable(t, now)
+	assert.Equal(t, len(tab.Limits()), 1)
+	tab.HearLimit("e000", now, advertised(-1, 3, 4))
+	assert.Equal(t, len(tab.Limits()), 1, "hosts that know the limit must learn that it is withdrawn")
+	assert.Equal(t, len(New().Limits()), 0)
+}
+
+// TestRateLimitAtHome guards against a rate limit at the home of a session that makes the session's prompt be
+// read again: while the limit is used up, other endpoints run the session's requests and transfer the prompt
+// from its home.
+func TestRateLimitAtHome(t *testing.T) {
+	tab := twoRegions(1e-6)
+	at := homeName(tab, 7)
+	tab.HearLimit(at, time.Time{}, advertised(2, 0, 0))
+	tab.Rationed(at, 0, now.Add(time.Second))
+	v := views(tab, request("x", 7, 0))
+	assert.Assert(t, v[at].Away && v[at].Why == vetchtrail.ReasonLimited)
+	for name, e := range v {
+		if name == at {
+			continue
+		}
+		assert.Assert(t, !e.Away && e.Kept > 0, "%s: %+v", name, e)
+		r := request("at "+name, 7, 0)
+		assert.Assert(t, tab.Acquire(name, r, now))
+		assert.Equal(t, r.PromptFrom, tab.endpoints[at].Addr)
+		break
+	}
+}
--- /dev/null
+++ b/process/load/release.go
@@ -0,0 +1,221 @@
+package load
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"vetchtrail"
+)
+
+// Release ends a request that Acquire admitted, and learns from its outcome.
+func (t *Table) Release(name string, o vetchtrail.Observation, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok := t.instance(name, o.Born)
+	if !ok {
+		return
+	}
+	s.changeInFlight(now, -1)
+	delete(s.unreadPrompts, o.Request)
+	delete(s.startedStreams, o.Request)
+	t.wake(s.Service)
+	if o.Outcome.Cold > 0 {
+		s.coldStart.configure(now.Add(o.Outcome.Cold), s.ColdRate)
+	}
+	switch {
+	case o.Cancel:
+	case o.Outcome.Reason == vetchtrail.ReasonFailed, o.Outcome.Status >= minErrorStatus && o.Outcome.Kind == vetchtrail.Answered:
+		s.observeErrorShare(1, t.serviceStats[s.Service], now)
+		t.recordError(s, now)
+	case o.Outcome.Kind == vetchtrail.Answered:
+		s.observeErrorShare(0, t.serviceStats[s.Service], now)
+		t.serviceStats[s.Service].observeEvents(o.Route, o.Outcome.Events)
+		t.recordAnswer(s, o, now)
+	case o.Outcome.Reason == vetchtrail.ReasonMisled:
+		s.availability.otherProcessUntil = now.Add(otherProcessBackOff)
+	case o.Outcome.Reason == vetchtrail.ReasonRefused:
+		t.cutLimit(s)
+		s.backOff(vetchtrail.ReasonRefused, vetchtrail.Earlier(o.Outcome.RetryAt, now.Add(maxRefusalBackOff)))
+	case o.Outcome.Step == vetchtrail.StepConnect:
+		s.backOff(vetchtrail.ReasonUnreachable, now.Add(min(minConnectBackOff<<min(s.connectFailuresInRow, maxConnectBackOffDoublings), maxConnectBackOff)))
+		s.connectFailuresInRow++
+		s.warmUp = initialWarmUp
+	case o.Outcome.Kind == vetchtrail.NotRun: // this host didn't send it
+	default:
+		if o.Outcome.Reason == vetchtrail.ReasonDeadline {
+			t.cutLimit(s)
+		}
+		if !s.isLeaving(now) { // a leaving endpoint may end with requests in flight
+			t.recordFailure(s, now)
+		}
+	}
+}
+
+// recordAnswer learns from an answer that is no error.
+func (t *Table) recordAnswer(s *endpointState, o vetchtrail.Observation, now time.Time) {
+	svc := t.serviceStats[s.Service]
+	s.failuresInRow, s.ejections, s.connectFailuresInRow, s.errorsInRow = 0, 0, 0, 0
+	s.warmUp = math.Min(1, s.warmUp+warmUpStep)
+	first := o.Timing.First.Sub(o.Timing.Sent).Seconds()
+	whole := o.Timing.Done.Sub(o.Timing.Sent).Seconds()
+	if whole <= 0 {
+		return
+	}
+	if o.Outcome.Events > 0 {
+		svc.predictionRatio.observe(o.Predicted.Seconds(), first)
+	}
+	s.observedAt = now
+	s.serviceTime.observe(whole)
+	svc.serviceTime.observe(whole)
+	if o.Tokens > 0 && s.inFlight < s.Slots {
+		s.observeTokenTime(first/float64(o.Tokens), svc)
+	}
+	if !t.switchedOff.Has(vetchtrail.AdaptiveLimits) {
+		s.adaptLimit(first)
+	}
+}
+
+// maxConnectBackOffDoublings bounds the doublings of minConnectBackOff, so that the shift can't overflow.
+const maxConnectBackOffDoublings = 8
+
+// minErrorStatus is the lowest status of an error answer: one by which an endpoint reports its own failure.
+// Other answers count as errors if their outcome has ReasonFailed.
+const minErrorStatus = 500
+
+// observeErrorShare learns from an answer whether the endpoint failed: 1 if it is an error answer, else 0. A
+// high share only makes the endpoint more expensive to a decision. It doesn't take the endpoint out of use, as
+// the service's others may fail as often.
+func (s *endpointState) observeErrorShare(failed float64, svc *serviceStats, now time.Time) {
+	s.errorShare.observe(failed)
+	svc.errorShare.observe(failed)
+	s.errorShareAt = now
+}
+
+// recordError counts an error answer, and ejects the endpoint when so many in a row would be unlikely at the
+// usual error share of its service's others. An endpoint that fails at once always seems idle, and would
+// attract the requests.
+func (t *Table) recordError(s *endpointState, now time.Time) {
+	s.errorsInRow++
+	usual := min(max(t.usualErrorShare(s), minUsualErrorShare), maxUsualErrorShare)
+	if math.Pow(usual, float64(s.errorsInRow)) < maxErrorRunProbability && !t.switchedOff.Has(vetchtrail.Ejection) {
+		t.eject(s, now)
+	}
+}
+
+// usualErrorShare is the median error share of the service's other endpoints.
+func (t *Table) usualErrorShare(s *endpointState) float64 {
+	var shares []float64
+	for _, other := range t.services[s.Service] {
+		if other != s {
+			shares = append(shares, other.errorShare.value)
+		}
+	}
+	if len(shares) == 0 {
+		return maxUsualErrorShare
+	}
+	slices.Sort(shares)
+	return shares[len(shares)/2]
+}
+
+// excessErrorShare is how far the endpoint's error share is over its service's. It decays while the endpoint
+// answers nothing.
+func (s *endpointState) excessErrorShare(svc *serviceStats, now time.Time) float64 {
+	if s.errorShare.count < minObservations {
+		return 0
+	}
+	trust := math.Exp(-now.Sub(s.errorShareAt).Seconds() / observationDecay.Seconds())
+	return trust * math.Max(0, s.errorShare.value-svc.errorShare.value)
+}
+
+// observeTokenTime learns from the seconds that a prompt token took on a free slot.
+func (s *endpointState) observeTokenTime(tokenTime float64, svc *serviceStats) {
+	s.tokenSlowdown.observe(math.Min(math.Max(tokenTime/svc.tokenTime.value, minTokenSlowdown), maxTokenSlowdown))
+	svc.tokenTime.observe(tokenTime / math.Max(s.tokenSlowdown.value, 1))
+}
+
+// adaptLimit raises the limit while first bytes arrive in time, and lowers it while requests queue at the
+// endpoint for much longer than they take. The first byte is compared with the time of whole requests: an
+// answer that is read whole has its first byte at its end, so that half of them take longer than the mean.
+func (s *endpointState) adaptLimit(first float64) {
+	if first > lateStartFactor*s.serviceTime.value {
+		s.limit = math.Max(1, s.limit*0.95)
+		return
+	}
+	if float64(s.inFlight+1) >= s.limit {
+		s.limit = math.Min(maxLimitPerSlot*float64(s.Slots), s.limit+1/s.limit)
+	}
+}
+
+// cutLimit lowers the limit after a refusal or a timeout.
+func (t *Table) cutLimit(s *endpointState) {
+	if !t.switchedOff.Has(vetchtrail.AdaptiveLimits) {
+		s.limit = math.Max(1, s.limit*limitCutFactor)
+	}
+}
+
+// backOff takes the endpoint out of use for a time. The reason is certain to be the endpoint's own, so that
+// maxEjectedShare doesn't apply.
+func (s *endpointState) backOff(why vetchtrail.Reason, until time.Time) {
+	s.backOffReason, s.backOffUntil = why, until
+}
+
+// recordFailure counts a request that got no whole answer, and ejects the endpoint after failuresToEject in a
+// row. The limit stays: a lost answer says nothing about the endpoint's capacity.
+func (t *Table) recordFailure(s *endpointState, now time.Time) {
+	s.failuresInRow++
+	if s.failuresInRow < failuresToEject || t.switchedOff.Has(vetchtrail.Ejection) {
+		return
+	}
+	t.eject(s, now)
+}
+
+// eject takes the endpoint out of use for a time that doubles until it answers well. It does nothing when too
+// many endpoints of the service are ejected already, or no other one is in use.
+func (t *Table) eject(s *endpointState, now time.Time) {
+	ejected := 0
+	for _, other := range t.services[s.Service] {
+		if now.Before(other.ejectedUntil) {
+			ejected++
+		}
+	}
+	if float64(ejected+1) > math.Max(1, maxEjectedShare*float64(len(t.services[s.Service]))) || t.isLastInUse(s, now) {
+		return
+	}
+	s.ejectedUntil = now.Add(min(minEjection<<s.ejections, maxEjection))
+	s.ejections = min(s.ejections+1, 5)
+	s.failuresInRow = 0
+	s.warmUp = initialWarmUp
+}
+
+// isLastInUse says whether no other endpoint of the service is in use here. Without the last one, requests
+// could only be refused.
+func (t *Table) isLastInUse(s *endpointState, now time.Time) bool {
+	for _, other := range t.services[s.Service] {
+		if other != s && other.inUse(now) {
+			return false
+		}
+	}
+	return true
+}
+
+// significantSlowdown returns the ratio of an endpoint's mean to its service's, or 1 if the endpoint isn't
+// clearly slower.
+func significantSlowdown(ratio float64, count int) float64 {
+	if count < minObservations || ratio < 1+slowdownTolerance {
+		return 1
+	}
+	return ratio
+}
+
+// average is an exponentially weighted mean. The first observations weigh more, so that the initial value is
+// soon forgotten.
+type average struct {
+	value float64
+	count int // observations
+}
+
+func (a *average) observe(x float64) {
+	a.count++
+	a.value += math.Max(meanSmoothing, 1/float64(a.count+1)) * (x - a.value)
+}
--- /dev/null
+++ b/process/load/remote.go
@@ -0,0 +1,45 @@
+package load
+
+import (
+	"iter"
+	"net/netip"
+
+	"github.com/cespare/xxhash/v2"
+
+	"vetchtrail"
+)
+
+// remoteEndpoint is an endpoint that this host sends no requests to, but whose cached prompts this host's
+// endpoints can transfer. It holds only what that needs, as most endpoints of a fleet are remote to each host.
+type remoteEndpoint struct {
+	nameHash uint64
+	addr     netip.AddrPort
+	region   vetchtrail.RegionID
+}
+
+// SetFar replaces the remote endpoints. Those that are draining or can't transfer prompts are left out.
+func (t *Table) SetFar(endpoints iter.Seq[Placed]) {
+	remote := map[string][]remoteEndpoint{}
+	for e := range endpoints {
+		if e.MoveToken > 0 && !e.Draining {
+			remote[e.Service] = append(remote[e.Service], remoteEndpoint{nameHash: xxhash.Sum64String(e.Name), addr: e.Addr, region: e.RegionID})
+		}
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.remote = remote
+}
+
+// remoteHome returns the home of a session among the remote endpoints, see sessionHome; false: there are none.
+func remoteHome(remote []remoteEndpoint, session uint64) (remoteEndpoint, bool) {
+	best, at := uint64(0), -1
+	for i := range remote {
+		if w := sessionWeight(remote[i].nameHash, session); at < 0 || w > best {
+			best, at = w, i
+		}
+	}
+	if at < 0 {
+		return remoteEndpoint{}, false
+	}
+	return remote[at], true
+}
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -8,56 +8,55 @@
 	"vetchtrail"
 )
 
-// Report takes a report that this host fetched, if it is newer than the one
-// held, and says whether it was.
+// Report records a load report that this host fetched, if it is newer than the known one, and says whether it
+// was. A report that says that the endpoint is leaving keeps it out of use until leavingUntil.
 func (t *Table) Report(name string, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.endpoints[name]
-	return ok && t.take(s, r, true, leavingUntil)
+	return ok && t.acceptReport(s, r, true, leavingUntil)
 }
 
-// ReportShort takes a report that another host fetched, by the short form of
-// the endpoint's name.
+// ReportShort records a load report that another host fetched. It names the endpoint by Short.
 func (t *Table) ReportShort(short uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.shorts[short]
-	return ok && t.take(s, r, false, leavingUntil)
+	s, ok := t.byShortHash[short]
+	return ok && t.acceptReport(s, r, false, leavingUntil)
 }
 
-// Short is the short form of an endpoint's name between hosts. Two of the same
-// within a data centre are unlikely, and would only mix their load reports.
+// Short is the hash of an endpoint's name that hosts use for it in messages to each other. Two endpoints of a
+// data centre are unlikely to have the same, and would only mix their load reports.
 func Short(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// take takes a report if it is newer. The caller holds the lock.
-func (t *Table) take(s *state, r vetchtrail.LoadReport, polled bool, leavingUntil time.Time) bool {
-	if s.reported && !r.At.After(s.report.At) {
+// acceptReport records a report if it is newer than the known one, and says whether it was. The caller holds
+// the lock.
+func (t *Table) acceptReport(s *endpointState, r vetchtrail.LoadReport, fetchedHere bool, leavingUntil time.Time) bool {
+	if s.hasReport && !r.At.After(s.report.At) {
 		return false
 	}
-	s.report, s.reported, s.polled = r, true, polled
-	t.noteHeard(s)
-	if s.backWhy == vetchtrail.ReasonUnreachable {
-		s.backOff = time.Time{} // it answers again
+	s.report, s.hasReport, s.fetchedHere = r, true, fetchedHere
+	t.logReport(s)
+	if s.backOffReason == vetchtrail.ReasonUnreachable {
+		s.backOffUntil = time.Time{} // it can be reached again
 	}
-	s.hearLeaving(r.Leaving, leavingUntil)
-	if r.Started.After(s.leaving.heard) && !s.leaving.ends().IsZero() {
-		s.leaving.answers = answers{} // they were another process's
+	s.recordReportedLeaving(r.Leaving, leavingUntil)
+	if r.Started.After(s.availability.receivedAt) && !s.availability.expiresAt().IsZero() {
+		s.availability.announcements = announcements{} // they came from an earlier process instance
 	}
 	t.wake(s.Service)
 	return true
 }
 
-// hearLeaving takes an endpoint's own word that it is leaving, or that it is
-// no longer.
-func (s *state) hearLeaving(leaving bool, until time.Time) {
-	s.leaving.reported, s.says = time.Time{}, leaving
+// recordReportedLeaving records whether the endpoint's newest report says that it is leaving.
+func (s *endpointState) recordReportedLeaving(leaving bool, until time.Time) {
+	s.availability.reportUntil, s.reportsLeaving = time.Time{}, leaving
 	if leaving {
-		s.leaving.reported = until
+		s.availability.reportUntil = until
 	}
 }
 
-// Reported returns when an endpoint's newest report was true.
+// Reported returns the time of an endpoint's newest report; zero: there is none.
 func (t *Table) Reported(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,22 +66,22 @@
 	return time.Time{}
 }
 
-// Leave marks an endpoint as leaving until a moment; it is taken out of use at
-// once.
+// Leave records that the platform's list of hosts has an endpoint as leaving. The endpoint is out of use until
+// the given time.
 func (t *Table) Leave(name string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
-		s.leaving.listed = vetchtrail.Later(s.leaving.listed, until)
+		s.availability.platformUntil = vetchtrail.Later(s.availability.platformUntil, until)
 	}
 }
 
-// Down tells that an endpoint refused a connection.
+// Down records that an endpoint refused a connection of the poller.
 func (t *Table) Down(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
-		s.avoid(vetchtrail.ReasonUnreachable, now.Add(downFor))
-		s.warmth = coldStart
+		s.backOff(vetchtrail.ReasonUnreachable, now.Add(minConnectBackOff))
+		s.warmUp = initialWarmUp
 	}
 }
--- /dev/null
+++ b/process/load/report_log.go
@@ -0,0 +1,75 @@
+package load
+
+import (
+	"slices"
+	"time"
+
+	"vetchtrail"
+)
+
+// maxReportLog bounds the log of accepted reports: some seconds at a thousand reports a second.
+const maxReportLog = 1 << 12
+
+// reportLogEntry records that an endpoint's report was accepted.
+type reportLogEntry struct {
+	endpoint       *endpointState
+	number         uint64 // of the report, counted from 1 over all endpoints
+	newestUnixNano int64  // time of the newest report up to this entry
+}
+
+// logReport records that the endpoint's report was accepted. The caller holds the lock.
+func (t *Table) logReport(s *endpointState) {
+	t.reportNumber++
+	s.reportNumber = t.reportNumber
+	entry := reportLogEntry{endpoint: s, number: t.reportNumber, newestUnixNano: s.report.At.UnixNano()}
+	if n := len(t.reportLog); n > 0 {
+		entry.newestUnixNano = max(entry.newestUnixNano, t.reportLog[n-1].newestUnixNano)
+	}
+	if len(t.reportLog) >= maxReportLog {
+		t.reportLog = slices.Delete(t.reportLog, 0, maxReportLog/2)
+	}
+	t.reportLog = append(t.reportLog, entry)
+}
+
+// Heard is an endpoint's newest report, as this host passes it to other hosts.
+type Heard struct {
+	Endpoint string
+	Short    uint32 // hash of its name, see Short
+	Report   vetchtrail.LoadReport
+	Fetched  bool // this host fetched it itself
+	Said     bool // an answer of the endpoint once said that it is leaving or paused
+}
+
+// HeardAfter returns the reports that this host accepted after the one with the given number and that are newer
+// than a time, the last accepted first, and the number of the last accepted report. Of an endpoint's reports
+// only the newest is returned. After number 0 the reports of leaving endpoints are returned however old they
+// are.
+func (t *Table) HeardAfter(number uint64, after time.Time) ([]Heard, uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []Heard
+	oldest := after.UnixNano()
+	for _, entry := range slices.Backward(t.reportLog) {
+		if entry.number <= number || entry.newestUnixNano <= oldest {
+			break
+		}
+		// A state that is no longer the table's belongs to an earlier process instance, whose report says
+		// nothing about the present one.
+		if s := entry.endpoint; s.reportNumber == entry.number && t.endpoints[s.Name] == s && (s.reportsLeaving || s.report.At.After(after)) {
+			out = append(out, s.newestReport())
+		}
+	}
+	if number > 0 {
+		return out, t.reportNumber
+	}
+	for _, s := range t.endpoints {
+		if s.reportsLeaving && !s.report.At.After(after) {
+			out = append(out, s.newestReport())
+		}
+	}
+	return out, t.reportNumber
+}
+
+func (s *endpointState) newestReport() Heard {
+	return Heard{Endpoint: s.Name, Short: uint32(s.nameHash), Report: s.report, Fetched: s.fetchedHere, Said: s.announced}
+}
--- a/process/load/heard_test.go
+++ b/process/load/report_log_test.go
@@ -9,28 +9,30 @@
 	"vetchtrail"
 )
 
-func heardAll(t *Table) []Heard {
+// allReports returns the newest report of each endpoint that has one.
+func allReports(t *Table) []Heard {
 	out, _ := t.HeardAfter(0, time.Time{})
 	return out
 }
 
-// TestHeardAfter: each report is told of once, the newest of an endpoint only, and none that is too old, but for
-// those of endpoints that say that they leave.
+// TestHeardAfter guards against reports that a host passes on to others twice, after a newer one of the same
+// endpoint, from an earlier process instance, or too late. Only a leaving endpoint's report is passed on
+// however old.
 func TestHeardAfter(t *testing.T) {
 	report := func(tab *Table, name string, age time.Duration, leaving bool) {
 		tab.Report(name, vetchtrail.LoadReport{At: now.Add(-age), Leaving: leaving}, now.Add(time.Hour))
 	}
 	cases := map[string]struct {
 		first, then func(tab *Table)
-		all, news   []string // told at first, and after the rest
+		all, later  []string // returned after first, and after then
 	}{
 		"nothing new":      {func(tab *Table) { report(tab, "e001", 0, false) }, func(*Table) {}, []string{"e001"}, nil},
-		"another":          {func(tab *Table) { report(tab, "e001", 0, false) }, func(tab *Table) { report(tab, "e002", 0, false) }, []string{"e001"}, []string{"e002"}},
-		"a newer one":      {func(tab *Table) { report(tab, "e001", time.Second, false) }, func(tab *Table) { report(tab, "e001", 0, false) }, []string{"e001"}, []string{"e001"}},
-		"two of one":       {func(tab *Table) { report(tab, "e001", 2, false); report(tab, "e001", 1, false) }, func(*Table) {}, []string{"e001"}, nil},
+		"another endpoint": {func(tab *Table) { report(tab, "e001", 0, false) }, func(tab *Table) { report(tab, "e002", 0, false) }, []string{"e001"}, []string{"e002"}},
+		"a newer report":   {func(tab *Table) { report(tab, "e001", time.Second, false) }, func(tab *Table) { report(tab, "e001", 0, false) }, []string{"e001"}, []string{"e001"}},
+		"two of the same":  {func(tab *Table) { report(tab, "e001", 2, false); report(tab, "e001", 1, false) }, func(*Table) {}, []string{"e001"}, nil},
 		"too old":          {func(tab *Table) { report(tab, "e001", time.Minute, false) }, func(tab *Table) { report(tab, "e002", time.Minute, false) }, nil, nil},
 		"too old, leaving": {func(tab *Table) { report(tab, "e001", time.Minute, true) }, func(*Table) {}, []string{"e001"}, nil},
-		"another life": {func(tab *Table) { report(tab, "e001", 0, false) }, func(tab *Table) {
+		"another instance": {func(tab *Table) { report(tab, "e001", 0, false) }, func(tab *Table) {
 			report(tab, "e002", 0, false)
 			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e002", Service: "s", Slots: 4, Born: now}}})
 			tab.HearNotice("e002", now, vetchtrail.Notice{})
@@ -50,11 +52,11 @@
 		t.Run(name, func(t *testing.T) {
 			tab := table(4)
 			c.first(tab)
-			all, place := tab.HeardAfter(0, now.Add(-2*time.Second))
+			all, number := tab.HeardAfter(0, now.Add(-2*time.Second))
 			assert.DeepEqual(t, names(all), c.all)
 			c.then(tab)
-			news, _ := tab.HeardAfter(place, now.Add(-2*time.Second))
-			assert.DeepEqual(t, names(news), c.news)
+			later, _ := tab.HeardAfter(number, now.Add(-2*time.Second))
+			assert.DeepEqual(t, names(later), c.later)
 		})
 	}
 }
--- /dev/null
+++ b/process/load/stream_stats.go
@@ -0,0 +1,80 @@
+package load
+
+import (
+	"math"
+	"time"
+
+	"vetchtrail"
+)
+
+// streamStatsExpiry is how long after its last request a route's streams no longer count as requested: longer
+// than a caller's pause between two requests, shorter than a peak.
+const streamStatsExpiry = 5 * time.Second
+
+// streamStats is what is known of the streams of one route.
+type streamStats struct {
+	events              average // of a whole answer
+	priority            int8
+	firstAttemptSeconds float64   // until the deadline, at a first attempt
+	lastRequested       time.Time // when a stream of the route was last requested
+}
+
+// streamsOf returns the statistics of a route's streams.
+func (svc *serviceStats) streamsOf(route string) *streamStats {
+	st, ok := svc.streamsByRoute[route]
+	if !ok {
+		st = &streamStats{}
+		svc.streamsByRoute[route] = st
+	}
+	return st
+}
+
+// recordStreamRequest learns from a request for a stream whose endpoint is about to be chosen.
+func (svc *serviceStats) recordStreamRequest(r *vetchtrail.Request, now time.Time) {
+	if !r.Stream || r.Route == "" {
+		return
+	}
+	st := svc.streamsOf(r.Route)
+	st.priority, st.lastRequested = r.Priority, now
+	if r.Fresh {
+		st.firstAttemptSeconds = r.Deadline.Sub(now).Seconds()
+	}
+}
+
+// observeEvents learns how many events a route's streams have. 0 events say nothing.
+func (svc *serviceStats) observeEvents(route string, n int) {
+	if n == 0 {
+		return
+	}
+	st := svc.streamsOf(route)
+	if st.events.count == 0 {
+		st.events.value = float64(n) // the mean starts at the first observation, not at 0
+	}
+	st.events.observe(float64(n))
+}
+
+// expectedEvents is how many events a route's streams have in the mean; 0: not known.
+func (svc *serviceStats) expectedEvents(route string) float64 {
+	st, ok := svc.streamsByRoute[route]
+	if !ok || st.events.count < minObservations {
+		return 0
+	}
+	return st.events.value
+}
+
+// urgentEventInterval is the interval between two events, in seconds, at which the streams of more urgent
+// routes than the request's would use up all of their time. Of several routes the shortest interval counts; 0:
+// no such stream is requested.
+func (svc *serviceStats) urgentEventInterval(r *vetchtrail.Request, now time.Time) float64 {
+	least := math.Inf(1)
+	for _, st := range svc.streamsByRoute {
+		if st.priority <= r.Priority || now.Sub(st.lastRequested) > streamStatsExpiry || st.events.count < minObservations || st.firstAttemptSeconds == 0 {
+			continue
+		}
+		least = math.Min(least, st.firstAttemptSeconds/st.events.value)
+	}
+	if math.IsInf(least, 1) {
+		return 0
+	}
+	return least
+}
--- a/process/load/summary.go
+++ b/process/load/summary.go
@@ -10,16 +10,15 @@
 // Row is an endpoint's state for operators.
 type Row struct {
 	vetchtrail.Endpoint
-	View   vetchtrail.EndpointView
-	Report vetchtrail.LoadReport
-	// LimitedSince is since when it names a rate; zero: it does not.
-	LimitedSince time.Time
+	View         vetchtrail.EndpointView
+	Report       vetchtrail.LoadReport
+	LimitedSince time.Time // since when it advertises a rate limit; zero: it does not
 	LeavingBy    LeavingBy
-	LeavingSince time.Time // when its answers said so first; zero: they did not
-	PausedUntil  time.Time // until when it wants nothing from this host; zero: it does
+	LeavingSince time.Time // when its answers first said that it is leaving; zero: they did not
+	PausedUntil  time.Time // until when it wants no requests from this host; zero: it isn't paused
 }
 
-// Rows returns the state of all endpoints.
+// Rows returns the state of all endpoints, in no particular order.
 func (t *Table) Rows(now time.Time) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,29 +26,29 @@
 	for _, s := range t.endpoints {
 		row := Row{Endpoint: s.Endpoint, View: s.view(t, now), Report: s.report, LeavingBy: s.leavingBy(now)}
 		if row.LeavingBy == ByAnswers {
-			row.LeavingSince = s.leaving.said
+			row.LeavingSince = s.availability.firstAnnouncedAt
 		}
-		if now.Before(s.leaving.pause) {
-			row.PausedUntil = s.leaving.pause
+		if now.Before(s.availability.pausedUntil) {
+			row.PausedUntil = s.availability.pausedUntil
 		}
-		if s.rate.Named {
-			row.LimitedSince = s.limited
+		if s.rateLimit.Named {
+			row.LimitedSince = s.rateLimitedSince
 		}
 		out = append(out, row)
 	}
 	return out
 }
 
-// Summary is what other data centres are told of a service here.
+// Summary is the load of a service here, as other data centres see it.
 type Summary struct {
 	Service string
-	Free    int
-	Slots   int
-	Wait    time.Duration
-	Gap     time.Duration // least between two events of a stream; 0: not known
+	Free    int           // unused part of Slots
+	Slots   int           // requests that the endpoints in use can run at once
+	Wait    time.Duration // expected time to a new request's first byte
+	Gap     time.Duration // least expected time between two events of a stream; 0: not known
 }
 
-// Summaries returns one for each service, in no order.
+// Summaries returns a summary for each service, in no particular order.
 func (t *Table) Summaries(now time.Time) []Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,41 +59,42 @@
 	return out
 }
 
-func (t *Table) summarize(name string, states []*state, now time.Time) Summary {
-	m := t.means[name]
+func (t *Table) summarize(name string, states []*endpointState, now time.Time) Summary {
+	svc := t.serviceStats[name]
 	sum := Summary{Service: name}
-	best, unread, used := math.Inf(1), 0.0, 0
-	m.waiting = meanWaiting(states, now)
+	bestWait, unread, inUse := math.Inf(1), 0.0, 0
+	svc.othersQueued = meanOthersQueued(states, now)
 	for _, s := range states {
 		v := s.view(t, now)
 		if v.Away {
 			continue
 		}
-		held := max(v.Own, v.Running+v.Queued+v.OwnSince)
-		sum.Slots += s.places(m)
-		sum.Free += max(0, s.places(m)-held)
-		used++
-		unread += s.backlog(leastUrgent, m, now)
+		inFlight := max(v.Own, v.Running+v.Queued+v.OwnSince)
+		sum.Slots += s.concurrency(svc)
+		sum.Free += max(0, s.concurrency(svc)-inFlight)
+		inUse++
+		unread += s.backlog(lowestPriority, svc, now)
 		wait := v.Service * 0.1
-		if held >= v.Slots {
-			wait += float64(held-v.Slots+1) * v.Service / float64(v.Slots)
+		if inFlight >= v.Slots {
+			wait += float64(inFlight-v.Slots+1) * v.Service / float64(v.Slots)
 		}
-		best = math.Min(best, wait)
-		if g := time.Duration(v.Gap * float64(time.Second)); sum.Gap == 0 || g < sum.Gap {
-			sum.Gap = g
+		bestWait = math.Min(bestWait, wait)
+		if interval := time.Duration(v.Gap * float64(time.Second)); sum.Gap == 0 || interval < sum.Gap {
+			sum.Gap = interval
 		}
 	}
-	if used == 0 {
+	if inUse == 0 {
 		return sum
 	}
-	if m.prefill.known() {
-		// Many read this, and the one with the least would soon have the most.
-		base, token := m.prefill.line()
-		best = base + token*unread/float64(used)
+	if svc.prefillFit.known() {
+		// The mean of all endpoints, not the best: many hosts read this summary, and the best endpoint would
+		// soon be the busiest.
+		base, token := svc.prefillFit.line()
+		bestWait = base + token*unread/float64(inUse)
 	}
-	sum.Wait = time.Duration(best * float64(time.Second))
+	sum.Wait = time.Duration(bestWait * float64(time.Second))
 	return sum
 }
 
-// leastUrgent is a priority before which all others go.
-const leastUrgent = math.MinInt8
+// lowestPriority is below the priority of every request, so that all unread prompts are ahead of it.
+const lowestPriority = math.MinInt8
