--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -1,5 +1,7 @@
-// Package poll fetches the endpoints' load reports and the platform's list of
-// leaving ones.
+// Package poll fetches the load reports of this data centre's endpoints and the platform's list of hosts, which
+// says which endpoints are leaving, and records both in a load.Table. The data centre's hosts share the
+// endpoints between them, so that each is polled by one host. The package doesn't pass reports on to other
+// hosts.
 package poll
 
 import (
@@ -20,61 +22,65 @@
 )
 
 const (
-	// standby is after how many intervals without a report the second host for
-	// an endpoint polls it: the first may be slow or cut off from it.
-	standby    = 3
-	callTime   = time.Second
-	maxReport  = 1 << 20 // bytes
-	listEvery  = time.Second
-	leavingFor = 10 * time.Minute
-	longestUp  = 100 * 365 * 24 * time.Hour // beyond it a time since the start is none
+	// standbyIntervals is the number of polling intervals without a report after which an endpoint's standby
+	// host polls it too: the assigned host may be slow, or cut off from the endpoint.
+	standbyIntervals = 3
+	requestTimeout   = time.Second
+	maxResponseBytes = 1 << 20
+	listInterval     = time.Second
+	// reportLeavingValidFor is how long a report that an endpoint is leaving is valid.
+	reportLeavingValidFor = 10 * time.Minute
+	// maxUptime bounds the time since an endpoint's start. A report with a longer one is taken for wrong and
+	// dropped.
+	maxUptime = 100 * 365 * 24 * time.Hour
 )
 
-// Duties says whether a duty is this host's.
+// Duties assigns tasks to hosts.
 type Duties interface {
-	OnDuty(duty string, n int, now time.Time) bool
+	// OnDuty says whether this host is among the first n hosts for a task.
+	OnDuty(task string, n int, now time.Time) bool
 }
 
-// Config is what a Poller needs.
+// Config configures a Poller.
 type Config struct {
 	Table  *load.Table
 	Duties Duties
-	Every  time.Duration
-	Hosts  netip.AddrPort // the platform's list; not valid: none
+	Every  time.Duration  // interval between two polls of an endpoint
+	Hosts  netip.AddrPort // address of the platform's list of hosts; not valid: there is none
 	Log    *slog.Logger
 }
 
-// Poller polls.
+// Poller fetches load reports and the platform's list of hosts.
 type Poller struct {
 	cfg  Config
 	http *fasthttp.Client
 
-	mu   sync.Mutex
-	busy map[string]bool // polls under way
+	mu         sync.Mutex
+	inProgress map[string]bool // polls, by endpoint
 }
 
-// New returns a poller.
+// New returns a poller. It does nothing until Run or RunList is called.
 func New(c Config) *Poller {
-	return &Poller{cfg: c, busy: map[string]bool{}, http: &fasthttp.Client{
-		MaxResponseBodySize: maxReport, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: time.Minute,
+	return &Poller{cfg: c, inProgress: map[string]bool{}, http: &fasthttp.Client{
+		MaxResponseBodySize: maxResponseBytes, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: time.Minute,
 	}}
 }
 
 // report is an endpoint's answer to GET /load.
 type report struct {
-	At      int64 `json:"at"` // when it was true, Unix milliseconds
+	At      int64 `json:"at"` // when the numbers were taken, in Unix milliseconds; 0: now
 	Running int   `json:"running"`
 	Queued  int   `json:"queued"`
 	Leaving bool  `json:"leaving"`
-	Up      int64 `json:"up"` // milliseconds since its process started; 0: not told
+	Up      int64 `json:"up"` // milliseconds since its process started; 0: not reported
 }
 
-// Run polls until ctx ends.
+// Run polls the endpoints until ctx ends.
 func (p *Poller) Run(ctx context.Context) {
 	t := time.NewTicker(p.cfg.Every)
 	defer t.Stop()
 	for {
-		p.round(time.Now())
+		p.startPolls(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -83,7 +89,8 @@
 	}
 }
 
-func (p *Poller) round(now time.Time) {
+// startPolls starts a poll of each endpoint that is due and not being polled already.
+func (p *Poller) startPolls(now time.Time) {
 	for _, e := range p.cfg.Table.Endpoints() {
 		if p.due(e.Name, now) && p.begin(e.Name) {
 			go p.poll(e)
@@ -91,43 +98,46 @@
 	}
 }
 
-// due says whether this host is to poll an endpoint now.
+// due says whether this host should poll an endpoint now: as its assigned host, or as the standby host while
+// reports are missing.
 func (p *Poller) due(name string, now time.Time) bool {
-	duty := "poll " + name
-	if p.cfg.Duties.OnDuty(duty, 1, now) {
+	task := "poll " + name
+	if p.cfg.Duties.OnDuty(task, 1, now) {
 		return true
 	}
-	reported := p.cfg.Table.Reported(name)
-	return now.Sub(reported) > standby*p.cfg.Every && p.cfg.Duties.OnDuty(duty, 2, now)
+	reportedAt := p.cfg.Table.Reported(name)
+	return now.Sub(reportedAt) > standbyIntervals*p.cfg.Every && p.cfg.Duties.OnDuty(task, 2, now)
 }
 
+// begin marks a poll of an endpoint as in progress; false: one is already.
 func (p *Poller) begin(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[name] {
+	if p.inProgress[name] {
 		return false
 	}
-	p.busy[name] = true
+	p.inProgress[name] = true
 	return true
 }
 
 func (p *Poller) end(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, name)
+	delete(p.inProgress, name)
 }
 
+// poll fetches an endpoint's load report and records it.
 func (p *Poller) poll(e vetchtrail.Endpoint) {
 	defer p.end(e.Name)
 	var r report
-	if err := p.get(e.Addr, "/load", &r); err != nil {
-		p.cfg.Log.Debug("no load report", "endpoint", e.Name, "error", err)
+	if err := p.getJSON(e.Addr, "/load", &r); err != nil {
+		p.cfg.Log.Debug("load report not fetched", "endpoint", e.Name, "error", err)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			p.cfg.Table.Down(e.Name, time.Now())
 		}
 		return
 	}
-	if r.Running < 0 || r.Queued < 0 || r.Up < 0 || r.Up > longestUp.Milliseconds() {
+	if r.Running < 0 || r.Queued < 0 || r.Up < 0 || r.Up > maxUptime.Milliseconds() {
 		p.cfg.Log.Warn("load report out of range", "endpoint", e.Name)
 		return
 	}
@@ -135,31 +145,32 @@
 	if now := time.Now(); r.At == 0 || at.After(now) {
 		at = now
 	}
-	now, started := time.Now(), time.Time{}
+	now, startedAt := time.Now(), time.Time{}
 	if r.Up > 0 {
-		started = now.Add(-time.Duration(r.Up) * time.Millisecond)
+		startedAt = now.Add(-time.Duration(r.Up) * time.Millisecond)
 	}
 	p.cfg.Table.Report(e.Name, vetchtrail.LoadReport{
-		At: at, Running: r.Running, Queued: r.Queued, Leaving: r.Leaving, Started: started,
-	}, now.Add(leavingFor))
+		At: at, Running: r.Running, Queued: r.Queued, Leaving: r.Leaving, Started: startedAt,
+	}, now.Add(reportLeavingValidFor))
 }
 
-// listed is a line of the platform's list.
-type listed struct {
+// listedEndpoint is an entry of the platform's list of hosts.
+type listedEndpoint struct {
 	Endpoint string `json:"endpoint"`
 	State    string `json:"state"` // live or leaving
 }
 
-// RunList follows the platform's list until ctx ends. The list lags, so it only
-// ever takes endpoints out of use; an endpoint's own report puts it back.
+// RunList polls the platform's list of hosts until ctx ends. The list lags behind the endpoints, so it only
+// takes endpoints out of use. They return when the list no longer has them as leaving, and no other source says
+// so.
 func (p *Poller) RunList(ctx context.Context) {
 	if !p.cfg.Hosts.IsValid() {
 		return
 	}
-	t := time.NewTicker(listEvery)
+	t := time.NewTicker(listInterval)
 	defer t.Stop()
 	for {
-		p.list(time.Now())
+		p.pollList(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -168,25 +179,28 @@
 	}
 }
 
-func (p *Poller) list(now time.Time) {
-	var lines []listed
-	if err := p.get(p.cfg.Hosts, "/hosts", &lines); err != nil {
-		p.cfg.Log.Debug("no list of hosts", "error", err)
+// pollList fetches the list of hosts and records which endpoints are leaving. The record is valid for two
+// intervals, so that one failed request doesn't put a leaving endpoint back into use.
+func (p *Poller) pollList(now time.Time) {
+	var entries []listedEndpoint
+	if err := p.getJSON(p.cfg.Hosts, "/hosts", &entries); err != nil {
+		p.cfg.Log.Debug("list of hosts not fetched", "error", err)
 		return
 	}
-	for _, l := range lines {
-		if l.State == "leaving" {
-			p.cfg.Table.Leave(l.Endpoint, now.Add(2*listEvery))
+	for _, entry := range entries {
+		if entry.State == "leaving" {
+			p.cfg.Table.Leave(entry.Endpoint, now.Add(2*listInterval))
 		}
 	}
 }
 
-func (p *Poller) get(addr netip.AddrPort, path string, into any) error {
+// getJSON fetches a path of an address and decodes the response.
+func (p *Poller) getJSON(addr netip.AddrPort, path string, into any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + addr.String() + path)
-	if err := p.http.DoTimeout(req, resp, callTime); err != nil {
+	if err := p.http.DoTimeout(req, resp, requestTimeout); err != nil {
 		return &vetchtrail.PeerError{Step: "poll", Peer: addr.String(), Err: err}
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
