--- a/process/notices/metrics.go
+++ b/process/notices/metrics.go
@@ -6,22 +6,23 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Names of the metrics: of what endpoints say of whether they want requests, and of fields that nobody reads.
+// Names of the metrics that count announcements of endpoints and fields of answers that no code reads.
 const (
 	Name        = "vetchtrail_endpoint_notices_total"
 	UnknownName = "vetchtrail_endpoint_fields_unknown_total"
 )
 
-// count counts a notice by what it says.
-func count(says string) { metrics.GetOrCreateCounter(Name + `{says="` + says + `"}`).Inc() }
+// countNotice counts an announcement by what it says.
+func countNotice(says string) { metrics.GetOrCreateCounter(Name + `{says="` + says + `"}`).Inc() }
 
-// countUnknown counts a field that nobody reads. What can't stand in a metric's label is left out of its name.
-func countUnknown(field string) {
-	name := strings.Map(func(r rune) rune {
+// countUnknownField counts an unknown field by its name, without the characters that a metric's label can't
+// hold.
+func countUnknownField(field string) {
+	label := strings.Map(func(r rune) rune {
 		if r < ' ' || r == '"' || r == '\\' || r > '~' {
 			return -1
 		}
 		return r
 	}, field)
-	metrics.GetOrCreateCounter(UnknownName + `{field="` + name + `"}`).Inc()
+	metrics.GetOrCreateCounter(UnknownName + `{field="` + label + `"}`).Inc()
 }
--- a/process/notices/notices.go
+++ b/process/notices/notices.go
@@ -1,5 +1,6 @@
-// Package notices tells operators what endpoints say of whether they want requests: that they leave, that
-// they want nothing from this host for a time. It lives for the process.
+// Package notices logs and counts what endpoints announce of their availability: that they are leaving, or that
+// they are paused and want no requests from this host for a time. The announcements themselves are kept by
+// package load. The state of this package, which prevents repeated log lines, ends with the process.
 package notices
 
 import (
@@ -13,90 +14,92 @@
 	"vetchtrail/schema"
 )
 
-// Table is what the host believes of its endpoints.
+// Table records announcements of endpoints. *load.Table implements it.
 type Table interface {
-	// HearNotice takes what an answer said, and returns what of it is news.
+	// HearNotice records the announcement of an endpoint's answer, and returns what of it is new.
 	HearNotice(name string, born time.Time, n vetchtrail.Notice) load.NoticeNews
-	// HearNoticeShort takes what one said to another host, by the short form of its name.
+	// HearNoticeShort does the same for an announcement that another host received. It names the endpoint by
+	// load.Short.
 	HearNoticeShort(short uint32, born time.Time, n vetchtrail.Notice, now time.Time) load.NoticeNews
 }
 
-// Config is what Notices need.
+// Config configures Notices.
 type Config struct {
-	Observer vetchtrail.Observer // hears all else that is observed
+	Observer vetchtrail.Observer // gets all other observations
 	Table    Table
 	Log      *slog.Logger
 }
 
-// Notices is a vetchtrail.Observer. It is safe for use by many.
+// Notices is a vetchtrail.Observer that logs and counts announcements and unknown fields, and leaves all other
+// observations to the observer of its configuration. It is safe for concurrent use.
 type Notices struct {
 	vetchtrail.Observer
-	cfg   Config
-	lines logs.Sparse // by endpoint
+	cfg        Config
+	logLimiter logs.Sparse // by endpoint
 
-	mu      sync.Mutex
-	unknown map[string]bool // names of fields that nobody reads
+	mu            sync.Mutex
+	unknownFields map[string]bool // names that were logged
 }
 
-// New returns notices of which none was heard.
+// New returns a Notices.
 func New(c Config) *Notices {
-	return &Notices{Observer: c.Observer, cfg: c, unknown: map[string]bool{}}
+	return &Notices{Observer: c.Observer, cfg: c, unknownFields: map[string]bool{}}
 }
 
 // Noticed implements vetchtrail.Observer.
-func (n *Notices) Noticed(e vetchtrail.Endpoint, said vetchtrail.Notice, err error) {
+func (n *Notices) Noticed(e vetchtrail.Endpoint, notice vetchtrail.Notice, err error) {
 	if err != nil {
-		count("misread")
-		if n.lines.May(e.Name, said.Heard) {
-			n.cfg.Log.Warn("endpoint says what can't be read of whether it wants requests", "endpoint", e.Name, "error", err)
+		countNotice("misread")
+		if n.logLimiter.May(e.Name, notice.Heard) {
+			n.cfg.Log.Warn("endpoint's availability can't be parsed", "endpoint", e.Name, "error", err)
 		}
 	}
-	news := n.cfg.Table.HearNotice(e.Name, e.Born, said)
+	news := n.cfg.Table.HearNotice(e.Name, e.Born, notice)
 	if news.Leaves {
-		count("leaving")
+		countNotice("leaving")
 		n.cfg.Log.Info("endpoint says that it leaves", "endpoint", e.Name, "service", e.Service)
 	}
 	if news.Paused {
-		count("paused")
-		if n.lines.May(e.Name, said.Heard) {
-			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", said.Until.Sub(said.Heard))
+		countNotice("paused")
+		if n.logLimiter.May(e.Name, notice.Heard) {
+			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", notice.Until.Sub(notice.Heard))
 		}
 	}
 }
 
-// Learn takes what another host tells of an endpoint that leaves.
+// Learn records another host's message that an endpoint is leaving.
 func (n *Notices) Learn(from string, m *schema.EndpointLeaves) {
 	now := time.Now()
-	said, born := schema.ToLeaves(m, now)
-	news := n.cfg.Table.HearNoticeShort(m.GetEndpoint(), born, said, now)
+	notice, startedAt := schema.ToLeaves(m, now)
+	news := n.cfg.Table.HearNoticeShort(m.GetEndpoint(), startedAt, notice, now)
 	if !news.Leaves {
 		return
 	}
-	count("leaving, told by a host")
+	countNotice("leaving, told by a host")
 	if news.Endpoint != "" {
-		n.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(said.Heard))
+		n.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(notice.Heard))
 	}
 }
 
 const (
-	// mostUnknown bounds the fields that are told of and counted by name.
-	mostUnknown = 64
-	// longestField is the longest name of a field that is told whole, in bytes.
-	longestField = 64
+	// maxUnknownFields bounds the unknown fields that are logged and counted under their own names.
+	maxUnknownFields = 64
+	// maxFieldNameBytes bounds the part of an unknown field's name that is logged and counted.
+	maxFieldNameBytes = 64
 )
 
-// Unknown implements vetchtrail.Observer. A field has one line, and is counted by its name.
+// Unknown implements vetchtrail.Observer. It logs each unknown field once, and counts it by its name.
 func (n *Notices) Unknown(e vetchtrail.Endpoint, field string) {
-	field = field[:min(len(field), longestField)]
+	field = field[:min(len(field), maxFieldNameBytes)]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.unknown[field] {
-		if len(n.unknown) >= mostUnknown {
-			countUnknown("other")
+	if !n.unknownFields[field] {
+		if len(n.unknownFields) >= maxUnknownFields {
+			countUnknownField("other")
 			return
 		}
-		n.unknown[field] = true
+		n.unknownFields[field] = true
 		n.cfg.Log.Warn("endpoint says what nobody reads", "endpoint", e.Name, "service", e.Service, "field", field)
 	}
-	countUnknown(field)
+	countUnknownField(field)
 }
