--- a/process/load/load.go
+++ b/process/load/load.go
@@ -1,6 +1,6 @@
 // Package load holds what this host knows about the load and the availability of its data centre's endpoints:
 // their load reports, this host's requests in flight, observed speeds and failures, rate limits, and whether
-// they are leaving. A request's decision is made from this knowledge; the outcome of the request adds to it.
+// they are leaving. Each request's endpoint is chosen by this knowledge, and the request's outcome adds to it.
 //
 // The package neither chooses endpoints nor sends requests or fetches reports. Its state is held in memory only
 // and ends with the process.
@@ -98,7 +98,7 @@
 	hasReport            bool
 	fetchedHere          bool                    // this host fetched the report itself
 	reportNumber         uint64                  // Table.reportNumber when the report was accepted
-	inFlight             int                     // this host's requests
+	inFlight             int                     // this host's requests in flight
 	inFlightHistory      []inFlightChange        // a ring once it is full
 	inFlightChanges      int                     // recorded so far
 	limit                float64                 // of inFlight, before the warm-up share
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -197,8 +197,8 @@
 }
 
 // backlog estimates the tokens that the endpoint reads before a request of a priority: those of this host's
-// prompts and of other hosts'. Of the latter the priorities aren't known, and are assumed to be as of this
-// host's.
+// prompts and those of other hosts' prompts. The priorities of the latter aren't known: the same share of them
+// as of this host's is assumed to be read before the request.
 func (s *endpointState) backlog(priority int8, svc *serviceStats, now time.Time) float64 {
 	unreadAhead, all := s.unreadAhead(priority)
 	share := 1.0
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -91,8 +91,7 @@
 }
 
 // Rationed records what the owner of an endpoint's rate limit last said: rateLeft is the number of requests
-// that can be sent at once. Until the given time the endpoint is out of use, as nothing is left; zero:
-// something is.
+// that can be sent at once. If until is set, none can, and the endpoint is out of use until then.
 func (t *Table) Rationed(name string, rateLeft float64, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/release.go
+++ b/process/load/release.go
@@ -41,7 +41,7 @@
 		s.backOff(vetchtrail.ReasonUnreachable, now.Add(min(minConnectBackOff<<min(s.connectFailuresInRow, maxConnectBackOffDoublings), maxConnectBackOff)))
 		s.connectFailuresInRow++
 		s.warmUp = initialWarmUp
-	case o.Outcome.Kind == vetchtrail.NotRun: // this host didn't send it
+	case o.Outcome.Kind == vetchtrail.NotRun: // not sent, for a reason of this host
 	default:
 		if o.Outcome.Reason == vetchtrail.ReasonDeadline {
 			t.cutLimit(s)
