--- a/process/load/in_flight.go
+++ b/process/load/in_flight.go
@@ -48,8 +48,9 @@
 	s.inFlightChanges++
 }
 
-// Acquire counts a request as in flight at an endpoint. It returns false when the endpoint is out of use, at
-// its limit, or in its cold start with this host's share used up. Release ends the request.
+// Acquire counts a request as in flight at an endpoint. It returns false when the endpoint is leaving, paused,
+// ejected, backed off, at its limit, or in its cold start with this host's share used up. Silence and the rate
+// limit, which take an endpoint out of use in a view, are not checked here. Release ends the request.
 func (t *Table) Acquire(name string, r *vetchtrail.Request, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
