--- a/process/quotas/ask.go
+++ b/process/quotas/ask.go
@@ -40,7 +40,7 @@
 }
 
 // granted asks the region's keepers in turn until one answers.
-func (q *Quotas) granted(a quota.Ask) (quota.Grant, bool) {
+func (q *Quotas) granted(a quota.LeaseRequest) (quota.LeaseReply, bool) {
 	now := time.Now()
 	for _, h := range q.cfg.Hosts.RankedIn(q.cfg.Self.Region, q.duty(q.shardOf(a.Workspace)), q.asked(), now) {
 		if h.Name == q.cfg.Self.Name {
@@ -56,7 +56,7 @@
 		q.setLost(h.Name, time.Now().Add(q.lostTime()))
 		q.cfg.Log.Info("keeper of quotas not reached", "peer", h.Name, "duty", q.cfg.Duty, "of", a.Workspace, "error", err)
 	}
-	return quota.Grant{}, false
+	return quota.LeaseReply{}, false
 }
 
 // asked is how many keepers are asked in turn. Where nothing may be exceeded that is one: with messages
@@ -78,8 +78,8 @@
 }
 
 // rebased returns a grant with its moments by another clock.
-func rebased(g quota.Grant, from, to time.Time) quota.Grant {
-	for _, at := range []*time.Time{&g.Until, &g.Back} {
+func rebased(g quota.LeaseReply, from, to time.Time) quota.LeaseReply {
+	for _, at := range []*time.Time{&g.ExpiresAt, &g.RetryAt} {
 		if !at.IsZero() {
 			*at = to.Add(at.Sub(from))
 		}
@@ -87,19 +87,19 @@
 	return g
 }
 
-func (q *Quotas) askHost(h vetchtrail.Host, a quota.Ask) (quota.Grant, error) {
+func (q *Quotas) askHost(h vetchtrail.Host, a quota.LeaseRequest) (quota.LeaseReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTime)
 	defer cancel()
 	m, err := q.cfg.Peers.Grant(ctx, h.Peers, &schema.GrantRequest{
-		From: q.cfg.Self.Name, Workspace: a.Workspace, Least: a.Least, Want: a.Want, Asked: a.Asked, Spent: a.Spent,
+		From: q.cfg.Self.Name, Workspace: a.Workspace, Least: a.MinUnits, Want: a.WantedUnits, Asked: a.DemandedUnits, Spent: a.UnleasedUnits,
 	})
 	if err != nil {
-		return quota.Grant{}, err
+		return quota.LeaseReply{}, err
 	}
 	now := q.cfg.Clock()
-	return quota.Grant{
-		Units: m.GetGranted(), Until: now.Add(time.Duration(m.GetFor())), Back: now.Add(time.Duration(m.GetBack())),
-		Left: m.GetLeft(), Age: time.Duration(m.GetAge()), Share: m.GetShare(), Part: m.GetPart(),
+	return quota.LeaseReply{
+		Units: m.GetGranted(), ExpiresAt: now.Add(time.Duration(m.GetFor())), RetryAt: now.Add(time.Duration(m.GetBack())),
+		RegionLeft: m.GetLeft(), ReportAge: time.Duration(m.GetAge()), HostRate: m.GetShare(), RegionShare: m.GetPart(),
 	}, nil
 }
 
@@ -118,22 +118,22 @@
 // Granted answers another host.
 func (q *Quotas) Granted(m *schema.GrantRequest) *schema.GrantReply {
 	now := time.Now()
-	g := q.grant(m.GetFrom(), quota.Ask{Workspace: m.GetWorkspace(), Least: m.GetLeast(), Want: m.GetWant(), Asked: m.GetAsked(), Spent: m.GetSpent()}, now)
-	out := &schema.GrantReply{Granted: g.Units, Left: g.Left, Age: int64(g.Age), Share: g.Share, Part: g.Part}
+	g := q.grant(m.GetFrom(), quota.LeaseRequest{Workspace: m.GetWorkspace(), MinUnits: m.GetLeast(), WantedUnits: m.GetWant(), DemandedUnits: m.GetAsked(), UnleasedUnits: m.GetSpent()}, now)
+	out := &schema.GrantReply{Granted: g.Units, Left: g.RegionLeft, Age: int64(g.ReportAge), Share: g.HostRate, Part: g.RegionShare}
 	if g.Units > 0 {
-		out.For = int64(g.Until.Sub(now))
+		out.For = int64(g.ExpiresAt.Sub(now))
 	} else {
-		out.Back = int64(g.Back.Sub(now))
+		out.Back = int64(g.RetryAt.Sub(now))
 	}
 	return out
 }
 
 // grant answers as the keeper of the workspace's quota, by the configuration held here: a
 // workspace that it does not bound, or no longer, has nothing to grant.
-func (q *Quotas) grant(from string, a quota.Ask, now time.Time) quota.Grant {
+func (q *Quotas) grant(from string, a quota.LeaseRequest, now time.Time) quota.LeaseReply {
 	bound := q.cfg.Bounds().Quota(a.Workspace)
 	if !bound.Bounded() {
-		return quota.Grant{Back: now.Add(aloneTime)}
+		return quota.LeaseReply{RetryAt: now.Add(aloneTime)}
 	}
 	heard := q.cfg.Hosts.HeardPart(now)
 	q.mu.Lock()
@@ -141,7 +141,7 @@
 	k := q.keeper(a.Workspace)
 	k.used = now
 	if q.cfg.Way == WayTold {
-		return quota.Grant{Share: k.sharer.Share(from, a.Asked, bound, now), Age: k.Book.Age(now)}
+		return quota.LeaseReply{HostRate: k.sharer.HostRate(from, a.DemandedUnits, bound, now), ReportAge: k.RegionSplit.ReportAge(now)}
 	}
 	return k.Grant(a, bound, q.cfg.Tolerance, heard, now)
 }
@@ -150,8 +150,8 @@
 func (q *Quotas) keeper(workspace string) *kept {
 	k, ok := q.keepers[workspace]
 	if !ok {
-		keeper := quota.NewKeeper(len(q.cfg.Bounds().RegionNames()), q.keeperSince(q.shardOf(workspace), time.Now()))
-		k = &kept{Keeper: *keeper, sharer: quota.NewSharer(keeper.Book)}
+		keeper := quota.NewOwner(len(q.cfg.Bounds().RegionNames()), q.keeperSince(q.shardOf(workspace), time.Now()))
+		k = &kept{Owner: *keeper, sharer: quota.NewShareAssigner(keeper.RegionSplit)}
 		q.keepers[workspace] = k
 	}
 	return k
--- a/process/quotas/claim.go
+++ b/process/quotas/claim.go
@@ -128,7 +128,7 @@
 	}
 	q.mu.Lock()
 	for _, c := range claims {
-		q.keeper(c.GetWorkspace()).Book.Told(region, c.GetRate())
+		q.keeper(c.GetWorkspace()).RegionSplit.MarkConfirmed(region, c.GetRate())
 	}
 	q.mu.Unlock()
 	q.hear(reply, time.Now())
@@ -140,7 +140,7 @@
 	defer q.mu.Unlock()
 	q.sequence++
 	for _, c := range claims {
-		q.keeper(c.GetWorkspace()).Book.Telling(region, c.GetRate())
+		q.keeper(c.GetWorkspace()).RegionSplit.MarkSent(region, c.GetRate())
 	}
 	return q.sequence
 }
@@ -151,7 +151,7 @@
 	defer q.mu.Unlock()
 	for _, c := range m.GetClaims() {
 		k := q.keeper(c.GetWorkspace())
-		k.Book.Hear(m.GetRegion(), m.GetFrom(), m.GetSequence(), c.GetRate(), now)
+		k.RegionSplit.Receive(m.GetRegion(), m.GetFrom(), m.GetSequence(), c.GetRate(), now)
 		if k.used.IsZero() {
 			k.used = now
 		}
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -88,9 +88,9 @@
 // held is what this host holds for a workspace.
 type held struct {
 	mu      sync.Mutex
-	holder  quota.Holder
-	equal   quota.Equal
-	told    quota.Told
+	holder  quota.LeaseHolder
+	equal   quota.EqualShare
+	told    quota.AssignedShare
 	alone   time.Time     // until when no keeper is asked, as none was reached
 	asking  chan struct{} // closed when the question under way is answered; nil: none is
 	waiting float64       // units of the requests that wait for it
@@ -98,9 +98,9 @@
 
 // kept is a keeper with its workspace.
 type kept struct {
-	quota.Keeper
-	sharer *quota.Sharer // where hosts are told shares
-	used   time.Time     // when it was last asked or heard of
+	quota.Owner
+	sharer *quota.ShareAssigner // where hosts are told shares
+	used   time.Time            // when it was last asked or heard of
 }
 
 // asks returns the units a second that the region's callers ask for.
@@ -136,7 +136,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := q.cfg.Clock()
-	h.holder.Arrive(charge, now)
+	h.holder.RecordDemand(charge, now)
 	switch q.cfg.Way {
 	case WayEqual:
 		return q.takeEqual(h, charge, bound, now)
@@ -155,7 +155,7 @@
 			}
 			return q.takeEqual(h, charge, bound, now)
 		}
-		if back, shut := h.holder.Shut(now); shut {
+		if back, shut := h.holder.Blocked(now); shut {
 			return h.verdict(false, back, now)
 		}
 		if !q.await(ctx, h, workspace, charge) {
@@ -163,7 +163,7 @@
 		}
 		now = q.cfg.Clock()
 	}
-	back, _ := h.holder.Shut(now)
+	back, _ := h.holder.Blocked(now)
 	return h.verdict(false, latest(back, now.Add(leastBack)), now)
 }
 
@@ -180,14 +180,14 @@
 func (q *Quotas) takeEqual(h *held, charge float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
 	ok, back := h.equal.Take(charge, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
 	if ok {
-		h.holder.SpendAlone(charge)
+		h.holder.RecordUnleased(charge)
 	}
 	return h.verdict(ok, back, now)
 }
 
 // takeTold takes from the host's share, and asks for a new one now and then.
 func (q *Quotas) takeTold(h *held, workspace string, charge float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
-	if h.told.Due(now) {
+	if h.told.RequestDue(now) {
 		q.ask(h, workspace, 0)
 	}
 	ok, back := h.told.Take(charge, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
@@ -195,7 +195,7 @@
 }
 
 func (h *held) verdict(ok bool, back, now time.Time) vetchtrail.QuotaVerdict {
-	here, region, age := h.holder.Held(now)
+	here, region, age := h.holder.Balance(now)
 	if !back.IsZero() {
 		back = time.Now().Add(back.Sub(now)) // by the clock of callers
 	}
@@ -222,7 +222,7 @@
 	h := q.heldOf(name)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.holder.Void()
+	h.holder.DiscardLease()
 }
 
 // heldOf returns what is held for a workspace.
@@ -257,7 +257,7 @@
 
 // askAhead asks for units before those held are used up. The caller holds the lock.
 func (q *Quotas) askAhead(h *held, workspace string, now time.Time) {
-	if h.holder.RunsLow(now) && !now.Before(h.alone) {
+	if h.holder.ShouldPrefetch(now) && !now.Before(h.alone) {
 		q.ask(h, workspace, 0)
 	}
 }
@@ -268,24 +268,24 @@
 		return
 	}
 	h.asking = make(chan struct{})
-	a := h.holder.Ask(workspace, least, h.waiting, q.cfg.Clock())
+	a := h.holder.NewRequest(workspace, least, h.waiting, q.cfg.Clock())
 	go q.question(h, a)
 }
 
 // question asks the region's keepers in turn until one answers.
-func (q *Quotas) question(h *held, a quota.Ask) {
+func (q *Quotas) question(h *held, a quota.LeaseRequest) {
 	g, ok := q.granted(a)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := q.cfg.Clock()
 	switch {
 	case ok && q.cfg.Way == WayTold:
-		h.told.Answer(g.Share, now)
+		h.told.ApplyReply(g.HostRate, now)
 	case ok:
-		h.holder.Answer(a, g, now)
-		h.equal.Learn(g.Part, len(q.cfg.Bounds().RegionNames()))
+		h.holder.ApplyReply(a, g, now)
+		h.equal.SetRegionShare(g.RegionShare, len(q.cfg.Bounds().RegionNames()))
 	default:
-		h.holder.Unasked(a)
+		h.holder.RestoreRequest(a)
 		h.alone = now.Add(aloneTime)
 		q.cfg.Log.Warn("no keeper of quotas reached", "duty", q.cfg.Duty, "of", a.Workspace, "until", h.alone, "equal_part", !q.cfg.Strict, "hosts", q.cfg.Hosts.Count())
 	}
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -207,7 +207,7 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 			hosts[0].mu.Lock()
-			part := hosts[0].keepers["w"].Book.Part(1000, 5000) / 1000
+			part := hosts[0].keepers["w"].RegionSplit.RegionRate(1000, 5000) / 1000
 			hosts[0].mu.Unlock()
 			assert.Assert(t, part >= c.part[0] && part <= c.part[1], "%.2f", part)
 		})
@@ -244,14 +244,14 @@
 			clock := func() time.Time { return time.Unix(5000, 0).Add(time.Since(began) + asleep) }
 			q := New(Config{Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			h := q.heldOf("w")
-			a := h.holder.Ask("w", 0, 0, clock())
-			h.holder.Answer(a, quota.Grant{Units: 10, Until: clock().Add(500 * time.Millisecond)}, clock())
+			a := h.holder.NewRequest("w", 0, 0, clock())
+			h.holder.ApplyReply(a, quota.LeaseReply{Units: 10, ExpiresAt: clock().Add(500 * time.Millisecond)}, clock())
 			asleep = c.asleep
 			assert.Equal(t, h.holder.Spend(1, q.cfg.Clock()), c.spends)
 			steady := time.Now()
-			g := rebased(quota.Grant{Until: steady.Add(time.Second)}, steady, clock())
-			left := g.Until.Sub(clock())
-			assert.Assert(t, left > 900*time.Millisecond && left <= time.Second && g.Back.IsZero(), "%s", left)
+			g := rebased(quota.LeaseReply{ExpiresAt: steady.Add(time.Second)}, steady, clock())
+			left := g.ExpiresAt.Sub(clock())
+			assert.Assert(t, left > 900*time.Millisecond && left <= time.Second && g.RetryAt.IsZero(), "%s", left)
 			v := h.verdict(false, clock().Add(300*time.Millisecond), clock())
 			assert.Assert(t, time.Until(v.RetryAt) > 200*time.Millisecond && time.Until(v.RetryAt) <= 300*time.Millisecond, "%s", time.Until(v.RetryAt))
 		})
--- /dev/null
+++ b/request/quota/assigned_share.go
@@ -0,0 +1,101 @@
+package quota
+
+import (
+	"time"
+
+	"vetchtrail"
+)
+
+// ShareAssigner divides a region's share of a quota among its hosts by their recent demand. It
+// never withdraws a rate: until the other hosts have asked again, the rates of all hosts may
+// add up to more than the region's share.
+type ShareAssigner struct {
+	RegionSplit *RegionSplit
+	hosts       map[string]*Demand // by host
+	total       Demand
+}
+
+// NewShareAssigner returns a ShareAssigner without hosts.
+func NewShareAssigner(split *RegionSplit) *ShareAssigner {
+	return &ShareAssigner{RegionSplit: split, hosts: map[string]*Demand{}}
+}
+
+// Demand returns the units per second that the region's callers request.
+func (s *ShareAssigner) Demand(now time.Time) float64 { return s.total.Rate(now) }
+
+// HostRate returns the units per second that a host may use. demandedUnits is what its callers
+// requested since it last asked.
+func (s *ShareAssigner) HostRate(host string, demandedUnits float64, q vetchtrail.Quota, now time.Time) float64 {
+	s.total.Add(demandedUnits, now)
+	d, ok := s.hosts[host]
+	if !ok {
+		d = &Demand{}
+		s.hosts[host] = d
+	}
+	d.Add(demandedUnits, now)
+	regionRate, sum := s.RegionSplit.RegionRate(q.Rate, s.total.Rate(now)), 0.0
+	for _, other := range s.hosts {
+		sum += other.Rate(now)
+	}
+	ownDemand := d.Rate(now)
+	if sum > regionRate {
+		return regionRate * ownDemand / sum
+	}
+	return ownDemand + (regionRate-sum)/float64(len(s.hosts))
+}
+
+const (
+	// shareInterval is how often a host asks for its rate.
+	shareInterval = 250 * time.Millisecond
+	// shareTTL is how long a rate is valid without a new reply. After that the host uses an equal
+	// share.
+	shareTTL = time.Second
+)
+
+// AssignedShare is a host's share of a workspace's quota, at the rate that the owner assigned.
+type AssignedShare struct {
+	bucket        bucket
+	rate          float64   // units per second
+	expiresAt     time.Time // until when the rate is valid
+	nextRequestAt time.Time // when the host asks again
+	started       bool      // the bucket has its initial level
+}
+
+// RequestDue reports whether to ask for the rate now. If so, the caller must ask, as the next
+// request is then due after shareInterval.
+func (t *AssignedShare) RequestDue(now time.Time) bool {
+	if now.Before(t.nextRequestAt) {
+		return false
+	}
+	t.nextRequestAt = now.Add(shareInterval)
+	return true
+}
+
+// ApplyReply stores the rate from the owner's reply.
+func (t *AssignedShare) ApplyReply(rate float64, now time.Time) {
+	t.rate, t.expiresAt = rate, now.Add(shareTTL)
+}
+
+// Take deducts units if the host's share has any left. A request may cost more than is left,
+// and the share then owes the difference. If it is refused, retryAt is when units will be
+// available.
+func (t *AssignedShare) Take(units float64, q vetchtrail.Quota, tolerance Tolerance, hosts int, now time.Time) (ok bool, retryAt time.Time) {
+	rate := q.Rate / float64(max(1, hosts))
+	if now.Before(t.expiresAt) {
+		rate = t.rate
+	}
+	capacity := tolerance.capacity(q) * rate / q.Rate
+	if !t.started {
+		t.started = true
+		t.bucket = bucket{level: initialFill * capacity, updatedAt: now}
+	}
+	t.bucket.fill(rate, capacity, now)
+	if t.bucket.level <= 0 {
+		return false, now.Add(t.bucket.wait(1, rate))
+	}
+	t.bucket.spend(units)
+	return true, time.Time{}
+}
+
+// Return gives back units that were not used.
+func (t *AssignedShare) Return(units float64) { t.bucket.level += units }
--- a/request/quota/bucket.go
+++ b/request/quota/bucket.go
@@ -6,69 +6,70 @@
 	"vetchtrail"
 )
 
-// Tolerance is by how much the units that run may exceed a quota: in any window, all hosts
-// together, (rate x window + burst) x (1 + Overage) + Slack.
+// Tolerance is how far usage may exceed a quota. In any window, all hosts together may run
+// (rate x window + burst) x (1 + Overage) + Slack units.
 type Tolerance struct {
 	Window  time.Duration
-	Overage float64
-	Slack   float64
+	Overage float64 // fraction of the quota
+	Slack   float64 // units
 }
 
 const (
-	// slackPart and overagePart are the parts of the tolerance that a workspace may use in
-	// a burst, so that requests which fall together are not refused. The rest is for what
-	// is late: grants that are used after the window began, regions that moved their parts,
-	// a keeper that is replaced.
-	slackPart   = 0.75
-	overagePart = 0.25
-	// startPart is the part of a full bucket with which a keeper begins that knows nothing:
-	// another may have emptied it just before.
-	startPart = 0.25
+	// burstSlackShare and burstOverageShare are the fractions of the tolerance that a workspace
+	// may use in a burst, so that requests which coincide are not refused. The rest covers delays:
+	// leases that are used after the window began, regions whose shares have just moved, and an
+	// owner that was replaced.
+	burstSlackShare   = 0.75
+	burstOverageShare = 0.25
+	// initialFill is the fraction of a full bucket with which a new bucket starts. It is low
+	// because a previous owner may have emptied its bucket just before.
+	initialFill = 0.25
 )
 
-// capacity is the most that a workspace may use at once.
+// capacity returns the most units that a workspace may use at once.
 func (t Tolerance) capacity(q vetchtrail.Quota) float64 {
-	return q.Burst + slackPart*t.Slack + overagePart*t.Overage*q.Rate*t.Window.Seconds()
+	return q.Burst + burstSlackShare*t.Slack + burstOverageShare*t.Overage*q.Rate*t.Window.Seconds()
 }
 
-// bucket holds units that may be used.
+// bucket is a token bucket. Its level is negative while it owes units.
 type bucket struct {
-	level float64
-	at    time.Time
-	owed  float64 // the most that one request took of it since nothing was owed
+	level       float64
+	updatedAt   time.Time // when level was last updated
+	largestCost float64   // largest cost spent since the level was last zero or more
 }
 
-// spend takes the units of a request, which may be more than there are.
+// spend deducts the cost of a request, which may exceed the level.
 func (b *bucket) spend(units float64) {
 	b.level -= units
-	b.owed = max(b.owed, units)
+	b.largestCost = max(b.largestCost, units)
 }
 
-// fill adds what a rate brought since the last time, up to a capacity.
+// fill adds the units that have accrued at a rate since the last update, up to the capacity.
 func (b *bucket) fill(rate, capacity float64, now time.Time) {
-	if now.After(b.at) {
-		b.level += rate * now.Sub(b.at).Seconds()
-		b.at = now
+	if now.After(b.updatedAt) {
+		b.level += rate * now.Sub(b.updatedAt).Seconds()
+		b.updatedAt = now
 	}
-	// What is owed is bounded too: a quota that was lowered must not be refused for long for
-	// what was owed to the higher one. One request is owed whole: of a host's part that holds less
-	// than one, ten times the rate was used.
-	b.level = max(-max(capacity, b.owed), min(b.level, capacity))
+	// The debt is bounded: after a quota is lowered, requests must not be refused for long because
+	// of debt from the higher quota. But the bound is never less than the cost of one request:
+	// without that, a share whose capacity is less than one request was used at ten times its
+	// rate.
+	b.level = max(-max(capacity, b.largestCost), min(b.level, capacity))
 	if b.level >= 0 {
-		b.owed = 0
+		b.largestCost = 0
 	}
 }
 
-// wait is the time until the bucket holds units at a rate.
+// wait returns the time until the bucket has a number of units at a given rate.
 func (b *bucket) wait(units, rate float64) time.Duration {
 	if units <= b.level {
 		return 0
 	}
 	if rate <= 0 {
-		return longestWait
+		return maxRetryDelay
 	}
-	return min(longestWait, time.Duration((units-b.level)/rate*float64(time.Second)))
+	return min(maxRetryDelay, time.Duration((units-b.level)/rate*float64(time.Second)))
 }
 
-// longestWait bounds the time that a refused caller is told to wait.
-const longestWait = 10 * time.Second
+// maxRetryDelay is the longest time that a refused caller is told to wait.
+const maxRetryDelay = 10 * time.Second
