--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -1,6 +1,9 @@
-// Package quotas keeps what all hosts together run for a workspace within its quota, or send to an
-// endpoint within the rate that it names, by the rules of request/quota: it carries their messages
-// between hosts. It lives for the process.
+// Package quotas keeps the requests that all hosts run for a workspace within its quota. It
+// also serves rate limits of endpoints, which are quotas of requests (package ratelimits).
+//
+// Package request/quota has the rules. This package holds their state for the life of the
+// process and carries their messages between hosts: lease requests to the owner of a quota,
+// and the exchange of demand between the owners in different regions.
 package quotas
 
 import (
@@ -15,45 +18,49 @@
 	"vetchtrail/schema"
 )
 
-// Ways in which a quota is kept.
+// Strategies to enforce a quota.
 const (
-	// WayLeased: a host of each region grants pieces of it.
+	// WayLeased leases units from the owner in each region.
 	WayLeased = "leased"
-	// WayTold: hosts have parts by what their callers asked for lately, as they told.
+	// WayTold assigns a rate to each host by the recent demand of its callers.
 	WayTold = "told"
-	// WayEqual: each host has an equal part.
+	// WayEqual gives each host an equal share.
 	WayEqual = "equal"
 )
 
-// Ways are the names of the ways.
+// Ways are the names of the strategies, as the setting quotas.way has them.
 var Ways = []string{WayLeased, WayTold, WayEqual}
 
-// Peers is how the quotas reach other hosts.
+// Peers sends requests to other hosts.
 type Peers interface {
+	// Grant sends a lease request to an owner.
 	Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error)
+	// Claim sends this region's demand to the owner in another region and returns that region's.
 	Claim(ctx context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error)
 }
 
-// Hosts is what the quotas know of the other hosts.
+// Hosts is the view of the other hosts, from the membership.
 type Hosts interface {
-	// RankedIn returns the first n live hosts of a region for a duty.
-	RankedIn(region, duty string, n int, now time.Time) []vetchtrail.Host
-	// HeardPart returns the part of the region's hosts that this one hears of.
+	// RankedIn returns the n live hosts of a region that rank first for a task. The first of them
+	// is the owner.
+	RankedIn(region, task string, n int, now time.Time) []vetchtrail.Host
+	// HeardPart returns the fraction of the region's hosts that this host receives heartbeats
+	// from.
 	HeardPart(now time.Time) float64
-	// Count returns how many hosts there are, those too that are lost.
+	// Count returns the number of known hosts, including crashed ones.
 	Count() int
 }
 
-// Bounds says what is bounded, and for whom.
+// Bounds is the configuration of the quotas.
 type Bounds interface {
-	// Quota returns the quota of a workspace or endpoint by its name; without a bound: there is
-	// nothing to keep.
+	// Quota returns the quota of a workspace or endpoint by its name. One without a limit needs no
+	// enforcement.
 	Quota(name string) vetchtrail.Quota
 	// RegionNames returns the regions whose hosts share the quotas.
 	RegionNames() []string
 }
 
-// Config is what Quotas need.
+// Config configures Quotas.
 type Config struct {
 	Self      vetchtrail.Host
 	Bounds    func() Bounds
@@ -61,52 +68,56 @@
 	Peers     Peers
 	Tolerance quota.Tolerance
 	Way       string
-	// Duty names the duty to keep the quotas, of which there are so many shards.
-	Duty   string
+	// Task is the name of the task to own quotas, which is divided into Shards. Hosts rank
+	// themselves for each shard by hashing this name and the shard number.
+	Task   string
 	Shards int
-	// Strict leaves a host that reaches no keeper nothing, in place of an equal part: many hosts
-	// with one request each would be more than an endpoint in need takes in seconds.
+	// Strict lets a host that reaches no owner run nothing, instead of an equal share. An equal
+	// share may be one request at each of many hosts, which is more than an overloaded endpoint
+	// can take within seconds.
 	Strict bool
-	// Clock goes on while the host is suspended: units that it holds lapse meanwhile. What it
-	// keeps of the region's parts stands still, as nobody is granted of it. Nil: time.Now.
+	// Clock continues while the host is suspended, so that its leases expire meanwhile. The
+	// buckets that this host owns do not use it: nobody leases from them during the suspension.
+	// The default is time.Now.
 	Clock func() time.Time
 	Log   *slog.Logger
 }
 
-// Quotas is a host's part in keeping quotas. It is safe for use by many.
+// Quotas enforces quotas at one host, together with the Quotas of the other hosts. It is safe
+// for concurrent use.
 type Quotas struct {
 	cfg      Config
-	sequence uint64 // of the claims told
+	sequence uint64 // number of the last demand report sent
 
-	mu      sync.Mutex
-	held    map[string]*held     // by workspace, as a host that runs requests
-	keepers map[string]*kept     // by workspace, as the host that keeps the region's part
-	lost    map[string]time.Time // until when a keeper is not asked, by host
-	since   []time.Time          // when this host became the region's keeper of a shard; zero: it is not
+	mu          sync.Mutex
+	localQuota  map[string]*localQuota // by workspace, as a host that runs requests
+	ownedQuotas map[string]*ownedQuota // by workspace, as the owner in this region
+	unreachable map[string]time.Time   // by host, until when no lease is requested from it
+	ownedSince  []time.Time            // by shard, when this host became the owner in its region; zero: it is not
 }
 
-// held is what this host holds for a workspace.
-type held struct {
-	mu      sync.Mutex
-	holder  quota.LeaseHolder
-	equal   quota.EqualShare
-	told    quota.AssignedShare
-	alone   time.Time     // until when no keeper is asked, as none was reached
-	asking  chan struct{} // closed when the question under way is answered; nil: none is
-	waiting float64       // units of the requests that wait for it
+// localQuota is the state of a workspace's quota at a host that runs its requests.
+type localQuota struct {
+	mu               sync.Mutex
+	holder           quota.LeaseHolder
+	equalShare       quota.EqualShare
+	assigned         quota.AssignedShare
+	unreachableUntil time.Time     // until when no owner is asked, as none was reached
+	pending          chan struct{} // closed when the lease request under way has ended; nil: there is none
+	waitingUnits     float64       // units of the requests that wait for it
 }
 
-// kept is a keeper with its workspace.
-type kept struct {
+// ownedQuota is the state of a workspace's quota at the owner in a region.
+type ownedQuota struct {
 	quota.Owner
-	sharer *quota.ShareAssigner // where hosts are told shares
-	used   time.Time            // when it was last asked or heard of
+	assigner *quota.ShareAssigner // for WayTold
+	lastUsed time.Time            // when the last lease request, or the first demand report, was received
 }
 
-// asks returns the units a second that the region's callers ask for.
-func (k *kept) asks(now time.Time) float64 { return k.Demand(now) + k.sharer.Demand(now) }
+// sumDemand returns the units per second that the region's callers request, under any strategy.
+func (o *ownedQuota) sumDemand(now time.Time) float64 { return o.Demand(now) + o.assigner.Demand(now) }
 
-// New returns quotas of which nothing is held.
+// New returns Quotas that hold no leases.
 func New(c Config) *Quotas {
 	if c.Way == "" {
 		c.Way = WayLeased
@@ -115,180 +126,188 @@
 		c.Clock = time.Now
 	}
 	if c.Shards == 0 {
-		c.Duty, c.Shards = usualDuty, usualShards
+		c.Task, c.Shards = defaultTask, defaultShards
 	}
 	return &Quotas{
-		cfg: c, held: map[string]*held{}, keepers: map[string]*kept{}, lost: map[string]time.Time{}, since: make([]time.Time, c.Shards),
+		cfg: c, localQuota: map[string]*localQuota{}, ownedQuotas: map[string]*ownedQuota{}, unreachable: map[string]time.Time{}, ownedSince: make([]time.Time, c.Shards),
 	}
 }
 
-// answers is how often a request waits for the answer to a question, each asked for several
-// requests at once.
-const answers = 3
+// maxReplyWaits is how many lease requests a request waits for. Each of them is made for all
+// requests that wait at that time, so its units may be used up by others.
+const maxReplyWaits = 3
 
 // Take implements vetchtrail.Quotas.
-func (q *Quotas) Take(ctx context.Context, workspace string, charge float64) vetchtrail.QuotaVerdict {
+func (q *Quotas) Take(ctx context.Context, workspace string, cost float64) vetchtrail.QuotaVerdict {
 	bound := q.cfg.Bounds().Quota(workspace)
 	if !bound.Bounded() {
 		return vetchtrail.QuotaVerdict{Granted: true}
 	}
-	h := q.heldOf(workspace)
+	h := q.localOf(workspace)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := q.cfg.Clock()
-	h.holder.RecordDemand(charge, now)
+	h.holder.RecordDemand(cost, now)
 	switch q.cfg.Way {
 	case WayEqual:
-		return q.takeEqual(h, charge, bound, now)
+		return q.takeEqualShare(h, cost, bound, now)
 	case WayTold:
-		return q.takeTold(h, workspace, charge, bound, now)
+		return q.takeAssignedShare(h, workspace, cost, bound, now)
 	}
-	for range answers {
-		if h.holder.Spend(charge, now) {
-			h.equal.Spend(charge)
-			q.askAhead(h, workspace, now)
+	for range maxReplyWaits {
+		if h.holder.Spend(cost, now) {
+			h.equalShare.Spend(cost)
+			q.prefetch(h, workspace, now)
 			return h.verdict(true, time.Time{}, now)
 		}
-		if now.Before(h.alone) {
+		if now.Before(h.unreachableUntil) {
 			if q.cfg.Strict {
-				return h.verdict(false, h.alone, now)
+				return h.verdict(false, h.unreachableUntil, now)
 			}
-			return q.takeEqual(h, charge, bound, now)
+			return q.takeEqualShare(h, cost, bound, now)
 		}
-		if back, shut := h.holder.Blocked(now); shut {
-			return h.verdict(false, back, now)
+		if retryAt, blocked := h.holder.Blocked(now); blocked {
+			return h.verdict(false, retryAt, now)
 		}
-		if !q.await(ctx, h, workspace, charge) {
+		if !q.awaitReply(ctx, h, workspace, cost) {
 			break
 		}
 		now = q.cfg.Clock()
 	}
-	back, _ := h.holder.Blocked(now)
-	return h.verdict(false, latest(back, now.Add(leastBack)), now)
+	retryAt, _ := h.holder.Blocked(now)
+	return h.verdict(false, later(retryAt, now.Add(minRetryDelay)), now)
 }
 
-// leastBack is the least time that a caller is told to wait for room.
-const leastBack = 50 * time.Millisecond
+// minRetryDelay is the shortest time that a refused caller is told to wait.
+const minRetryDelay = 50 * time.Millisecond
 
-func latest(a, b time.Time) time.Time {
+// later returns the later of two times.
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func (q *Quotas) takeEqual(h *held, charge float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
-	ok, back := h.equal.Take(charge, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
+// takeEqualShare spends the cost from this host's equal share, without a lease.
+func (q *Quotas) takeEqualShare(h *localQuota, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
+	ok, retryAt := h.equalShare.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
 	if ok {
-		h.holder.RecordUnleased(charge)
+		h.holder.RecordUnleased(cost)
 	}
-	return h.verdict(ok, back, now)
+	return h.verdict(ok, retryAt, now)
 }
 
-// takeTold takes from the host's share, and asks for a new one now and then.
-func (q *Quotas) takeTold(h *held, workspace string, charge float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
-	if h.told.RequestDue(now) {
-		q.ask(h, workspace, 0)
+// takeAssignedShare spends the cost from this host's assigned share, and asks for a new rate
+// from time to time.
+func (q *Quotas) takeAssignedShare(h *localQuota, workspace string, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
+	if h.assigned.RequestDue(now) {
+		q.startRequest(h, workspace, 0)
 	}
-	ok, back := h.told.Take(charge, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
-	return h.verdict(ok, back, now)
+	ok, retryAt := h.assigned.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
+	return h.verdict(ok, retryAt, now)
 }
 
-func (h *held) verdict(ok bool, back, now time.Time) vetchtrail.QuotaVerdict {
-	here, region, age := h.holder.Balance(now)
-	if !back.IsZero() {
-		back = time.Now().Add(back.Sub(now)) // by the clock of callers
+// verdict returns the answer to the caller. retryAt and now are times of Config.Clock.
+func (h *localQuota) verdict(ok bool, retryAt, now time.Time) vetchtrail.QuotaVerdict {
+	local, region, age := h.holder.Balance(now)
+	if !retryAt.IsZero() {
+		retryAt = time.Now().Add(retryAt.Sub(now)) // as a time of the system clock, which callers use
 	}
-	return vetchtrail.QuotaVerdict{Granted: ok, RetryAt: back, Left: here, Region: region, Age: age}
+	return vetchtrail.QuotaVerdict{Granted: ok, RetryAt: retryAt, Left: local, Region: region, Age: age}
 }
 
 // Return implements vetchtrail.Quotas.
-func (q *Quotas) Return(workspace string, charge float64) {
-	h := q.heldOf(workspace)
+func (q *Quotas) Return(workspace string, cost float64) {
+	h := q.localOf(workspace)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch now := q.cfg.Clock(); q.cfg.Way {
 	case WayEqual:
-		h.equal.Return(charge)
+		h.equalShare.Return(cost)
 	case WayTold:
-		h.told.Return(charge)
+		h.assigned.Return(cost)
 	default:
-		h.holder.Return(charge, now)
+		h.holder.Return(cost, now)
 	}
 }
 
-// Void drops what this host was granted and has not used.
-func (q *Quotas) Void(name string) {
-	h := q.heldOf(name)
+// DiscardLease drops the units that this host has leased and not used.
+func (q *Quotas) DiscardLease(name string) {
+	h := q.localOf(name)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.holder.DiscardLease()
 }
 
-// heldOf returns what is held for a workspace.
-func (q *Quotas) heldOf(workspace string) *held {
+// localOf returns the local state of a workspace, and creates it if needed.
+func (q *Quotas) localOf(workspace string) *localQuota {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	h, ok := q.held[workspace]
+	h, ok := q.localQuota[workspace]
 	if !ok {
-		h = &held{}
-		q.held[workspace] = h
+		h = &localQuota{}
+		q.localQuota[workspace] = h
 	}
 	return h
 }
 
-// await waits for the answer to a question that covers the charge. The caller holds the
-// lock, which is open meanwhile. It returns false if the caller is gone.
-func (q *Quotas) await(ctx context.Context, h *held, workspace string, charge float64) bool {
-	h.waiting += charge
-	q.ask(h, workspace, charge)
-	asking := h.asking
+// awaitReply waits for the end of a lease request that covers the cost, and starts one if
+// needed. It must be called with h.mu locked, and unlocks it while it waits. It returns false
+// if ctx ended first.
+func (q *Quotas) awaitReply(ctx context.Context, h *localQuota, workspace string, cost float64) bool {
+	h.waitingUnits += cost
+	q.startRequest(h, workspace, cost)
+	pending := h.pending
 	h.mu.Unlock()
 	answered := true
 	select {
-	case <-asking:
+	case <-pending:
 	case <-ctx.Done():
 		answered = false
 	}
 	h.mu.Lock()
-	h.waiting -= charge
+	h.waitingUnits -= cost
 	return answered
 }
 
-// askAhead asks for units before those held are used up. The caller holds the lock.
-func (q *Quotas) askAhead(h *held, workspace string, now time.Time) {
-	if h.holder.ShouldPrefetch(now) && !now.Before(h.alone) {
-		q.ask(h, workspace, 0)
+// prefetch starts the next lease request before the leased units are used up. It must be
+// called with h.mu locked.
+func (q *Quotas) prefetch(h *localQuota, workspace string, now time.Time) {
+	if h.holder.ShouldPrefetch(now) && !now.Before(h.unreachableUntil) {
+		q.startRequest(h, workspace, 0)
 	}
 }
 
-// ask asks a keeper, unless a question is under way. The caller holds the lock.
-func (q *Quotas) ask(h *held, workspace string, least float64) {
-	if h.asking != nil {
+// startRequest starts a lease request unless one is under way. It must be called with h.mu
+// locked.
+func (q *Quotas) startRequest(h *localQuota, workspace string, minUnits float64) {
+	if h.pending != nil {
 		return
 	}
-	h.asking = make(chan struct{})
-	a := h.holder.NewRequest(workspace, least, h.waiting, q.cfg.Clock())
-	go q.question(h, a)
+	h.pending = make(chan struct{})
+	r := h.holder.NewRequest(workspace, minUnits, h.waitingUnits, q.cfg.Clock())
+	go q.runRequest(h, r)
 }
 
-// question asks the region's keepers in turn until one answers.
-func (q *Quotas) question(h *held, a quota.LeaseRequest) {
-	g, ok := q.granted(a)
+// runRequest sends a lease request and applies the reply. If no owner replies, it asks none
+// for ownerRetryDelay.
+func (q *Quotas) runRequest(h *localQuota, r quota.LeaseRequest) {
+	reply, ok := q.requestLease(r)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := q.cfg.Clock()
 	switch {
 	case ok && q.cfg.Way == WayTold:
-		h.told.ApplyReply(g.HostRate, now)
+		h.assigned.ApplyReply(reply.HostRate, now)
 	case ok:
-		h.holder.ApplyReply(a, g, now)
-		h.equal.SetRegionShare(g.RegionShare, len(q.cfg.Bounds().RegionNames()))
+		h.holder.ApplyReply(r, reply, now)
+		h.equalShare.SetRegionShare(reply.RegionShare, len(q.cfg.Bounds().RegionNames()))
 	default:
-		h.holder.RestoreRequest(a)
-		h.alone = now.Add(aloneTime)
-		q.cfg.Log.Warn("no keeper of quotas reached", "duty", q.cfg.Duty, "of", a.Workspace, "until", h.alone, "equal_part", !q.cfg.Strict, "hosts", q.cfg.Hosts.Count())
+		h.holder.RestoreRequest(r)
+		h.unreachableUntil = now.Add(ownerRetryDelay)
+		q.cfg.Log.Warn("no keeper of quotas reached", "duty", q.cfg.Task, "of", r.Workspace, "until", h.unreachableUntil, "equal_part", !q.cfg.Strict, "hosts", q.cfg.Hosts.Count())
 	}
-	close(h.asking)
-	h.asking = nil
+	close(h.pending)
+	h.pending = nil
 }
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -64,7 +64,7 @@
 	l := &RateLimits{Observer: c.Table, cfg: c, sent: map[string]uint64{}, began: time.Now()}
 	l.shares = quotas.New(quotas.Config{
 		Self: c.Self, Bounds: func() quotas.Bounds { return bounds{l} }, Hosts: settled{Hosts: c.Hosts, limits: l}, Peers: carrier{l},
-		Duty: "keep rates", Shards: shards, Strict: true, Clock: c.Clock, Log: c.Log,
+		Task: "keep rates", Shards: shards, Strict: true, Clock: c.Clock, Log: c.Log,
 	})
 	return l
 }
@@ -91,7 +91,7 @@
 		return
 	}
 	if was.Named && is.Named && is.Rate < was.Rate {
-		l.shares.Void(e.Name)
+		l.shares.DiscardLease(e.Name)
 	}
 	l.tell(e, was, is)
 }
