--- a/process/ratelimits/fleet_test.go
+++ b/process/ratelimits/fleet_test.go
@@ -14,77 +14,79 @@
 	"vetchtrail/process/load"
 )
 
-// A fleet is the hosts of a region that use one endpoint, on virtual time: messages that are late or
-// lost, hosts that are cut off from each other and not from the endpoint, or start again, and an
-// endpoint that names rates, lifts them and starts again.
+// These tests simulate the hosts of a region and one endpoint on virtual time. Messages are delayed
+// or lost, and hosts restart or are partitioned from each other while all still reach the endpoint.
+// The endpoint advertises rate limits, removes them and restarts.
 
 const (
 	fleetService = "s"
 	fleetName    = "e"
-	// heardLate is how long a host that is gone or cut off still counts for the others.
-	heardLate = 2500 * time.Millisecond
+	// livenessLag is how long the other hosts still count a host that crashed or is partitioned.
+	livenessLag = 2500 * time.Millisecond
 )
 
-// guard is a part that is taken out.
+// guard is a mechanism that a simulation can switch off.
 type guard string
 
 const (
-	guardSum   guard = "the sum over hosts"
-	guardPart  guard = "a part of the rate for a part of the hosts"
-	guardOrder guard = "the order of news"
-	guardLife  guard = "the life of the endpoint"
+	guardSharedOwner guard = "one owner for all hosts"
+	guardHeardShare  guard = "rate reduced to the share of hosts heard"
+	guardReportOrder guard = "order of reports"
+	guardInstance    guard = "instance of the endpoint"
 )
 
-// fleet is a run.
+// fleet is one run of a simulation.
 type fleet struct {
-	rnd    *rand.Rand
-	out    guard                            // taken out
-	way    func(f *fleet, h *host) rationer // nil: permits
-	mu     sync.Mutex
-	hosts  []*host
-	named  []naming // what the endpoint named, and from when
-	born   time.Time
-	came   []arrival
-	asked  int    // requests that callers brought
-	passed int    // messages between hosts
-	fault  string // a promise beside the bound that was broken
+	rnd               *rand.Rand
+	disabled          guard                               // the mechanism that is switched off; empty: none
+	newLimiter        func(f *fleet, h *host) rateLimiter // makes the limiter of a host; nil: RateLimits
+	mu                sync.Mutex
+	hosts             []*host
+	advertised        []advertisement // in order of time
+	endpointStartedAt time.Time       // start time of the current instance
+	arrivals          []arrival
+	requests          int    // number of requests that callers made
+	sent              int    // number of lease requests between hosts
+	violation         string // a rule other than the limit that was broken; empty: none
 }
 
-// naming is what the endpoint names from a moment on; negative: none.
-type naming struct {
+// advertisement is the rate limit that the endpoint advertises from a given time; negative:
+// none.
+type advertisement struct {
 	at   time.Time
 	rate float64
 }
 
 // arrival is a request that reached the endpoint.
 type arrival struct {
-	at   time.Time
-	told bool // its host had been told of what was named then half a second before, and is not excused
+	at      time.Time
+	counted bool // the limit applies to it; see recordArrival
 }
 
-// host is one of the fleet, in one of its lives.
+// host is a simulated host.
 type host struct {
 	vetchtrail.Host
-	limits  *RateLimits
-	ration  rationer
-	table   *load.Table
-	began   time.Time
-	told    map[int]time.Time // when it first read a head of each naming, by number
-	side    int               // hosts of different sides don't reach each other
-	changed time.Time         // when its side or life last changed
-	was     int               // the side before
-	ctx     context.Context
-	stop    context.CancelFunc
+	limits            *RateLimits
+	limiter           rateLimiter
+	table             *load.Table
+	startedAt         time.Time
+	received          map[int]time.Time // when it first received each advertisement, by index
+	partition         int               // hosts in different partitions do not reach each other
+	changedAt         time.Time         // when it last changed partition or restarted
+	previousPartition int               // the partition before
+	ctx               context.Context
+	stop              context.CancelFunc
 }
 
-func newFleet(seed uint64, hosts int, out guard) *fleet {
-	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 33)), out: out, born: time.Now()}
-	f.named = []naming{{time.Now(), -1}}
+// newFleet returns hosts with an endpoint that advertises no rate limit.
+func newFleet(seed uint64, hosts int, disabled guard) *fleet {
+	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 33)), disabled: disabled, endpointStartedAt: time.Now()}
+	f.advertised = []advertisement{{time.Now(), -1}}
 	f.populate(hosts)
 	return f
 }
 
-// populate makes the hosts.
+// populate adds hosts that started a minute ago.
 func (f *fleet) populate(hosts int) {
 	for i := range hosts {
 		f.hosts = append(f.hosts, &host{Host: vetchtrail.Host{
@@ -94,81 +96,83 @@
 	}
 }
 
-// start makes a host as new, that began at a moment. The caller holds the lock, or is alone.
-func (f *fleet) start(h *host, began time.Time) {
+// start starts a host without any state. startedAt is the start time that it takes as its own.
+// It must be called with f.mu locked, or before the simulation runs.
+func (f *fleet) start(h *host, startedAt time.Time) {
 	h.table = load.New()
 	h.table.Configure([]load.Placed{{Endpoint: f.endpoint()}})
-	h.began, h.told, h.changed = began, map[int]time.Time{}, time.Now()
+	h.startedAt, h.received, h.changedAt = startedAt, map[int]time.Time{}, time.Now()
 	h.ctx, h.stop = context.WithCancel(context.Background())
 	h.limits = New(Config{
-		Self: h.Host, Table: table{h.table, f.out}, Hosts: port{f, h}, Peers: port{f, h}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Self: h.Host, Table: table{h.table, f.disabled}, Hosts: hostView{f, h}, Peers: hostView{f, h}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	h.limits.began = began
-	h.ration = h.limits
-	if f.way != nil {
-		h.ration = f.way(f, h)
+	h.limits.startedAt = startedAt
+	h.limiter = h.limits
+	if f.newLimiter != nil {
+		h.limiter = f.newLimiter(f, h)
 	}
 }
 
+// endpoint returns the current instance of the endpoint.
 func (f *fleet) endpoint() vetchtrail.Endpoint {
-	return vetchtrail.Endpoint{Name: fleetName, Service: fleetService, Slots: 1000, Born: f.born}
+	return vetchtrail.Endpoint{Name: fleetName, Service: fleetService, Slots: 1000, Born: f.endpointStartedAt}
 }
 
-// rationer is a way to keep to a rate.
-type rationer = vetchtrail.Permits
+// rateLimiter is a strategy to keep a rate limit.
+type rateLimiter = vetchtrail.Permits
 
-// table is a host's, maybe without a guard.
+// table is the table of a host, possibly with a mechanism switched off.
 type table struct {
 	*load.Table
-	out guard
+	disabled guard
 }
 
 // HearLimit implements Table.
-func (t table) HearLimit(name string, born time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
-	switch t.out {
-	case guardOrder:
-		news.Asked, news.Heard = time.Now(), time.Now()
-	case guardLife:
+func (t table) HearLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+	switch t.disabled {
+	case guardReportOrder:
+		report.Asked, report.Heard = time.Now(), time.Now()
+	case guardInstance:
 		born = time.Time{}
 	}
-	return t.Table.HearLimit(name, born, news)
+	return t.Table.HearLimit(name, born, report)
 }
 
-// bring has a host's callers bring so many requests a second until a moment.
-func (f *fleet) bring(h *host, rate float64, until time.Time, all *sync.WaitGroup) {
+// generateLoad makes requests at a host, at a mean rate per second, until a given time.
+func (f *fleet) generateLoad(h *host, rate float64, until time.Time, wg *sync.WaitGroup) {
 	for time.Now().Before(until) {
 		f.mu.Lock()
 		pause := time.Duration(f.rnd.ExpFloat64() / rate * float64(time.Second))
-		f.asked++
+		f.requests++
 		f.mu.Unlock()
 		time.Sleep(pause)
 		if time.Now().After(until) {
 			return
 		}
-		all.Go(func() { f.request(h) })
+		wg.Go(func() { f.request(h) })
 	}
 }
 
-// request is one request at a host: decided, let through, sent and answered.
+// request simulates one request at a host: routing, reservation, sending and response.
 func (f *fleet) request(h *host) {
 	f.mu.Lock()
-	limits, ration, tab, ctx, e := h.limits, h.ration, h.table, h.ctx, f.endpoint()
+	limits, limiter, tab, ctx, e := h.limits, h.limiter, h.table, h.ctx, f.endpoint()
 	slow := f.rnd.IntN(40) == 0
-	dial, way, think, back := f.delay(), f.delay(), time.Duration(20+f.rnd.IntN(300))*time.Millisecond, f.delay()
+	dial, transit, processing, replyDelay := f.delay(), f.delay(), time.Duration(20+f.rnd.IntN(300))*time.Millisecond, f.delay()
 	if f.rnd.IntN(30) == 0 {
-		think += 3 * time.Second
+		processing += 3 * time.Second
 	}
-	if f.rnd.IntN(30) == 0 { // packets are lost
-		back += time.Duration(f.rnd.IntN(3000)) * time.Millisecond
+	if f.rnd.IntN(30) == 0 { // packet loss
+		replyDelay += time.Duration(f.rnd.IntN(3000)) * time.Millisecond
 	}
-	leaves := f.rnd.IntN(10) == 0
+	callerLeaves := f.rnd.IntN(10) == 0
 	f.mu.Unlock()
 	var v vetchtrail.View
 	tab.Fill(&v, &vetchtrail.Request{Service: fleetService}, time.Now())
 	if v.Endpoints[0].Away {
 		return
 	}
-	p, _, ok := ration.Take(ctx, e)
+	p, _, ok := limiter.Take(ctx, e)
 	if !ok {
 		return
 	}
@@ -176,106 +180,113 @@
 		dial += time.Duration(400) * time.Millisecond
 	}
 	time.Sleep(dial)
-	if !ration.Covers(p, e) {
-		ration.Return(p)
+	if !limiter.Covers(p, e) {
+		limiter.Return(p)
 		return
 	}
 	sent := time.Now()
-	time.Sleep(way)
-	if ctx.Err() != nil || !f.arrive(h, e, limits) {
+	time.Sleep(transit)
+	if ctx.Err() != nil || !f.recordArrival(h, e, limits) {
 		return
 	}
-	time.Sleep(think)
-	rate, number, lives := f.write(e) // the head
-	time.Sleep(back)
-	if !lives || leaves || ctx.Err() != nil {
+	time.Sleep(processing)
+	rate, number, sameInstance := f.readRate(e) // as the endpoint writes the response header
+	time.Sleep(replyDelay)
+	if !sameInstance || callerLeaves || ctx.Err() != nil {
 		return
 	}
 	f.mu.Lock()
-	if _, told := h.told[number]; !told && h.limits == limits {
-		h.told[number] = time.Now()
+	if _, received := h.received[number]; !received && h.limits == limits {
+		h.received[number] = time.Now()
 	}
 	f.mu.Unlock()
-	f.hear(limits, tab, e, vetchtrail.RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: sent, Heard: time.Now()})
+	f.deliverLimit(limits, tab, e, vetchtrail.RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: sent, Heard: time.Now()})
 }
 
-// hear has a host hear of a limit, and notes one of an earlier life that was taken for the later one's.
-func (f *fleet) hear(limits *RateLimits, tab *load.Table, e vetchtrail.Endpoint, news vetchtrail.RateLimit) {
+// deliverLimit delivers a rate limit to a host. It records a violation if the limit is from an
+// earlier instance and the host applies it to a later one.
+func (f *fleet) deliverLimit(limits *RateLimits, tab *load.Table, e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
 	_, born := tab.Limit(fleetName)
-	limits.Limited(e, news, nil)
-	if is, _ := tab.Limit(fleetName); !born.Equal(e.Born) && is == news {
+	limits.Limited(e, report, nil)
+	if is, _ := tab.Limit(fleetName); !born.Equal(e.Born) && is == report {
 		f.mu.Lock()
-		f.fault = "a limit of an earlier life was taken"
+		f.violation = "a limit of an earlier instance was applied"
 		f.mu.Unlock()
 	}
 }
 
-// write is what the endpoint names as it writes a head, if that life of it is not over.
-func (f *fleet) write(e vetchtrail.Endpoint) (rate float64, number int, lives bool) {
+// readRate returns the rate that the endpoint advertises now and the index of that
+// advertisement. sameInstance is false if the endpoint has restarted.
+func (f *fleet) readRate(e vetchtrail.Endpoint) (rate float64, number int, sameInstance bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	number = len(f.named) - 1
-	return f.named[number].rate, number, e.Born.Equal(f.born)
+	number = len(f.advertised) - 1
+	return f.advertised[number].rate, number, e.Born.Equal(f.endpointStartedAt)
 }
 
-// arrive notes a request at the endpoint; false: that life of it is over.
-func (f *fleet) arrive(h *host, e vetchtrail.Endpoint, limits *RateLimits) bool {
+// recordArrival records a request at the endpoint. It returns false if the endpoint has
+// restarted. The limit applies to the request if its host received the current advertisement
+// at least half a second ago, has not restarted since the request, and has run for at least 5
+// s.
+func (f *fleet) recordArrival(h *host, e vetchtrail.Endpoint, limits *RateLimits) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !e.Born.Equal(f.born) {
+	if !e.Born.Equal(f.endpointStartedAt) {
 		return false
 	}
-	const excused = 5 * time.Second
+	const startupTime = 5 * time.Second
 	now := time.Now()
-	heard, told := h.told[len(f.named)-1]
-	counts := told && h.limits == limits && now.Sub(heard) >= 500*time.Millisecond && now.Sub(h.began) >= excused
-	f.came = append(f.came, arrival{at: now, told: counts})
+	receivedAt, received := h.received[len(f.advertised)-1]
+	counted := received && h.limits == limits && now.Sub(receivedAt) >= 500*time.Millisecond && now.Sub(h.startedAt) >= startupTime
+	f.arrivals = append(f.arrivals, arrival{at: now, counted: counted})
 	return true
 }
 
-// name has the endpoint name a rate from now on; negative: none.
-func (f *fleet) name(rate float64) {
+// advertise sets the rate limit that the endpoint advertises from now on; negative: none.
+func (f *fleet) advertise(rate float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.named = append(f.named, naming{time.Now(), rate})
+	f.advertised = append(f.advertised, advertisement{time.Now(), rate})
 }
 
-// settle waits for what is on its way, and drops what would hold up the end.
-func (f *fleet) settle(all *sync.WaitGroup) {
-	all.Wait()
+// drain waits for the requests under way, and stops the hosts.
+func (f *fleet) drain(wg *sync.WaitGroup) {
+	wg.Wait()
 	for _, h := range f.hosts {
 		h.stop()
 	}
-	time.Sleep(2 * askTime) // questions that are on their way
+	time.Sleep(2 * maxLeaseRequestTime) // lease requests under way
 }
 
-// divide puts some hosts on another side than the rest, or heals it.
-func (f *fleet) divide(rnd *rand.Rand) {
+// changePartitions puts the hosts at random into one or two partitions.
+func (f *fleet) changePartitions(rnd *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	sides := 1 + rnd.IntN(2)
+	partitions := 1 + rnd.IntN(2)
 	for _, h := range f.hosts {
-		h.was, h.side, h.changed = h.side, rnd.IntN(sides), time.Now()
+		h.previousPartition, h.partition, h.changedAt = h.partition, rnd.IntN(partitions), time.Now()
 	}
 }
 
-func (f *fleet) restart(i int) {
+// restartHost restarts a host without its state.
+func (f *fleet) restartHost(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts[i].stop()
 	f.start(f.hosts[i], time.Now())
 }
 
-// reborn has the endpoint start again under its name; it names none at first, and hosts know at once.
-func (f *fleet) reborn() {
+// restartEndpoint starts a new instance of the endpoint. It advertises no rate limit at first,
+// and all hosts learn of it at once.
+func (f *fleet) restartEndpoint() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.born = time.Now()
-	f.named = append(f.named, naming{time.Now(), -1})
+	f.endpointStartedAt = time.Now()
+	f.advertised = append(f.advertised, advertisement{time.Now(), -1})
 	for _, h := range f.hosts {
 		h.table.Configure([]load.Placed{{Endpoint: f.endpoint()}})
 	}
 }
 
-// askTime is longer than any question to a keeper takes.
-const askTime = time.Second
+// maxLeaseRequestTime is longer than any lease request takes.
+const maxLeaseRequestTime = time.Second
--- a/process/ratelimits/metrics.go
+++ b/process/ratelimits/metrics.go
@@ -4,14 +4,14 @@
 
 // Names of the metrics.
 const (
-	MisreadName = "vetchtrail_rates_misread_total"
-	PermitsName = "vetchtrail_permits_total"
+	UnreadableRatesMetric = "vetchtrail_rates_misread_total"
+	ReservationsMetric    = "vetchtrail_permits_total"
 )
 
-// countMisread counts an answer whose rate can't be read.
-func countMisread() { metrics.GetOrCreateCounter(MisreadName).Inc() }
+// countUnreadable counts a response whose rate limit cannot be parsed.
+func countUnreadable() { metrics.GetOrCreateCounter(UnreadableRatesMetric).Inc() }
 
-// countPermit counts a question for a permit by its answer.
-func countPermit(answer string) {
-	metrics.GetOrCreateCounter(PermitsName + `{answer="` + answer + `"}`).Inc()
+// countReply counts a request for a reservation by its result, granted or refused.
+func countReply(answer string) {
+	metrics.GetOrCreateCounter(ReservationsMetric + `{answer="` + answer + `"}`).Inc()
 }
--- a/process/ratelimits/network_test.go
+++ b/process/ratelimits/network_test.go
@@ -14,35 +14,35 @@
 	"vetchtrail/schema"
 )
 
-// port is a host's way to the others.
-type port struct {
+// hostView is the network as one host sees it. It implements Peers and quotas.Hosts.
+type hostView struct {
 	f *fleet
 	h *host
 }
 
-// reaches says whether a message gets from one host to another. The caller holds the lock.
-func (f *fleet) reaches(a, b *host) bool { return a.side == b.side }
+// reaches reports whether messages pass between two hosts. It must be called with f.mu locked.
+func (f *fleet) reaches(a, b *host) bool { return a.partition == b.partition }
 
 // Permit implements Peers.
-func (p port) Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
-	p.f.mu.Lock()
-	p.f.passed++
-	at := slices.IndexFunc(p.f.hosts, func(h *host) bool { return h.Peers == addr })
-	to := p.f.hosts[at]
-	lost := !p.f.reaches(p.h, to) || p.f.rnd.Float64() < 0.01
-	way, limits := p.f.delay(), to.limits
-	p.f.mu.Unlock()
+func (v hostView) Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
+	v.f.mu.Lock()
+	v.f.sent++
+	at := slices.IndexFunc(v.f.hosts, func(h *host) bool { return h.Peers == addr })
+	to := v.f.hosts[at]
+	lost := !v.f.reaches(v.h, to) || v.f.rnd.Float64() < 0.01
+	transit, limits := v.f.delay(), to.limits
+	v.f.mu.Unlock()
 	if lost {
 		<-ctx.Done()
-		return nil, errors.Wrap(ctx.Err(), "lost")
+		return nil, errors.Wrap(ctx.Err(), "message lost")
 	}
-	time.Sleep(way)
+	time.Sleep(transit)
 	reply := limits.Permitted(m)
-	time.Sleep(way)
+	time.Sleep(transit)
 	return reply, ctx.Err()
 }
 
-// delay is the time of a message within the region. The caller holds the lock.
+// delay returns the time of a message within the region. It must be called with f.mu locked.
 func (f *fleet) delay() time.Duration {
 	if f.rnd.IntN(50) == 0 {
 		return time.Duration(f.rnd.IntN(250)) * time.Millisecond
@@ -50,31 +50,33 @@
 	return time.Duration(1+f.rnd.IntN(8)) * time.Millisecond
 }
 
-// hears says whether a host takes another to live: that lags. The caller holds the lock.
-func (f *fleet) hears(a, b *host, now time.Time) bool {
+// believesAlive reports whether host a counts host b as alive, which lags behind changes. It
+// must be called with f.mu locked.
+func (f *fleet) believesAlive(a, b *host, now time.Time) bool {
 	if a == b {
 		return true
 	}
-	before := a.was == b.was && now.Sub(b.changed) < heardLate && now.Sub(a.changed) < heardLate
-	return f.reaches(a, b) || before
+	recentlyReached := a.previousPartition == b.previousPartition && now.Sub(b.changedAt) < livenessLag && now.Sub(a.changedAt) < livenessLag
+	return f.reaches(a, b) || recentlyReached
 }
 
 // RankedIn implements quotas.Hosts.
-func (p port) RankedIn(_, duty string, n int, now time.Time) []vetchtrail.Host {
-	p.f.mu.Lock()
-	defer p.f.mu.Unlock()
+func (v hostView) RankedIn(_, task string, n int, now time.Time) []vetchtrail.Host {
+	v.f.mu.Lock()
+	defer v.f.mu.Unlock()
 	var out []vetchtrail.Host
-	for _, h := range p.f.hosts {
-		if p.f.hears(p.h, h, now) && (p.f.out != guardSum || h == p.h) {
+	for _, h := range v.f.hosts {
+		if v.f.believesAlive(v.h, h, now) && (v.f.disabled != guardSharedOwner || h == v.h) {
 			out = append(out, h.Host)
 		}
 	}
 	slices.SortFunc(out, func(a, b vetchtrail.Host) int {
-		return compare(xxhash.Sum64String(duty+a.Name), xxhash.Sum64String(duty+b.Name))
+		return compare(xxhash.Sum64String(task+a.Name), xxhash.Sum64String(task+b.Name))
 	})
 	return out[:min(n, len(out))]
 }
 
+// compare orders two different hashes.
 func compare(a, b uint64) int {
 	if a < b {
 		return -1
@@ -83,22 +85,22 @@
 }
 
 // Count implements quotas.Hosts.
-func (p port) Count() int { return len(p.f.hosts) }
+func (v hostView) Count() int { return len(v.f.hosts) }
 
 // HeardPart implements quotas.Hosts.
-func (p port) HeardPart(now time.Time) float64 {
-	p.f.mu.Lock()
-	defer p.f.mu.Unlock()
-	if p.f.out == guardSum || p.f.out == guardPart {
+func (v hostView) HeardPart(now time.Time) float64 {
+	v.f.mu.Lock()
+	defer v.f.mu.Unlock()
+	if v.f.disabled == guardSharedOwner || v.f.disabled == guardHeardShare {
 		return 1
 	}
 	heard := 0
-	for _, h := range p.f.hosts {
-		if p.f.hears(p.h, h, now) {
+	for _, h := range v.f.hosts {
+		if v.f.believesAlive(v.h, h, now) {
 			heard++
 		}
 	}
-	return float64(heard) / float64(len(p.f.hosts))
+	return float64(heard) / float64(len(v.f.hosts))
 }
 
-var _ quotas.Hosts = port{}
+var _ quotas.Hosts = hostView{}
--- a/process/ratelimits/race_test.go
+++ b/process/ratelimits/race_test.go
@@ -10,23 +10,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFleetRaces plays the fleet in real time under the race detector, which has ended tests on virtual
-// time by itself ("slot_locked") with no race told: those run without it.
+// TestFleetRaces guards against data races. It runs the simulation in real time under the race
+// detector. The tests on virtual time run without it, because the detector has crashed them
+// ("slot_locked") without reporting a race.
 func TestFleetRaces(t *testing.T) {
 	f := newFleet(1, 6, "")
-	f.name(7)
-	var all sync.WaitGroup
+	f.advertise(7)
+	var wg sync.WaitGroup
 	end := time.Now().Add(6 * time.Second)
 	for _, h := range f.hosts {
-		all.Go(func() { f.bring(h, 8, end, &all) })
+		wg.Go(func() { f.generateLoad(h, 8, end, &wg) })
 	}
 	time.Sleep(2 * time.Second)
-	f.restart(1)
-	f.name(2)
+	f.restartHost(1)
+	f.advertise(2)
 	time.Sleep(time.Second)
-	f.reborn()
-	f.name(20)
-	f.settle(&all)
-	part, what := f.worst()
-	assert.Assert(t, part <= 1, "%s", what)
+	f.restartEndpoint()
+	f.advertise(20)
+	f.drain(&wg)
+	ratio, description := f.worstWindow()
+	assert.Assert(t, ratio <= 1, "%s", description)
 }
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -1,5 +1,10 @@
-// Package ratelimits keeps to the rates that endpoints in need name: how many requests a second
-// each takes, from all hosts together. It lives for the process.
+// Package ratelimits keeps the requests that all hosts send to an endpoint within the rate
+// limit that the endpoint advertises. It holds the state of the limits for the life of the
+// process.
+//
+// A rate limit is a quota of requests, shared by the hosts of a region (package quotas). One
+// host of the region, the owner, leases parts of the rate to the hosts. A host reserves one
+// request (vetchtrail.Permit) before it sends to a rate-limited endpoint.
 package ratelimits
 
 import (
@@ -15,96 +20,103 @@
 	"vetchtrail/schema"
 )
 
-// Table is what the host believes of its endpoints.
+// Table is what this host knows of its endpoints.
 type Table interface {
 	vetchtrail.Observer
-	HearLimit(name string, born time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool)
-	// Limit returns what an endpoint last said, and the start of the life that said so.
+	// HearLimit applies a rate limit that an endpoint advertised, unless it is older than the
+	// stored one. It returns the stored limit before and after. ok is false if the endpoint is
+	// unknown or the report is from another instance of it.
+	HearLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool)
+	// Limit returns the last rate limit of an endpoint, and the start time of its instance.
 	Limit(name string) (l vetchtrail.RateLimit, born time.Time)
-	// Rationed tells what was left of an endpoint's rate, and until when it is nothing.
+	// Rationed stores how many requests were left of an endpoint's rate and, if none, until when.
 	Rationed(name string, left float64, until time.Time)
 }
 
-// Peers is how rate limits reach other hosts.
+// Peers sends requests to other hosts.
 type Peers interface {
+	// Permit sends a lease request to the owner of an endpoint's rate limit.
 	Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error)
 }
 
-// Config is what RateLimits need.
+// Config configures RateLimits.
 type Config struct {
 	Self  vetchtrail.Host
 	Table Table
 	Hosts quotas.Hosts
 	Peers Peers
-	// Clock goes on while the host is suspended: permits lapse meanwhile. Nil: time.Now.
+	// Clock continues while the host is suspended, so that reservations expire meanwhile. The
+	// default is time.Now.
 	Clock func() time.Time
-	Off   bool // rates are heard and told, and bind nothing
+	Off   bool // limits are received and shared with other hosts, but not enforced
 	Log   *slog.Logger
 }
 
-// RateLimits is a host's part in keeping to rates. It is a vetchtrail.Observer, and passes all else
-// that it observes on to the table. It is safe for use by many.
+// RateLimits enforces rate limits at one host, together with the RateLimits of the other
+// hosts. It is a vetchtrail.Observer that handles Limited and forwards all else to the table.
+// It is safe for concurrent use.
 type RateLimits struct {
 	vetchtrail.Observer
-	cfg    Config
-	shares *quotas.Quotas // of the rates, in requests
-	began  time.Time
+	cfg        Config
+	rateQuotas *quotas.Quotas // the rate limits as quotas of requests
+	startedAt  time.Time
 
-	lines logs.Sparse // by endpoint
+	logLimiter logs.Sparse // limits log lines, by endpoint
 
-	mu   sync.Mutex
-	sent map[string]uint64 // permits used, by endpoint
+	mu           sync.Mutex
+	reservations map[string]uint64 // number used, by endpoint
 }
 
-// New returns rate limits of which none is known.
+// New returns RateLimits that hold no leases.
 func New(c Config) *RateLimits {
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
-	l := &RateLimits{Observer: c.Table, cfg: c, sent: map[string]uint64{}, began: time.Now()}
-	l.shares = quotas.New(quotas.Config{
-		Self: c.Self, Bounds: func() quotas.Bounds { return bounds{l} }, Hosts: settled{Hosts: c.Hosts, limits: l}, Peers: carrier{l},
+	l := &RateLimits{Observer: c.Table, cfg: c, reservations: map[string]uint64{}, startedAt: time.Now()}
+	l.rateQuotas = quotas.New(quotas.Config{
+		Self: c.Self, Bounds: func() quotas.Bounds { return rateBounds{l} }, Hosts: settledHosts{Hosts: c.Hosts, limits: l}, Peers: leaseTransport{l},
 		Task: "keep rates", Shards: shards, Strict: true, Clock: c.Clock, Log: c.Log,
 	})
 	return l
 }
 
-// Run drops what is kept of endpoints that nobody uses any more, until ctx ends.
-func (l *RateLimits) Run(ctx context.Context) { l.shares.Run(ctx) }
+// Run drops the state of idle endpoints until ctx ends.
+func (l *RateLimits) Run(ctx context.Context) { l.rateQuotas.Run(ctx) }
 
 // Limited implements vetchtrail.Observer.
-func (l *RateLimits) Limited(e vetchtrail.Endpoint, news vetchtrail.RateLimit, err error) {
+func (l *RateLimits) Limited(e vetchtrail.Endpoint, report vetchtrail.RateLimit, err error) {
 	if err != nil {
-		countMisread()
-		if l.lines.May(e.Name, news.Heard) {
+		countUnreadable()
+		if l.logLimiter.May(e.Name, report.Heard) {
 			l.cfg.Log.Warn("endpoint names a rate that can't be read", "endpoint", e.Name, "error", err)
 		}
 		return
 	}
-	l.hear(e, news)
+	l.applyLimit(e, report)
 }
 
-// hear takes an endpoint's word. What this host was granted of a higher rate is void.
-func (l *RateLimits) hear(e vetchtrail.Endpoint, news vetchtrail.RateLimit) {
-	was, is, ok := l.cfg.Table.HearLimit(e.Name, e.Born, news)
+// applyLimit stores a reported rate limit. If the rate fell, it drops what this host has
+// leased of the higher one.
+func (l *RateLimits) applyLimit(e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
+	was, is, ok := l.cfg.Table.HearLimit(e.Name, e.Born, report)
 	if !ok {
 		return
 	}
 	if was.Named && is.Named && is.Rate < was.Rate {
-		l.shares.DiscardLease(e.Name)
+		l.rateQuotas.DiscardLease(e.Name)
 	}
-	l.tell(e, was, is)
+	l.logChange(e, was, is)
 }
 
-// tell writes a line of a limit that changed. One that is lifted, or named for the first time, always
-// has one.
-func (l *RateLimits) tell(e vetchtrail.Endpoint, was, is vetchtrail.RateLimit) {
+// logChange logs that a limit has changed. The first limit and the removal of a limit are
+// always logged, other changes at the rate of logLimiter.
+func (l *RateLimits) logChange(e vetchtrail.Endpoint, was, is vetchtrail.RateLimit) {
 	switch {
 	case was.Named && !is.Named:
 		l.cfg.Log.Info("endpoint names no rate any more", "endpoint", e.Name, "service", e.Service, "was", was.Rate)
 	case !was.Named && is.Named:
 		l.cfg.Log.Info("endpoint names a rate", "endpoint", e.Name, "service", e.Service, "rate", is.Rate)
-	case is.Named && is.Rate != was.Rate && l.lines.May(e.Name, is.Heard):
+	case is.Named && is.Rate != was.Rate && l.logLimiter.May(e.Name, is.Heard):
 		l.cfg.Log.Info("endpoint names another rate", "endpoint", e.Name, "service", e.Service, "rate", is.Rate, "was", was.Rate)
 	}
 }
--- /dev/null
+++ b/process/ratelimits/reservations.go
@@ -0,0 +1,204 @@
+package ratelimits
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"vetchtrail"
+	"vetchtrail/process/quotas"
+	"vetchtrail/schema"
+)
+
+const (
+	// shards is among how many hosts of a region the endpoints are divided.
+	shards = 64
+	// minRate is the rate, in requests per second, at which hosts use an endpoint that advertises
+	// less or 0. Without any requests, no host would learn that the limit was raised. It allows
+	// one request in any 4 s.
+	minRate = 0.2
+	// burstSeconds is the burst beyond one request, in seconds of the rate.
+	//
+	// In any 4 s, all hosts together must send at most 6 s worth of the rate and five requests:
+	// one and a half times what the endpoint takes in that time, and five, which it tolerates when
+	// overloaded. Hosts send in 4 s what was leased in these and up to 1.5 s before, as a lease
+	// lasts 0.5 s and a reservation 1 s. That is 5.5 s of the rate, burstSeconds and one request.
+	// It leaves 0.25 s of the rate and four requests for owners that are replaced.
+	burstSeconds = 0.25
+	// reservationTime is how long a reservation is valid. A connection to the endpoint may have to
+	// be opened meanwhile, which may take 0.7 s.
+	reservationTime = time.Second
+	// settleTime is how long after its start a host that knows no other host owns no rate limit.
+	// Other hosts may be using the rate and not be known yet.
+	settleTime = 4 * time.Second
+	// maxCountedEndpoints bounds the endpoints whose reservations are counted.
+	maxCountedEndpoints = 1 << 14
+	// minRetryDelay is the shortest time until an endpoint is tried again after nothing was left
+	// of its rate.
+	minRetryDelay = 20 * time.Millisecond
+)
+
+// rateBounds presents the rate limits of endpoints as quotas. It implements quotas.Bounds.
+type rateBounds struct{ l *RateLimits }
+
+// Quota implements quotas.Bounds.
+func (b rateBounds) Quota(name string) vetchtrail.Quota {
+	limit, _ := b.l.cfg.Table.Limit(name)
+	if !limit.Named {
+		return vetchtrail.Quota{}
+	}
+	rate := max(limit.Rate, minRate)
+	return vetchtrail.Quota{Rate: rate, Burst: 1 + burstSeconds*rate, Unit: vetchtrail.UnitRequests}
+}
+
+// RegionNames implements quotas.Bounds. Only hosts in its own region call an endpoint.
+func (b rateBounds) RegionNames() []string { return []string{b.l.cfg.Self.Region} }
+
+// settledHosts hides this host from the ranking while it may have just started and knows no
+// other host.
+type settledHosts struct {
+	quotas.Hosts
+	limits *RateLimits
+}
+
+// RankedIn implements quotas.Hosts.
+func (s settledHosts) RankedIn(region, task string, n int, now time.Time) []vetchtrail.Host {
+	out := s.Hosts.RankedIn(region, task, n, now)
+	if len(out) == 1 && out[0].Name == s.limits.cfg.Self.Name && now.Sub(s.limits.startedAt) < settleTime {
+		return nil
+	}
+	return out
+}
+
+// Take implements vetchtrail.Permits.
+func (l *RateLimits) Take(ctx context.Context, e vetchtrail.Endpoint) (p vetchtrail.Permit, retryAt time.Time, ok bool) {
+	limit, binds := l.limit(e.Name)
+	if !binds {
+		return p, retryAt, true
+	}
+	v := l.rateQuotas.Take(ctx, e.Name, 1)
+	if v.Granted {
+		l.addReservation(e.Name)
+		countReply("granted")
+		l.cfg.Table.Rationed(e.Name, max(0, v.Region), time.Time{})
+		return vetchtrail.Permit{Endpoint: e.Name, Born: e.Born, Rate: limit.Rate, Until: l.cfg.Clock().Add(reservationTime)}, retryAt, true
+	}
+	if _, binds := l.limit(e.Name); !binds { // the owner reported that the limit was removed
+		return p, retryAt, true
+	}
+	countReply("refused")
+	if earliest := time.Now().Add(minRetryDelay); v.RetryAt.Before(earliest) {
+		v.RetryAt = earliest
+	}
+	l.cfg.Table.Rationed(e.Name, max(0, v.Region), v.RetryAt)
+	return p, v.RetryAt, false
+}
+
+// limit returns the rate limit that an endpoint advertised, and whether it is enforced.
+func (l *RateLimits) limit(name string) (limit vetchtrail.RateLimit, binds bool) {
+	limit, _ = l.cfg.Table.Limit(name)
+	return limit, limit.Named && !l.cfg.Off
+}
+
+// Return implements vetchtrail.Permits.
+func (l *RateLimits) Return(p vetchtrail.Permit) {
+	if p.Endpoint == "" {
+		return
+	}
+	l.rateQuotas.Return(p.Endpoint, 1)
+	l.removeReservation(p.Endpoint)
+}
+
+// Covers implements vetchtrail.Permits. It is called just before the first byte is sent. A
+// request without a valid reservation would exceed the rate: one that was routed before the
+// endpoint advertised its limit, or reserved under a higher one or before a suspension.
+func (l *RateLimits) Covers(p vetchtrail.Permit, e vetchtrail.Endpoint) bool {
+	limit, binds := l.limit(e.Name)
+	if !binds {
+		return true
+	}
+	return p.Endpoint == e.Name && p.Born.Equal(e.Born) && p.Rate <= limit.Rate && l.cfg.Clock().Before(p.Until)
+}
+
+// leaseTransport sends lease requests to the owner of a rate limit and adds what this host
+// knows of the limit; the reply has what the owner knows. So an owner that the endpoint has
+// not told its limit learns it from the hosts that ask, and they learn of newer limits. It
+// implements quotas.Peers.
+type leaseTransport struct{ l *RateLimits }
+
+// Grant implements quotas.Peers.
+func (t leaseTransport) Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
+	reply, err := t.l.cfg.Peers.Permit(ctx, addr, &schema.PermitRequest{Ask: m, Known: t.l.knownRate(m.GetWorkspace())})
+	if err != nil {
+		return nil, err
+	}
+	t.l.Learn(reply.GetKnown())
+	return reply.GetGrant(), nil
+}
+
+// Claim implements quotas.Peers. It always fails, as rate limits are not shared between
+// regions.
+func (t leaseTransport) Claim(context.Context, netip.AddrPort, *schema.Claims) (*schema.Claims, error) {
+	return nil, errors.New("ratelimits: demand for rate limits is not exchanged between regions")
+}
+
+// Permitted handles a lease request from another host.
+func (l *RateLimits) Permitted(m *schema.PermitRequest) *schema.PermitReply {
+	l.Learn(m.GetKnown())
+	name := m.GetAsk().GetWorkspace()
+	return &schema.PermitReply{Grant: l.rateQuotas.Granted(m.GetAsk()), Known: l.knownRate(name)}
+}
+
+// knownRate returns what this host knows of an endpoint's rate limit, or nil if nothing.
+func (l *RateLimits) knownRate(name string) *schema.EndpointRate {
+	limit, born := l.cfg.Table.Limit(name)
+	if limit.Heard.IsZero() {
+		return nil
+	}
+	return schema.FromRateLimit(name, born, limit, time.Now())
+}
+
+// Learn applies what another host knows of a rate limit.
+func (l *RateLimits) Learn(m *schema.EndpointRate) {
+	if m == nil {
+		return
+	}
+	now := time.Now()
+	report, born, err := schema.ToRateLimit(m, now)
+	if err != nil {
+		if !l.logLimiter.May(m.GetEndpoint(), now) {
+			return
+		}
+		l.cfg.Log.Warn("rate limit reported by another host is invalid", "endpoint", m.GetEndpoint(), "error", err)
+		return
+	}
+	l.applyLimit(vetchtrail.Endpoint{Name: m.GetEndpoint(), Born: born}, report)
+}
+
+// addReservation counts a reservation that is used.
+func (l *RateLimits) addReservation(name string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.reservations) >= maxCountedEndpoints {
+		clear(l.reservations)
+	}
+	l.reservations[name]++
+}
+
+// removeReservation uncounts a reservation that was given back.
+func (l *RateLimits) removeReservation(name string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.reservations[name] > 0 {
+		l.reservations[name]--
+	}
+}
+
+// Sent returns how many reservations this host has used for an endpoint.
+func (l *RateLimits) Sent(name string) uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.reservations[name]
+}
--- /dev/null
+++ b/process/ratelimits/strategies_test.go
@@ -0,0 +1,142 @@
+//go:build !race
+
+package ratelimits
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"vetchtrail"
+)
+
+// equalPart is a strategy without messages between hosts. Some of the hosts use an equal part
+// of the rate, each by its own token bucket, and the others use nothing.
+type equalPart struct {
+	f     *fleet
+	h     *host
+	users func(live, hosts int) int // how many of the live hosts use the endpoint
+	mu    sync.Mutex
+	level float64
+	at    time.Time
+}
+
+// Take implements vetchtrail.Permits.
+func (p *equalPart) Take(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Permit, time.Time, bool) {
+	limit, _ := p.h.table.Limit(e.Name)
+	if !limit.Named {
+		return vetchtrail.Permit{}, time.Time{}, true
+	}
+	now := time.Now()
+	alive := hostView{p.f, p.h}.RankedIn("r", "use "+e.Name, 1<<16, now)
+	users := min(len(alive), p.users(len(alive), len(p.f.hosts)))
+	index := slices.IndexFunc(alive, func(h vetchtrail.Host) bool { return h.Name == p.h.Name })
+	if index >= users {
+		return vetchtrail.Permit{}, time.Time{}, false
+	}
+	rate := max(limit.Rate, minRate) / float64(users)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.level = min(1+burstSeconds*rate, p.level+rate*now.Sub(p.at).Seconds())
+	p.at = now
+	if p.level < 1 {
+		return vetchtrail.Permit{}, time.Time{}, false
+	}
+	p.level--
+	return vetchtrail.Permit{Endpoint: e.Name}, time.Time{}, true
+}
+
+// Return implements vetchtrail.Permits.
+func (p *equalPart) Return(vetchtrail.Permit) {}
+
+// Covers implements vetchtrail.Permits.
+func (p *equalPart) Covers(reservation vetchtrail.Permit, e vetchtrail.Endpoint) bool {
+	limit, _ := p.h.table.Limit(e.Name)
+	return !limit.Named || reservation.Endpoint != ""
+}
+
+// strategies are the strategies to compare, by how many of the live hosts use the endpoint.
+// Nil is the one of RateLimits: leases from one owner.
+var strategies = map[string]func(live, hosts int) int{
+	"leases":      nil,
+	"equal parts": func(live, _ int) int { return live },
+	"few hosts":   func(live, _ int) int { return min(live, 2) },
+}
+
+// TestRateStrategies compares strategies under the same load: how much of the rate is used,
+// the worst 4 s, and the number of messages. It runs each with all hosts connected, and with
+// the hosts in two partitions that both reach the endpoint. Only the leases must keep the
+// limit.
+func TestRateStrategies(t *testing.T) {
+	for _, hosts := range []int{3, 8, 60} {
+		for _, rate := range []float64{1.9, 20} {
+			for name, users := range strategies {
+				t.Run(fmt.Sprintf("hosts=%d/rate=%g/%s", hosts, rate, name), func(t *testing.T) {
+					used, worst, messages := runStrategy(t, users, hosts, rate, false)
+					_, partitioned, _ := runStrategy(t, users, hosts, rate, true)
+					t.Logf("used %.2f of the rate; worst 4 s %.2f of the limit, %.2f when partitioned; %.1f lease requests per second and host", used, worst, partitioned, messages)
+					if users == nil {
+						assert.Assert(t, worst <= 1 && partitioned <= 1)
+					}
+				})
+			}
+		}
+	}
+}
+
+// runStrategy simulates hosts of which a fifth has nine tenths of the load. Callers request
+// four times the rate.
+func runStrategy(t *testing.T, users func(live, hosts int) int, hosts int, rate float64, partitioned bool) (used, worstWindow, messages float64) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		f := &fleet{rnd: rand.New(rand.NewPCG(9, 9)), endpointStartedAt: time.Now(), advertised: []advertisement{{time.Now(), -1}}}
+		if users != nil {
+			f.newLimiter = func(f *fleet, h *host) rateLimiter {
+				return &equalPart{f: f, h: h, users: users, at: time.Now()}
+			}
+		}
+		f.populate(hosts)
+		f.advertise(rate)
+		const warmUp, length = 10 * time.Second, 60 * time.Second
+		measureFrom := time.Now().Add(warmUp)
+		busyHosts := (hosts + 4) / 5
+		var wg sync.WaitGroup
+		for i, h := range f.hosts {
+			demand := 4 * rate * 0.1 / float64(max(1, hosts-busyHosts))
+			if i < busyHosts {
+				demand = 4 * rate * 0.9 / float64(busyHosts)
+			}
+			wg.Go(func() { f.generateLoad(h, demand, measureFrom.Add(length), &wg) })
+		}
+		time.Sleep(warmUp)
+		f.mu.Lock()
+		sent := f.sent
+		if partitioned {
+			for i, h := range f.hosts {
+				h.partition, h.changedAt = i%2, time.Now()
+			}
+		}
+		f.mu.Unlock()
+		time.Sleep(length)
+		f.mu.Lock()
+		messages = float64(f.sent-sent) / length.Seconds() / float64(hosts)
+		f.mu.Unlock()
+		f.drain(&wg)
+		arrived := 0
+		for _, a := range f.arrivals {
+			if a.at.After(measureFrom) && a.at.Before(measureFrom.Add(length)) {
+				arrived++
+			}
+		}
+		used = float64(arrived) / (rate * length.Seconds())
+		worstWindow, _ = f.worstWindow()
+	})
+	return used, worstWindow, messages
+}
