--- a/request/quota/quota_test.go
+++ b/request/quota/quota_test.go
@@ -162,13 +162,15 @@
 
 // TestWindowLimitRegressions repeats the runs in testdata/rapid that once exceeded the limit.
 //
-// In the first, hosts used leases and their equal shares in turn, as hosts and a region were
-// partitioned and a third of the messages was lost. A spent lease cleared the debt of the
-// equal share, so its units were used twice.
+// In the first, hosts and a region were partitioned in turn, a third of the messages was lost,
+// the quota was lowered to a tenth, and callers requested seven times as much. Hosts used
+// leases and their equal shares in turn, and each spent lease cleared the debt of the equal
+// share.
 //
-// In the second, only messages were lost. Hosts without an owner used an equal share of the
-// whole quota, also in regions whose share was smaller because others requested more. The
-// owners of those others leased the same units again.
+// In the second, only messages were lost, and callers requested twice the quota. Hosts without
+// an owner used an equal share of the whole quota, also in regions whose share was smaller
+// because others requested more. The owners in those other regions leased the same units
+// again.
 func TestWindowLimitRegressions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkWindowLimit(t, "") })
 }
