--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -56,8 +56,8 @@
 // RegionNames implements quotas.Bounds. Only hosts in its own region call an endpoint.
 func (b rateBounds) RegionNames() []string { return []string{b.l.cfg.Self.Region} }
 
-// settledHosts hides this host from the ranking while it may have just started and knows no
-// other host.
+// settledHosts returns no hosts for a task while this host has just started and knows no other
+// host, so that it does not act as the owner.
 type settledHosts struct {
 	quotas.Hosts
 	limits *RateLimits
