--- a/request/quota/simulation_test.go
+++ b/request/quota/simulation_test.go
@@ -144,7 +144,8 @@
 	return float64(heard) / float64(all)
 }
 
-// send delivers a message after a delay, unless it is lost.
+// send delivers a message after a delay, unless it is lost, or the receiver is partitioned or
+// has restarted by then.
 func (s *sim) send(from, to *simHost, do func()) {
 	s.messages++
 	delay := time.Duration(1+s.rng.IntN(8)) * time.Millisecond
@@ -239,8 +240,8 @@
 	}
 }
 
-// take spends the units of a request by the strategy of the simulation. If wait is true, the
-// host has sent a lease request.
+// take spends the units of a request by the strategy of the simulation. If wait is true, a
+// lease request is under way, and the request may be tried again after it.
 func (s *sim) take(h *simHost, units float64) (ok, wait bool) {
 	switch s.strategy {
 	case strategyEqual:
