--- a/process/quotas/exchange.go
+++ b/process/quotas/exchange.go
@@ -52,10 +52,10 @@
 func (q *Quotas) forget(now, leaseNow time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for name, h := range q.localQuota {
-		h.mu.Lock()
-		idle := h.holder.Idle(leaseNow)
-		h.mu.Unlock()
+	for name, l := range q.localQuota {
+		l.mu.Lock()
+		idle := l.holder.Idle(leaseNow)
+		l.mu.Unlock()
 		if idle {
 			delete(q.localQuota, name)
 		}
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -143,39 +143,39 @@
 	if !bound.Bounded() {
 		return vetchtrail.QuotaVerdict{Granted: true}
 	}
-	h := q.localOf(workspace)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	l := q.localOf(workspace)
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := q.cfg.Clock()
-	h.holder.RecordDemand(cost, now)
+	l.holder.RecordDemand(cost, now)
 	switch q.cfg.Way {
 	case WayEqual:
-		return q.takeEqualShare(h, cost, bound, now)
+		return q.takeEqualShare(l, cost, bound, now)
 	case WayTold:
-		return q.takeAssignedShare(h, workspace, cost, bound, now)
+		return q.takeAssignedShare(l, workspace, cost, bound, now)
 	}
 	for range maxReplyWaits {
-		if h.holder.Spend(cost, now) {
-			h.equalShare.Spend(cost)
-			q.prefetch(h, workspace, now)
-			return h.verdict(true, time.Time{}, now)
+		if l.holder.Spend(cost, now) {
+			l.equalShare.Spend(cost)
+			q.prefetch(l, workspace, now)
+			return l.verdict(true, time.Time{}, now)
 		}
-		if now.Before(h.unreachableUntil) {
+		if now.Before(l.unreachableUntil) {
 			if q.cfg.Strict {
-				return h.verdict(false, h.unreachableUntil, now)
+				return l.verdict(false, l.unreachableUntil, now)
 			}
-			return q.takeEqualShare(h, cost, bound, now)
+			return q.takeEqualShare(l, cost, bound, now)
 		}
-		if retryAt, blocked := h.holder.Blocked(now); blocked {
-			return h.verdict(false, retryAt, now)
+		if retryAt, blocked := l.holder.Blocked(now); blocked {
+			return l.verdict(false, retryAt, now)
 		}
-		if !q.awaitReply(ctx, h, workspace, cost) {
+		if !q.awaitReply(ctx, l, workspace, cost) {
 			break
 		}
 		now = q.cfg.Clock()
 	}
-	retryAt, _ := h.holder.Blocked(now)
-	return h.verdict(false, later(retryAt, now.Add(minRetryDelay)), now)
+	retryAt, _ := l.holder.Blocked(now)
+	return l.verdict(false, later(retryAt, now.Add(minRetryDelay)), now)
 }
 
 // minRetryDelay is the shortest time that a refused caller is told to wait.
@@ -190,27 +190,27 @@
 }
 
 // takeEqualShare spends the cost from this host's equal share, without a lease.
-func (q *Quotas) takeEqualShare(h *localQuota, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
-	ok, retryAt := h.equalShare.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
+func (q *Quotas) takeEqualShare(l *localQuota, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
+	ok, retryAt := l.equalShare.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
 	if ok {
-		h.holder.RecordUnleased(cost)
+		l.holder.RecordUnleased(cost)
 	}
-	return h.verdict(ok, retryAt, now)
+	return l.verdict(ok, retryAt, now)
 }
 
 // takeAssignedShare spends the cost from this host's assigned share, and asks for a new rate
 // from time to time.
-func (q *Quotas) takeAssignedShare(h *localQuota, workspace string, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
-	if h.assigned.RequestDue(now) {
-		q.startRequest(h, workspace, 0)
+func (q *Quotas) takeAssignedShare(l *localQuota, workspace string, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
+	if l.assigned.RequestDue(now) {
+		q.startRequest(l, workspace, 0)
 	}
-	ok, retryAt := h.assigned.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
-	return h.verdict(ok, retryAt, now)
+	ok, retryAt := l.assigned.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
+	return l.verdict(ok, retryAt, now)
 }
 
 // verdict returns the answer to the caller. retryAt and now are times of Config.Clock.
-func (h *localQuota) verdict(ok bool, retryAt, now time.Time) vetchtrail.QuotaVerdict {
-	local, region, age := h.holder.Balance(now)
+func (l *localQuota) verdict(ok bool, retryAt, now time.Time) vetchtrail.QuotaVerdict {
+	local, region, age := l.holder.Balance(now)
 	if !retryAt.IsZero() {
 		retryAt = time.Now().Add(retryAt.Sub(now)) // as a time of the system clock, which callers use
 	}
@@ -219,95 +219,95 @@
 
 // Return implements vetchtrail.Quotas.
 func (q *Quotas) Return(workspace string, cost float64) {
-	h := q.localOf(workspace)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	l := q.localOf(workspace)
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch now := q.cfg.Clock(); q.cfg.Way {
 	case WayEqual:
-		h.equalShare.Return(cost)
+		l.equalShare.Return(cost)
 	case WayTold:
-		h.assigned.Return(cost)
+		l.assigned.Return(cost)
 	default:
-		h.holder.Return(cost, now)
+		l.holder.Return(cost, now)
 	}
 }
 
 // DiscardLease drops the units that this host has leased and not used.
 func (q *Quotas) DiscardLease(name string) {
-	h := q.localOf(name)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.holder.DiscardLease()
+	l := q.localOf(name)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.holder.DiscardLease()
 }
 
 // localOf returns the local state of a workspace, and creates it if needed.
 func (q *Quotas) localOf(workspace string) *localQuota {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	h, ok := q.localQuota[workspace]
+	l, ok := q.localQuota[workspace]
 	if !ok {
-		h = &localQuota{}
-		q.localQuota[workspace] = h
+		l = &localQuota{}
+		q.localQuota[workspace] = l
 	}
-	return h
+	return l
 }
 
 // awaitReply waits for the end of a lease request that covers the cost, and starts one if
-// needed. It must be called with h.mu locked, and unlocks it while it waits. It returns false
+// needed. It must be called with l.mu locked, and unlocks it while it waits. It returns false
 // if ctx ended first.
-func (q *Quotas) awaitReply(ctx context.Context, h *localQuota, workspace string, cost float64) bool {
-	h.waitingUnits += cost
-	q.startRequest(h, workspace, cost)
-	pending := h.pending
-	h.mu.Unlock()
+func (q *Quotas) awaitReply(ctx context.Context, l *localQuota, workspace string, cost float64) bool {
+	l.waitingUnits += cost
+	q.startRequest(l, workspace, cost)
+	pending := l.pending
+	l.mu.Unlock()
 	answered := true
 	select {
 	case <-pending:
 	case <-ctx.Done():
 		answered = false
 	}
-	h.mu.Lock()
-	h.waitingUnits -= cost
+	l.mu.Lock()
+	l.waitingUnits -= cost
 	return answered
 }
 
 // prefetch starts the next lease request before the leased units are used up. It must be
-// called with h.mu locked.
-func (q *Quotas) prefetch(h *localQuota, workspace string, now time.Time) {
-	if h.holder.ShouldPrefetch(now) && !now.Before(h.unreachableUntil) {
-		q.startRequest(h, workspace, 0)
+// called with l.mu locked.
+func (q *Quotas) prefetch(l *localQuota, workspace string, now time.Time) {
+	if l.holder.ShouldPrefetch(now) && !now.Before(l.unreachableUntil) {
+		q.startRequest(l, workspace, 0)
 	}
 }
 
-// startRequest starts a lease request unless one is under way. It must be called with h.mu
+// startRequest starts a lease request unless one is under way. It must be called with l.mu
 // locked.
-func (q *Quotas) startRequest(h *localQuota, workspace string, minUnits float64) {
-	if h.pending != nil {
+func (q *Quotas) startRequest(l *localQuota, workspace string, minUnits float64) {
+	if l.pending != nil {
 		return
 	}
-	h.pending = make(chan struct{})
-	r := h.holder.NewRequest(workspace, minUnits, h.waitingUnits, q.cfg.Clock())
-	go q.runRequest(h, r)
+	l.pending = make(chan struct{})
+	r := l.holder.NewRequest(workspace, minUnits, l.waitingUnits, q.cfg.Clock())
+	go q.runRequest(l, r)
 }
 
 // runRequest sends a lease request and applies the reply. If no owner replies, it asks none
 // for ownerRetryDelay.
-func (q *Quotas) runRequest(h *localQuota, r quota.LeaseRequest) {
+func (q *Quotas) runRequest(l *localQuota, r quota.LeaseRequest) {
 	reply, ok := q.requestLease(r)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := q.cfg.Clock()
 	switch {
 	case ok && q.cfg.Way == WayTold:
-		h.assigned.ApplyReply(reply.HostRate, now)
+		l.assigned.ApplyReply(reply.HostRate, now)
 	case ok:
-		h.holder.ApplyReply(r, reply, now)
-		h.equalShare.SetRegionShare(reply.RegionShare, len(q.cfg.Bounds().RegionNames()))
+		l.holder.ApplyReply(r, reply, now)
+		l.equalShare.SetRegionShare(reply.RegionShare, len(q.cfg.Bounds().RegionNames()))
 	default:
-		h.holder.RestoreRequest(r)
-		h.unreachableUntil = now.Add(ownerRetryDelay)
-		q.cfg.Log.Warn("no keeper of quotas reached", "duty", q.cfg.Task, "of", r.Workspace, "until", h.unreachableUntil, "equal_part", !q.cfg.Strict, "hosts", q.cfg.Hosts.Count())
+		l.holder.RestoreRequest(r)
+		l.unreachableUntil = now.Add(ownerRetryDelay)
+		q.cfg.Log.Warn("no keeper of quotas reached", "duty", q.cfg.Task, "of", r.Workspace, "until", l.unreachableUntil, "equal_part", !q.cfg.Strict, "hosts", q.cfg.Hosts.Count())
 	}
-	close(h.pending)
-	h.pending = nil
+	close(l.pending)
+	l.pending = nil
 }
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -248,16 +248,16 @@
 			suspended := time.Duration(0)
 			clock := func() time.Time { return time.Unix(5000, 0).Add(time.Since(startedAt) + suspended) }
 			q := New(Config{Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-			h := q.localOf("w")
-			r := h.holder.NewRequest("w", 0, 0, clock())
-			h.holder.ApplyReply(r, quota.LeaseReply{Units: 10, ExpiresAt: clock().Add(500 * time.Millisecond)}, clock())
+			l := q.localOf("w")
+			r := l.holder.NewRequest("w", 0, 0, clock())
+			l.holder.ApplyReply(r, quota.LeaseReply{Units: 10, ExpiresAt: clock().Add(500 * time.Millisecond)}, clock())
 			suspended = c.suspended
-			assert.Equal(t, h.holder.Spend(1, q.cfg.Clock()), c.canSpend)
+			assert.Equal(t, l.holder.Spend(1, q.cfg.Clock()), c.canSpend)
 			systemNow := time.Now()
 			reply := convertClock(quota.LeaseReply{ExpiresAt: systemNow.Add(time.Second)}, systemNow, clock())
 			left := reply.ExpiresAt.Sub(clock())
 			assert.Assert(t, left > 900*time.Millisecond && left <= time.Second && reply.RetryAt.IsZero(), "%s", left)
-			v := h.verdict(false, clock().Add(300*time.Millisecond), clock())
+			v := l.verdict(false, clock().Add(300*time.Millisecond), clock())
 			assert.Assert(t, time.Until(v.RetryAt) > 200*time.Millisecond && time.Until(v.RetryAt) <= 300*time.Millisecond, "%s", time.Until(v.RetryAt))
 		})
 	}
