--- a/process/quarantines/count.go
+++ b/process/quarantines/count.go
@@ -42,7 +42,7 @@
 }
 
 // report takes what this host saw to the counters of all regions.
-func (q *Quarantines) report(ctx context.Context, ends []quarantine.End, served []served, now time.Time) {
+func (q *Quarantines) report(ctx context.Context, ends []quarantine.Crash, served []served, now time.Time) {
 	m := &schema.Ends{From: q.cfg.Self.Name}
 	for _, e := range ends {
 		m.Ends = append(m.Ends, fromEnd(e, now))
@@ -80,7 +80,7 @@
 	counters := q.allCounters()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.recent = slices.DeleteFunc(q.recent, func(e quarantine.End) bool { return now.Sub(e.At) > recentFor })
+	q.recent = slices.DeleteFunc(q.recent, func(e quarantine.Crash) bool { return now.Sub(e.At) > recentFor })
 	met := map[process]bool{}
 	for _, h := range counters {
 		key := process{name: h.Name, incarnation: h.Incarnation}
@@ -133,14 +133,14 @@
 }
 
 // counted takes what a host saw into the evidence.
-func (q *Quarantines) counted(ends []quarantine.End, served []served, now time.Time) {
+func (q *Quarantines) counted(ends []quarantine.Crash, served []served, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, e := range ends {
-		q.evidence.Ended(e, now)
+		q.evidence.RecordCrash(e, now)
 	}
 	for _, s := range served {
-		q.evidence.Served(s.digest, s.at)
+		q.evidence.RecordServed(s.digest, s.at)
 	}
 	if q.judge.IsZero() {
 		q.judge = now.Add(judgeAfter)
@@ -151,7 +151,7 @@
 // HostEnded takes what another host saw, and answers with the suspects.
 func (q *Quarantines) HostEnded(m *schema.Ends) (*schema.Holds, error) {
 	now := q.cfg.Clock()
-	var ends []quarantine.End
+	var ends []quarantine.Crash
 	var seen []served
 	for _, line := range m.GetEnds() {
 		e, err := toEnd(line, now)
@@ -181,18 +181,18 @@
 		return false
 	}
 	q.judge = time.Time{}
-	if q.evidence.Unsettled(now) {
+	if q.evidence.AwaitingReports(now) {
 		q.judge = now.Add(judgeAfter)
 	}
 	var holds []vetchtrail.Hold
-	for _, s := range q.evidence.Judge(quarantine.WayExplained, q.holds, now) {
+	for _, s := range q.evidence.Detect(quarantine.StrategyGreedy, q.holds, now) {
 		hold := q.holds.Add(s.Digest, s.Ends, now)
 		holds = append(holds, hold)
 		countHold()
 		q.cfg.Log.Warn("request held back", "digest", s.Digest.String(), "ends", s.Ends, "strike", hold.Strike, "for", hold.Until.Sub(now))
 	}
 	suspects := slices.DeleteFunc(q.evidence.Suspects(suspectAt), func(s quarantine.Suspect) bool {
-		_, held := q.holds.Held(s.Digest, q.cfg.Clock)
+		_, held := q.holds.Lookup(s.Digest, q.cfg.Clock)
 		return held
 	})
 	suspects = suspects[:min(suspectsTold, len(suspects))]
--- a/process/quarantines/messages.go
+++ b/process/quarantines/messages.go
@@ -11,12 +11,12 @@
 )
 
 // fromEnd returns the message for the end of an endpoint.
-func fromEnd(e quarantine.End, now time.Time) *schema.End {
-	m := &schema.End{Endpoint: e.Endpoint, Born: schema.Nanos(e.Born), Age: int64(now.Sub(e.At))}
-	for _, r := range e.Ran {
-		m.Ran = append(m.Ran, r.Digest[:]...)
+func fromEnd(e quarantine.Crash, now time.Time) *schema.End {
+	m := &schema.End{Endpoint: e.Endpoint, Born: schema.Nanos(e.StartedAt), Age: int64(now.Sub(e.At))}
+	for _, r := range e.InFlight {
+		m.Ran = append(m.Ran, r.ContentHash[:]...)
 		begun := byte(0)
-		if r.Begun {
+		if r.Streaming {
 			begun = 1
 		}
 		m.Begun = append(m.Begun, begun)
@@ -25,14 +25,14 @@
 }
 
 // toEnd returns the end of a message that arrived now.
-func toEnd(m *schema.End, now time.Time) (quarantine.End, error) {
+func toEnd(m *schema.End, now time.Time) (quarantine.Crash, error) {
 	ran, begun := m.GetRan(), m.GetBegun()
 	if len(ran) != len(begun)*len(vetchtrail.Digest{}) || m.GetEndpoint() == "" || m.GetAge() < 0 {
-		return quarantine.End{}, errors.Errorf("quarantines: end: %d bytes of digests of %d requests at %q", len(ran), len(begun), m.GetEndpoint())
+		return quarantine.Crash{}, errors.Errorf("quarantines: end: %d bytes of digests of %d requests at %q", len(ran), len(begun), m.GetEndpoint())
 	}
-	e := quarantine.End{Endpoint: m.GetEndpoint(), Born: schema.Moment(m.GetBorn()), At: now.Add(-time.Duration(m.GetAge()))}
+	e := quarantine.Crash{Endpoint: m.GetEndpoint(), StartedAt: schema.Moment(m.GetBorn()), At: now.Add(-time.Duration(m.GetAge()))}
 	for i, b := range begun {
-		e.Ran = append(e.Ran, quarantine.Ran{Digest: vetchtrail.Digest(ran[i*len(vetchtrail.Digest{}) : (i+1)*len(vetchtrail.Digest{})]), Begun: b != 0})
+		e.InFlight = append(e.InFlight, quarantine.InFlight{ContentHash: vetchtrail.Digest(ran[i*len(vetchtrail.Digest{}) : (i+1)*len(vetchtrail.Digest{})]), Streaming: b != 0})
 	}
 	return e, nil
 }
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -16,8 +16,8 @@
 
 // TestMessages: what a host tells of an end is what another takes.
 func TestMessages(t *testing.T) {
-	want := quarantine.End{Endpoint: "e", Born: messageTime.Add(-time.Hour), At: messageTime.Add(-time.Second), Ran: []quarantine.Ran{
-		{Digest: vetchtrail.Digest{1}}, {Digest: vetchtrail.Digest{2}, Begun: true},
+	want := quarantine.Crash{Endpoint: "e", StartedAt: messageTime.Add(-time.Hour), At: messageTime.Add(-time.Second), InFlight: []quarantine.InFlight{
+		{ContentHash: vetchtrail.Digest{1}}, {ContentHash: vetchtrail.Digest{2}, Streaming: true},
 	}}
 	got, err := toEnd(fromEnd(want, messageTime), messageTime)
 	assert.NilError(t, err)
@@ -78,7 +78,7 @@
 
 // FuzzHostEnded: whatever bytes come as a host's word, they are taken or refused.
 func FuzzHostEnded(f *testing.F) {
-	good, _ := proto.Marshal(&schema.Ends{From: "h", Ends: []*schema.End{fromEnd(quarantine.End{Endpoint: "e", At: messageTime, Ran: []quarantine.Ran{{}}}, messageTime)}})
+	good, _ := proto.Marshal(&schema.Ends{From: "h", Ends: []*schema.End{fromEnd(quarantine.Crash{Endpoint: "e", At: messageTime, InFlight: []quarantine.InFlight{{}}}, messageTime)}})
 	f.Add(good)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -88,7 +88,7 @@
 		}
 		q := New(Config{Clock: func() time.Time { return messageTime }, Hosts: nobody{}})
 		if _, err := q.HostEnded(&m); err != nil {
-			assert.Assert(t, !q.evidence.Unsettled(messageTime), "refused and taken: %v", err)
+			assert.Assert(t, !q.evidence.AwaitingReports(messageTime), "refused and taken: %v", err)
 		}
 	})
 }
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -66,20 +66,20 @@
 // safe for use by many.
 type Quarantines struct {
 	cfg   Config
-	holds *quarantine.Holds
+	holds *quarantine.Entries
 	watch watch
 	wake  chan struct{} // for the duties of Run
 
 	mu       sync.Mutex // guards what follows
-	evidence *quarantine.Evidence
+	evidence *quarantine.CrashHistory
 	judge    time.Time // when there is something to judge; zero: there is not
 	suspects []quarantine.Suspect
 	// suspectsUntil is until when those stand that a counter told; a counter's own stand.
 	suspectsUntil time.Time
 	suspected     suspected
 	served        []served                              // not told of yet
-	ends          []quarantine.End                      // of this host's endpoints, not told of yet
-	recent        []quarantine.End                      // the last of them, told of or not
+	ends          []quarantine.Crash                    // of this host's endpoints, not told of yet
+	recent        []quarantine.Crash                    // the last of them, told of or not
 	met           map[process]bool                      // counters that were told of those
 	kept          map[vetchtrail.Digest]vetchtrail.Hold // as the platform keeps them
 }
@@ -92,18 +92,18 @@
 // New returns quarantines that hold nothing back.
 func New(c Config) *Quarantines {
 	return &Quarantines{
-		cfg: c, holds: quarantine.NewHolds(), wake: make(chan struct{}, 1), watch: newWatch(),
-		evidence: quarantine.NewEvidence(), kept: map[vetchtrail.Digest]vetchtrail.Hold{},
+		cfg: c, holds: quarantine.NewEntries(), wake: make(chan struct{}, 1), watch: newWatch(),
+		evidence: quarantine.NewCrashHistory(), kept: map[vetchtrail.Digest]vetchtrail.Hold{},
 	}
 }
 
 // Held implements vetchtrail.Quarantine. Where nothing is held back it costs a load of a
 // pointer; else the request's digest, once, and a look-up.
 func (q *Quarantines) Held(r *vetchtrail.Request) (vetchtrail.Hold, bool) {
-	if q.cfg.Off || !q.holds.Any() {
+	if q.cfg.Off || !q.holds.AnyActive() {
 		return vetchtrail.Hold{}, false
 	}
-	return q.holds.Held(r.Digest(), q.cfg.Clock)
+	return q.holds.Lookup(r.Digest(), q.cfg.Clock)
 }
 
 // Answered implements vetchtrail.Quarantine.
@@ -141,7 +141,7 @@
 	hold, ok := q.holds.Release(d, now)
 	if ok {
 		q.cfg.Log.Info("request let go", "digest", d.String(), "strike", hold.Strike)
-		q.evidence.Served(d, now)
+		q.evidence.RecordServed(d, now)
 		q.spread([]vetchtrail.Hold{hold}, now)
 	}
 	return hold, ok
@@ -170,12 +170,12 @@
 	var news []vetchtrail.Hold
 	for _, h := range in {
 		h.Until = vetchtrail.Earlier(h.Until, now.Add(quarantine.HoldTime(h.Strike)))
-		if !q.holds.Take(h, now) {
+		if !q.holds.Merge(h, now) {
 			continue
 		}
 		news = append(news, h)
 		if h.Released {
-			q.evidence.Served(h.Digest, now)
+			q.evidence.RecordServed(h.Digest, now)
 		}
 	}
 	return news
--- a/process/quarantines/quarantines_test.go
+++ b/process/quarantines/quarantines_test.go
@@ -207,11 +207,11 @@
 	withFleet(t, "", 8, func(t *testing.T, f *fleet) {
 		f.play(nil, 300*time.Millisecond, 8*time.Second)
 		for _, h := range f.hosts {
-			assert.Assert(t, h.q.holds.Any())
+			assert.Assert(t, h.q.holds.AnyActive())
 		}
 		time.Sleep(quarantine.HoldTime(1) + 2*syncEvery)
 		for i, h := range f.hosts {
-			assert.Assert(t, !h.q.holds.Any(), "host %d", i)
+			assert.Assert(t, !h.q.holds.AnyActive(), "host %d", i)
 		}
 	})
 }
--- a/process/quarantines/spread.go
+++ b/process/quarantines/spread.go
@@ -41,7 +41,7 @@
 			return
 		case <-sync.C:
 			now := q.cfg.Clock()
-			q.holds.Tidy(now)
+			q.holds.Refresh(now)
 			go q.sync(ctx, now)
 			go q.keep(ctx, now)
 			q.introduce(ctx, now)
@@ -314,11 +314,11 @@
 }
 
 // digestsOf are the digests of requests as a log line shows them.
-func digestsOf(ran []quarantine.Ran) []string {
+func digestsOf(ran []quarantine.InFlight) []string {
 	const most = 64
 	out := make([]string, 0, min(most, len(ran)))
 	for _, r := range ran[:min(most, len(ran))] {
-		out = append(out, r.Digest.String())
+		out = append(out, r.ContentHash.String())
 	}
 	return out
 }
--- a/process/quarantines/watch.go
+++ b/process/quarantines/watch.go
@@ -51,7 +51,7 @@
 }
 
 type loss struct {
-	quarantine.Ran
+	quarantine.InFlight
 	at time.Time
 }
 
@@ -63,13 +63,13 @@
 		return
 	}
 	now := q.cfg.Clock()
-	l := loss{at: now, Ran: quarantine.Ran{Digest: r.Digest(), Begun: !t.First.IsZero() && time.Since(t.First) > begunLong}}
+	l := loss{at: now, InFlight: quarantine.InFlight{ContentHash: r.Digest(), Streaming: !t.First.IsZero() && time.Since(t.First) > begunLong}}
 	if from, due := q.watch.add(e, l, now); due {
 		go q.look(e, from.Sub(now))
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.suspected.add(l.Digest, now)
+	q.suspected.add(l.ContentHash, now)
 }
 
 // mayHaveEnded says whether an attempt ended as it does with its endpoint.
@@ -148,31 +148,31 @@
 	countEnd()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.cfg.Log.Warn("endpoint ended", "endpoint", name, "how", how, "ran", len(end.Ran), "digests", digestsOf(end.Ran), "suspects", suspectsOf(q.suspects))
+	q.cfg.Log.Warn("endpoint ended", "endpoint", name, "how", how, "ran", len(end.InFlight), "digests", digestsOf(end.InFlight), "suspects", suspectsOf(q.suspects))
 	q.ends = append(q.ends, end)
 	q.stir()
 }
 
 // end returns the end of an endpoint with the requests that were lost with it; false: none was.
-func (w *watch) end(name string) (quarantine.End, bool) {
+func (w *watch) end(name string) (quarantine.Crash, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p, ok := w.places[name]
 	if !ok {
-		return quarantine.End{}, false
+		return quarantine.Crash{}, false
 	}
 	delete(w.places, name) // also where all losses are forgotten: a place being looked at stays so
 	if len(p.lost) == 0 {
-		return quarantine.End{}, false
+		return quarantine.Crash{}, false
 	}
 	last := p.lost[len(p.lost)-1].at
-	out := quarantine.End{Endpoint: name, Born: p.endpoint.Born, At: last}
+	out := quarantine.Crash{Endpoint: name, StartedAt: p.endpoint.Born, At: last}
 	for _, l := range p.lost {
 		if last.Sub(l.at) > lostWith {
 			continue
 		}
 		out.At = vetchtrail.Earlier(out.At, l.at)
-		out.Ran = append(out.Ran, l.Ran)
+		out.InFlight = append(out.InFlight, l.InFlight)
 	}
 	return out, true
 }
--- /dev/null
+++ b/request/quarantine/detect.go
@@ -0,0 +1,179 @@
+package quarantine
+
+import (
+	"slices"
+	"time"
+
+	"vetchtrail"
+)
+
+const (
+	// crashThreshold is the number of crashes after which a request that was in flight at each of
+	// them is quarantined.
+	crashThreshold = 3
+	// repeatCrashThreshold replaces crashThreshold for a request that was quarantined before.
+	repeatCrashThreshold = 1
+	// unexplainedPerExtraCrash is the number of unexplained crashes in the same period for which
+	// one more crash is required, and maxExtraCrashes is the most that are added. Where endpoints
+	// also crash for other reasons, a request that is retried is present at several crashes by
+	// chance.
+	unexplainedPerExtraCrash = 2
+	maxExtraCrashes          = 3
+	// unexplainedLookback extends that period to before the first crash counted against the
+	// request.
+	unexplainedLookback = time.Second
+)
+
+// Strategy is a method of telling poison requests, which crash endpoints, from the requests that
+// were only in flight beside them.
+type Strategy uint8
+
+// The strategies. In the simulations of TestStrategies, StrategyGreedy needs about one crash more
+// than StrategyThreshold and quarantines no harmless request; StrategyThreshold quarantines some.
+const (
+	// StrategyGreedy quarantines the request that was present at the most crashes and then treats
+	// these crashes as explained: they no longer count against other requests. A crash affects
+	// dozens of requests, and those that are retried may be present at the next crash too.
+	StrategyGreedy Strategy = iota
+	// StrategyThreshold quarantines every request that was present at enough crashes.
+	StrategyThreshold
+)
+
+// Detect returns the requests to quarantine, each with the number of crashes counted against it.
+// Crashes that some hosts may not have reported yet are left out.
+func (h *CrashHistory) Detect(s Strategy, entries *Entries, now time.Time) []Suspect {
+	d := detection{strategy: s, now: now, history: h, known: entries.known(), explained: map[*mergedCrash]bool{}}
+	if s == StrategyGreedy {
+		d.explainKnown()
+	}
+	var out []Suspect
+	for {
+		found := d.strongest()
+		if len(found) == 0 {
+			return out
+		}
+		for _, t := range found {
+			out = append(out, Suspect{Digest: t.contentHash, Ends: len(t.crashes)})
+			d.detected = append(d.detected, t.contentHash)
+			for _, inv := range t.crashes {
+				d.explained[inv.mergedCrash] = s == StrategyGreedy
+			}
+		}
+	}
+}
+
+// detection is the state of one call of Detect.
+type detection struct {
+	strategy  Strategy
+	now       time.Time
+	history   *CrashHistory
+	known     map[vetchtrail.Digest]vetchtrail.Hold
+	explained map[*mergedCrash]bool
+	detected  []vetchtrail.Digest // requests found so far
+}
+
+// explainKnown marks as explained all crashes at which a known poison request was present, whether
+// its quarantine is active or over. Released requests explain nothing.
+func (d *detection) explainKnown() {
+	for hash, entry := range d.known {
+		req, ok := d.history.requests[hash]
+		if !ok || entry.Released {
+			continue
+		}
+		for _, inv := range req.crashes {
+			d.explained[inv.mergedCrash] = true
+		}
+	}
+}
+
+// tally is the evidence against one request.
+type tally struct {
+	contentHash  vetchtrail.Digest
+	crashes      []involvement
+	independent  int // crashes, where those with a common cause count as one
+	notStreaming int // crashes at which its response was not streaming yet
+}
+
+// strongest returns the request with the strongest evidence, of those with enough of it. Equally
+// strong ones are all returned.
+func (d *detection) strongest() []tally {
+	var out []tally
+	consider := func(hash vetchtrail.Digest, req *requestHistory) {
+		t, enough := d.tally(hash, req)
+		switch {
+		case !enough:
+		case len(out) == 0 || t.compare(out[0]) > 0:
+			out = []tally{t}
+		case t.compare(out[0]) == 0:
+			out = append(out, t)
+		}
+	}
+	for hash, req := range d.history.repeated {
+		consider(hash, req)
+	}
+	for hash := range d.known { // the index of repeated crashes lacks requests with one crash
+		if req, ok := d.history.requests[hash]; ok && d.history.repeated[hash] == nil {
+			consider(hash, req)
+		}
+	}
+	slices.SortFunc(out, func(a, b tally) int { return slices.Compare(a.contentHash[:], b.contentHash[:]) })
+	return out
+}
+
+// compare returns a positive number if the evidence t is stronger than other, and 0 if they are
+// equally strong.
+func (t *tally) compare(other tally) int {
+	if t.independent != other.independent {
+		return t.independent - other.independent
+	}
+	return t.notStreaming - other.notStreaming
+}
+
+// halfCrashes returns the weight of the evidence in half crashes. A crash counts half if the
+// response was already streaming: poison requests mostly crash an endpoint as it starts them.
+func (t *tally) halfCrashes() int { return t.independent + min(t.independent, t.notStreaming) }
+
+// tally collects the evidence against a request and reports whether it is enough to quarantine it.
+func (d *detection) tally(hash vetchtrail.Digest, req *requestHistory) (tally, bool) {
+	t := tally{contentHash: hash}
+	entry, known := d.known[hash]
+	if slices.Contains(d.detected, hash) || known && !entry.Released && d.now.Before(entry.Until) {
+		return t, false
+	}
+	for _, inv := range req.crashes {
+		explained := d.explained[inv.mergedCrash] && !known
+		if explained || known && !inv.At.After(entry.Since) || d.now.Sub(inv.firstReportedAt) < reportWait {
+			continue
+		}
+		t.crashes = append(t.crashes, inv)
+		if !inv.streaming {
+			t.notStreaming++
+		}
+	}
+	t.independent = countIndependent(t.crashes)
+	switch {
+	case known && !entry.Released:
+		return t, t.independent >= repeatCrashThreshold
+	case d.strategy == StrategyThreshold:
+		return t, t.independent >= crashThreshold
+	case t.independent < crashThreshold:
+		return t, false
+	}
+	required := crashThreshold + min(d.unexplainedCrashes(t)/unexplainedPerExtraCrash, maxExtraCrashes)
+	return t, t.halfCrashes() >= 2*required
+}
+
+// unexplainedCrashes counts the unexplained crashes at which the request of t was not present, from
+// unexplainedLookback before its first crash to its last. Crashes with a common cause count as one.
+func (d *detection) unexplainedCrashes(t tally) int {
+	from, to := t.crashes[0].At.Add(-unexplainedLookback), t.crashes[len(t.crashes)-1].At
+	var out []involvement
+	for _, c := range d.history.crashes {
+		present := slices.ContainsFunc(t.crashes, func(inv involvement) bool { return inv.mergedCrash == c })
+		if !present && !d.explained[c] && c.At.After(from) && !c.At.After(to) {
+			out = append(out, involvement{mergedCrash: c})
+		}
+	}
+	slices.SortStableFunc(out, byTime)
+	return countIndependent(out)
+}
--- /dev/null
+++ b/request/quarantine/history.go
@@ -0,0 +1,225 @@
+package quarantine
+
+import (
+	"slices"
+	"time"
+
+	"vetchtrail"
+)
+
+const (
+	// sameCrashWindow is how far apart hosts may date one crash, where they don't know its process
+	// instance. They notice it by their broken connections, some of them late. An endpoint takes
+	// longer than this to restart, so that two crashes of one endpoint aren't merged.
+	sameCrashWindow = 500 * time.Millisecond
+	// reportWait is how long after the first report of a crash those of the other hosts are
+	// awaited. Until then only requests that were in flight beside the poison request may have been
+	// reported.
+	reportWait = 300 * time.Millisecond
+	// commonCauseWindow is how close in time crashes count as one against a request that was
+	// present at both: endpoints that fail together have lost their power or their network.
+	commonCauseWindow = 200 * time.Millisecond
+	// crashRetention is how long a crash counts. It is long enough to detect a poison request whose
+	// caller sends it only once in several minutes.
+	crashRetention = 30 * time.Minute
+	// maxCrashes and maxRequestsPerCrash bound the memory of a crash aggregator: 256 crashes with
+	// 256 requests each are 65,536 records, about 4 MB.
+	maxCrashes          = 256
+	maxRequestsPerCrash = 256
+	// maxCrashesPerRequest bounds the crashes that are remembered of one request.
+	maxCrashesPerRequest = 16
+)
+
+// InFlight is a request that was in flight at an endpoint when the endpoint crashed.
+type InFlight struct {
+	ContentHash vetchtrail.Digest
+	// Streaming is set if the response had been streaming for some time. This is weaker evidence: a
+	// request that crashes endpoints as they start it gets no response.
+	Streaming bool
+}
+
+// Crash is the crash of an endpoint as one host reports it.
+type Crash struct {
+	Endpoint  string
+	StartedAt time.Time // start time of the process instance that crashed; zero if unknown
+	At        time.Time
+	InFlight  []InFlight
+}
+
+// mergedCrash is a crash with the requests that all hosts have reported of it.
+type mergedCrash struct {
+	Crash
+	firstReportedAt time.Time
+	requestCount    int
+}
+
+// requestHistory is the crashes at which one request was present.
+type requestHistory struct {
+	crashes  []involvement // in chronological order
+	servedAt time.Time
+}
+
+// involvement is a crash at which a request was present.
+type involvement struct {
+	*mergedCrash
+	streaming bool
+}
+
+func byTime(a, b involvement) int { return a.At.Compare(b.At) }
+
+// CrashHistory records which requests were in flight at which endpoints when these crashed. It is
+// not safe for concurrent use.
+type CrashHistory struct {
+	crashes  []*mergedCrash // in the order of their first reports
+	requests map[vetchtrail.Digest]*requestHistory
+	repeated map[vetchtrail.Digest]*requestHistory // requests with more than one crash
+}
+
+// NewCrashHistory returns an empty history.
+func NewCrashHistory() *CrashHistory {
+	return &CrashHistory{requests: map[vetchtrail.Digest]*requestHistory{}, repeated: map[vetchtrail.Digest]*requestHistory{}}
+}
+
+// RecordCrash merges one host's report of a crash. Each host reports the requests that it had sent
+// itself. A repeated report changes nothing.
+func (h *CrashHistory) RecordCrash(in Crash, now time.Time) {
+	h.removeExpired(now)
+	c := h.find(in)
+	if c == nil {
+		c = &mergedCrash{Crash: Crash{Endpoint: in.Endpoint, StartedAt: in.StartedAt, At: in.At}, firstReportedAt: now}
+		h.crashes = append(h.crashes, c)
+		if len(h.crashes) > maxCrashes {
+			h.removeOldest(h.crashes[0])
+		}
+	}
+	for _, r := range in.InFlight {
+		h.addRequest(c, r)
+	}
+}
+
+// find returns the recorded crash that a report is about, or nil.
+func (h *CrashHistory) find(in Crash) *mergedCrash {
+	for _, c := range slices.Backward(h.crashes) {
+		if c.Endpoint != in.Endpoint {
+			continue
+		}
+		if !c.StartedAt.IsZero() && !in.StartedAt.IsZero() {
+			if c.StartedAt.Equal(in.StartedAt) {
+				return c
+			}
+			continue
+		}
+		if c.At.Sub(in.At).Abs() < sameCrashWindow {
+			return c
+		}
+	}
+	return nil
+}
+
+// addRequest records that a request was present at a crash, unless it was served after the crash.
+func (h *CrashHistory) addRequest(c *mergedCrash, r InFlight) {
+	req, ok := h.requests[r.ContentHash]
+	if !ok {
+		req = &requestHistory{}
+	}
+	known := slices.ContainsFunc(req.crashes, func(inv involvement) bool { return inv.mergedCrash == c })
+	if known || !c.At.After(req.servedAt) || c.requestCount >= maxRequestsPerCrash {
+		return
+	}
+	h.requests[r.ContentHash] = req
+	c.requestCount++
+	c.InFlight = append(c.InFlight, r)
+	req.crashes = append(req.crashes, involvement{mergedCrash: c, streaming: r.Streaming})
+	slices.SortStableFunc(req.crashes, byTime)
+	if len(req.crashes) > maxCrashesPerRequest {
+		req.crashes = req.crashes[1:]
+	}
+	if len(req.crashes) > 1 {
+		h.repeated[r.ContentHash] = req
+	}
+}
+
+// RecordServed records that an endpoint served a request completely at a time. This clears the
+// request of all earlier crashes.
+func (h *CrashHistory) RecordServed(hash vetchtrail.Digest, at time.Time) {
+	req, ok := h.requests[hash]
+	if !ok {
+		return
+	}
+	req.servedAt = vetchtrail.Later(req.servedAt, at)
+	req.crashes = slices.DeleteFunc(req.crashes, func(inv involvement) bool { return !inv.At.After(req.servedAt) })
+	h.updateRepeated(hash, req)
+}
+
+// updateRepeated removes a request that has fewer than two crashes left from the index of repeated
+// crashes.
+func (h *CrashHistory) updateRepeated(hash vetchtrail.Digest, req *requestHistory) {
+	if len(req.crashes) < 2 {
+		delete(h.repeated, hash)
+	}
+}
+
+// removeExpired removes crashes older than crashRetention.
+func (h *CrashHistory) removeExpired(now time.Time) {
+	for len(h.crashes) > 0 && now.Sub(h.crashes[0].firstReportedAt) > crashRetention {
+		h.removeOldest(h.crashes[0])
+	}
+}
+
+// removeOldest removes c, which has to be the oldest crash.
+func (h *CrashHistory) removeOldest(c *mergedCrash) {
+	h.crashes = h.crashes[1:]
+	for _, r := range c.InFlight {
+		req, ok := h.requests[r.ContentHash]
+		if !ok {
+			continue
+		}
+		req.crashes = slices.DeleteFunc(req.crashes, func(inv involvement) bool { return inv.mergedCrash == c })
+		h.updateRepeated(r.ContentHash, req)
+		if len(req.crashes) == 0 {
+			delete(h.requests, r.ContentHash)
+		}
+	}
+}
+
+// AwaitingReports reports whether there are crashes that some hosts may not have reported yet.
+func (h *CrashHistory) AwaitingReports(now time.Time) bool {
+	return slices.ContainsFunc(h.crashes, func(c *mergedCrash) bool { return now.Sub(c.firstReportedAt) < reportWait })
+}
+
+// Suspect is a request with the number of crashes that count against it.
+type Suspect struct {
+	Digest vetchtrail.Digest
+	Ends   int
+}
+
+// Suspects returns the requests with at least minCrashes crashes against them, but no request with
+// fewer than two, ordered by descending number of crashes.
+func (h *CrashHistory) Suspects(minCrashes int) []Suspect {
+	var out []Suspect
+	for hash, req := range h.repeated {
+		if n := countIndependent(req.crashes); n >= minCrashes {
+			out = append(out, Suspect{Digest: hash, Ends: n})
+		}
+	}
+	slices.SortFunc(out, func(a, b Suspect) int {
+		if a.Ends != b.Ends {
+			return b.Ends - a.Ends
+		}
+		return slices.Compare(a.Digest[:], b.Digest[:])
+	})
+	return out
+}
+
+// countIndependent counts crashes, where those with a common cause count as one.
+func countIndependent(crashes []involvement) int {
+	n := 0
+	var last time.Time
+	for _, inv := range crashes {
+		if n == 0 || inv.At.Sub(last) >= commonCauseWindow {
+			n++
+			last = inv.At
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/request/quarantine/persist.go
@@ -0,0 +1,87 @@
+package quarantine
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"vetchtrail"
+)
+
+// Kept is the persisted form of the entries, which survives the loss of all hosts. It contains no
+// times, as no host's wall clock can be relied on: on a host that reads it after all hosts were
+// lost, each request is quarantined for its full duration again.
+type Kept struct {
+	Entries []PersistedEntry `json:"holds"`
+}
+
+// PersistedEntry is one entry in its persisted form.
+type PersistedEntry struct {
+	ContentHash string `json:"digest"`
+	Count       uint32 `json:"strike"`
+	Crashes     int    `json:"ends"`
+	Released    bool   `json:"released,omitempty"`
+}
+
+// ParseKept reads the encoding that Text returns. If some entries are invalid, it returns the valid
+// ones together with an error.
+func ParseKept(text []byte) (Kept, error) {
+	var in, out Kept
+	if err := json.Unmarshal(text, &in); err != nil {
+		return out, errors.Wrap(err, "quarantine.ParseKept")
+	}
+	var bad error
+	for _, entry := range in.Entries {
+		if _, err := vetchtrail.ParseDigest(entry.ContentHash); err != nil || entry.Count == 0 {
+			bad = errors.Errorf("quarantine.ParseKept: invalid entry: content hash %q, count %d", entry.ContentHash, entry.Count)
+			continue
+		}
+		out.Entries = append(out.Entries, entry)
+	}
+	return out, bad
+}
+
+// Text returns the encoding that ParseKept reads.
+func (k *Kept) Text() ([]byte, error) { return json.Marshal(k) }
+
+// Put adds entries and removes those of the requests in drop. An entry replaces the one of the same
+// request, unless that one has a higher count. If there are too many, those added first are
+// removed.
+func (k *Kept) Put(entries []vetchtrail.Hold, drop []vetchtrail.Digest) {
+	for _, d := range drop {
+		k.remove(d.String())
+	}
+	for _, entry := range entries {
+		hash := entry.Digest.String()
+		i := slices.IndexFunc(k.Entries, func(old PersistedEntry) bool { return old.ContentHash == hash })
+		if i >= 0 && k.Entries[i].Count > entry.Strike {
+			continue
+		}
+		released := entry.Released || i >= 0 && k.Entries[i].Count == entry.Strike && k.Entries[i].Released
+		k.remove(hash)
+		k.Entries = append(k.Entries, PersistedEntry{ContentHash: hash, Count: entry.Strike, Crashes: entry.Ends, Released: released})
+	}
+	k.Entries = k.Entries[max(0, len(k.Entries)-maxEntries):]
+}
+
+func (k *Kept) remove(contentHash string) {
+	k.Entries = slices.DeleteFunc(k.Entries, func(entry PersistedEntry) bool { return entry.ContentHash == contentHash })
+}
+
+// From returns the entries for a host that reads them now. As their age isn't persisted, each one
+// starts now; hosts that know its real age correct this when they exchange entries.
+func (k *Kept) From(now time.Time) []vetchtrail.Hold {
+	out := make([]vetchtrail.Hold, 0, len(k.Entries))
+	for _, entry := range k.Entries {
+		hash, err := vetchtrail.ParseDigest(entry.ContentHash)
+		if err != nil {
+			continue
+		}
+		out = append(out, vetchtrail.Hold{
+			Digest: hash, Strike: entry.Count, Ends: entry.Crashes, Since: now, Until: now.Add(HoldTime(entry.Count)), Released: entry.Released,
+		})
+	}
+	return out
+}
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -12,83 +12,84 @@
 	_ "vetchtrail/standin/seeded"
 )
 
-// at is a clock that stands.
-func at(now time.Time) func() time.Time { return func() time.Time { return now } }
+// fixedClock returns a clock that always returns now.
+func fixedClock(now time.Time) func() time.Time { return func() time.Time { return now } }
 
-// ended is the word that an endpoint ended at a second with some requests, all of which it had
-// just begun.
-func ended(endpoint string, second float64, requests ...uint64) End {
-	e := End{Endpoint: endpoint, At: simStart.Add(time.Duration(second * float64(time.Second)))}
+// crashOf returns a report that an endpoint crashed at a second, with requests whose responses were
+// not streaming yet.
+func crashOf(endpoint string, second float64, requests ...uint64) Crash {
+	c := Crash{Endpoint: endpoint, At: simStart.Add(time.Duration(second * float64(time.Second)))}
 	for _, n := range requests {
-		e.Ran = append(e.Ran, Ran{Digest: digestOf(n)})
+		c.InFlight = append(c.InFlight, InFlight{ContentHash: hashOf(n)})
 	}
-	return e
+	return c
 }
 
-// begun is the same of requests whose answers had been under way.
-func begun(e End) End {
-	for i := range e.Ran {
-		e.Ran[i].Begun = true
+// midStream returns the same report for requests whose responses were streaming.
+func midStream(c Crash) Crash {
+	for i := range c.InFlight {
+		c.InFlight[i].Streaming = true
 	}
-	return e
+	return c
 }
 
-// TestJudge: whom the ends of endpoints tell against.
-func TestJudge(t *testing.T) {
-	const deadly, other, third = 1, 2, 3
+// TestDetect checks which requests are quarantined after which crashes: poison requests, not the
+// requests that were in flight beside them and not those that met unrelated crashes.
+func TestDetect(t *testing.T) {
+	const poison, other, third = 1, 2, 3
 	cases := map[string]struct {
-		ends   []End
-		served map[uint64]float64 // second, by request
-		held   []uint64           // held back before, from second 0 for ten minutes
-		want   []uint64
+		crashes     []Crash
+		served      map[uint64]float64 // second at which each request was served
+		quarantined []uint64           // quarantined at second 0, for ten minutes
+		want        []uint64
 	}{
-		"nothing ended":            {nil, nil, nil, nil},
-		"two ends":                 {[]End{ended("a", 1, deadly), ended("b", 2, deadly)}, nil, nil, nil},
-		"three ends":               {[]End{ended("a", 1, deadly), ended("b", 2, deadly), ended("c", 3, deadly)}, nil, nil, []uint64{deadly}},
-		"three ends, one endpoint": {[]End{ended("a", 1, deadly), ended("a", 4, deadly), ended("a", 7, deadly)}, nil, nil, []uint64{deadly}},
-		"the same end told twice":  {[]End{ended("a", 1, deadly), ended("a", 1.1, deadly), ended("b", 2, deadly)}, nil, nil, nil},
-		"ended together":           {[]End{ended("a", 1, deadly), ended("b", 1.05, deadly), ended("c", 1.1, deadly)}, nil, nil, nil},
-		"beside it at two": {
-			[]End{ended("a", 1, deadly, other), ended("b", 2, deadly, other), ended("c", 3, deadly, third)}, nil, nil, []uint64{deadly},
+		"no crash":                      {nil, nil, nil, nil},
+		"two crashes":                   {[]Crash{crashOf("a", 1, poison), crashOf("b", 2, poison)}, nil, nil, nil},
+		"three crashes":                 {[]Crash{crashOf("a", 1, poison), crashOf("b", 2, poison), crashOf("c", 3, poison)}, nil, nil, []uint64{poison}},
+		"three crashes of one endpoint": {[]Crash{crashOf("a", 1, poison), crashOf("a", 4, poison), crashOf("a", 7, poison)}, nil, nil, []uint64{poison}},
+		"one crash reported twice":      {[]Crash{crashOf("a", 1, poison), crashOf("a", 1.1, poison), crashOf("b", 2, poison)}, nil, nil, nil},
+		"crashed together":              {[]Crash{crashOf("a", 1, poison), crashOf("b", 1.05, poison), crashOf("c", 1.1, poison)}, nil, nil, nil},
+		"other request at two of three crashes": {
+			[]Crash{crashOf("a", 1, poison, other), crashOf("b", 2, poison, other), crashOf("c", 3, poison, third)}, nil, nil, []uint64{poison},
 		},
-		"beside it at all, under way": {
-			append([]End{begun(ended("a", 1, other)), begun(ended("b", 2, other)), begun(ended("c", 3, other))},
-				ended("a", 1, deadly), ended("b", 2, deadly), ended("c", 3, deadly)), nil, nil, []uint64{deadly},
+		"other request at all crashes, streaming": {
+			append([]Crash{midStream(crashOf("a", 1, other)), midStream(crashOf("b", 2, other)), midStream(crashOf("c", 3, other))},
+				crashOf("a", 1, poison), crashOf("b", 2, poison), crashOf("c", 3, poison)), nil, nil, []uint64{poison},
 		},
-		"nothing tells them apart": {
-			[]End{ended("a", 1, deadly, other), ended("b", 2, deadly, other), ended("c", 3, deadly, other)}, nil, nil, []uint64{deadly, other},
+		"two requests with equal evidence": {
+			[]Crash{crashOf("a", 1, poison, other), crashOf("b", 2, poison, other), crashOf("c", 3, poison, other)}, nil, nil, []uint64{poison, other},
 		},
-		"beside it, explained": {
-			[]End{ended("a", 1, deadly), ended("b", 2, deadly, other), ended("c", 3, deadly, other), ended("d", 4, deadly, other)}, nil, nil, []uint64{deadly},
+		"other request at three crashes, two of them explained": {
+			[]Crash{crashOf("a", 1, poison), crashOf("b", 2, poison, other), crashOf("c", 3, poison, other), crashOf("d", 4, poison, other)}, nil, nil, []uint64{poison},
 		},
-		"two deadly": {
-			[]End{ended("a", 1, deadly), ended("b", 2, other), ended("c", 3, deadly), ended("d", 4, other), ended("e", 5, deadly), ended("f", 6, other), ended("g", 7, deadly), ended("h", 8, other)},
-			nil, nil, []uint64{deadly, other},
+		"two poison requests": {
+			[]Crash{crashOf("a", 1, poison), crashOf("b", 2, other), crashOf("c", 3, poison), crashOf("d", 4, other), crashOf("e", 5, poison), crashOf("f", 6, other), crashOf("g", 7, poison), crashOf("h", 8, other)},
+			nil, nil, []uint64{poison, other},
 		},
-		"served since":                        {[]End{ended("a", 1, deadly), ended("b", 2, deadly), ended("c", 3, deadly)}, map[uint64]float64{deadly: 4}, nil, nil},
-		"served between":                      {[]End{ended("a", 1, deadly), ended("b", 2, deadly), ended("c", 3, deadly)}, map[uint64]float64{deadly: 2.5}, nil, nil},
-		"three ends in mid-answer":            {[]End{begun(ended("a", 1, deadly)), begun(ended("b", 2, deadly)), begun(ended("c", 3, deadly))}, nil, nil, nil},
-		"many others end by chance":           {[]End{ended("a", 1, deadly), ended("p", 1.3), ended("b", 2, deadly), ended("q", 2.3), ended("c", 3, deadly)}, nil, nil, nil},
-		"held back already":                   {[]End{ended("a", 1, deadly), ended("b", 2, deadly), ended("c", 3, deadly)}, nil, []uint64{deadly}, nil},
-		"held back, the others are explained": {[]End{ended("a", 1, deadly, other), ended("b", 2, deadly, other), ended("c", 3, deadly, other)}, nil, []uint64{deadly}, nil},
+		"served after the crashes":                   {[]Crash{crashOf("a", 1, poison), crashOf("b", 2, poison), crashOf("c", 3, poison)}, map[uint64]float64{poison: 4}, nil, nil},
+		"served between the crashes":                 {[]Crash{crashOf("a", 1, poison), crashOf("b", 2, poison), crashOf("c", 3, poison)}, map[uint64]float64{poison: 2.5}, nil, nil},
+		"three crashes while streaming":              {[]Crash{midStream(crashOf("a", 1, poison)), midStream(crashOf("b", 2, poison)), midStream(crashOf("c", 3, poison))}, nil, nil, nil},
+		"unrelated crashes in the same period":       {[]Crash{crashOf("a", 1, poison), crashOf("p", 1.3), crashOf("b", 2, poison), crashOf("q", 2.3), crashOf("c", 3, poison)}, nil, nil, nil},
+		"already quarantined":                        {[]Crash{crashOf("a", 1, poison), crashOf("b", 2, poison), crashOf("c", 3, poison)}, nil, []uint64{poison}, nil},
+		"crashes explained by a quarantined request": {[]Crash{crashOf("a", 1, poison, other), crashOf("b", 2, poison, other), crashOf("c", 3, poison, other)}, nil, []uint64{poison}, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v, h := NewEvidence(), NewHolds()
-			for _, n := range c.held {
-				h.Add(digestOf(n), 3, simStart)
+			history, entries := NewCrashHistory(), NewEntries()
+			for _, n := range c.quarantined {
+				entries.Add(hashOf(n), 3, simStart)
 			}
 			now := simStart.Add(30 * time.Second)
-			for _, e := range c.ends {
-				v.Ended(e, e.At.Add(100*time.Millisecond))
+			for _, crash := range c.crashes {
+				history.RecordCrash(crash, crash.At.Add(100*time.Millisecond))
 			}
 			for n, second := range c.served {
-				v.Served(digestOf(n), simStart.Add(time.Duration(second*float64(time.Second))))
+				history.RecordServed(hashOf(n), simStart.Add(time.Duration(second*float64(time.Second))))
 			}
 			var got []uint64
-			for _, s := range v.Judge(WayExplained, h, now) {
+			for _, s := range history.Detect(StrategyGreedy, entries, now) {
 				for n := uint64(1); n <= third; n++ {
-					if s.Digest == digestOf(n) {
+					if s.Digest == hashOf(n) {
 						got = append(got, n)
 					}
 				}
@@ -98,133 +99,139 @@
 	}
 }
 
-// TestJudgeWaits: an end is judged when all hosts can have told of it.
-func TestJudgeWaits(t *testing.T) {
-	v, h := NewEvidence(), NewHolds()
+// TestDetectAwaitsReports guards against quarantining the wrong request because some hosts have not
+// reported a crash yet. Request 2 seems to have been at more crashes than request 1 until the late
+// reports arrive.
+func TestDetectAwaitsReports(t *testing.T) {
+	history, entries := NewCrashHistory(), NewEntries()
 	now := simStart.Add(10 * time.Second)
-	for _, e := range []End{ended("a", 1, 1, 2), ended("b", 3, 1, 2), ended("c", 10, 2)} {
-		v.Ended(e, e.At)
+	for _, c := range []Crash{crashOf("a", 1, 1, 2), crashOf("b", 3, 1, 2), crashOf("c", 10, 2)} {
+		history.RecordCrash(c, c.At)
 	}
-	assert.Assert(t, v.Unsettled(now))
-	assert.Equal(t, len(v.Judge(WayExplained, h, now)), 0)
-	v.Ended(ended("c", 10.1, 1), now.Add(200*time.Millisecond)) // of another host, which noticed later
-	v.Ended(ended("d", 8, 1), now.Add(200*time.Millisecond))
-	got := v.Judge(WayExplained, h, now.Add(time.Second))
+	assert.Assert(t, history.AwaitingReports(now))
+	assert.Equal(t, len(history.Detect(StrategyGreedy, entries, now)), 0)
+	history.RecordCrash(crashOf("c", 10.1, 1), now.Add(200*time.Millisecond)) // from another host, which noticed the crash later
+	history.RecordCrash(crashOf("d", 8, 1), now.Add(200*time.Millisecond))
+	got := history.Detect(StrategyGreedy, entries, now.Add(time.Second))
 	assert.Equal(t, len(got), 1)
-	assert.Equal(t, got[0].Digest, digestOf(1))
-	assert.Assert(t, !v.Unsettled(now.Add(time.Second)))
+	assert.Equal(t, got[0].Digest, hashOf(1))
+	assert.Assert(t, !history.AwaitingReports(now.Add(time.Second)))
 }
 
-// TestHolds: how long a request is held back, the first time and again.
-func TestHolds(t *testing.T) {
-	h, d, now := NewHolds(), digestOf(7), simStart
-	_, held := h.Held(d, at(now))
-	assert.Assert(t, !held && !h.Any())
-	hold := h.Add(d, 3, now)
-	assert.Equal(t, hold.Until.Sub(now), firstHold)
-	_, held = h.Held(d, at(now.Add(firstHold-1)))
-	assert.Assert(t, held && h.Any())
-	_, held = h.Held(d, at(now.Add(firstHold)))
-	assert.Assert(t, !held, "held for longer than was said")
+// TestEntryDuration checks how long a request is quarantined the first and the second time, that
+// one crash is enough the second time, and that a release ends it.
+func TestEntryDuration(t *testing.T) {
+	entries, hash, now := NewEntries(), hashOf(7), simStart
+	_, active := entries.Lookup(hash, fixedClock(now))
+	assert.Assert(t, !active && !entries.AnyActive())
+	entry := entries.Add(hash, 3, now)
+	assert.Equal(t, entry.Until.Sub(now), initialDuration)
+	_, active = entries.Lookup(hash, fixedClock(now.Add(initialDuration-1)))
+	assert.Assert(t, active && entries.AnyActive())
+	_, active = entries.Lookup(hash, fixedClock(now.Add(initialDuration)))
+	assert.Assert(t, !active, "quarantined for longer than stated")
 
-	now = now.Add(firstHold + time.Minute)
-	v := NewEvidence()
-	v.Ended(End{Endpoint: "a", At: now, Ran: []Ran{{Digest: d}}}, now)
+	now = now.Add(initialDuration + time.Minute)
+	history := NewCrashHistory()
+	history.RecordCrash(Crash{Endpoint: "a", At: now, InFlight: []InFlight{{ContentHash: hash}}}, now)
 	now = now.Add(time.Second)
-	again := v.Judge(WayExplained, h, now)
-	assert.Equal(t, len(again), 1, "one endpoint is enough the second time")
-	assert.Equal(t, h.Add(d, 1, now).Until.Sub(now), 2*firstHold)
-	assert.Equal(t, HoldTime(1000), mostHold)
+	again := history.Detect(StrategyGreedy, entries, now)
+	assert.Equal(t, len(again), 1, "one crash should be enough the second time")
+	assert.Equal(t, entries.Add(hash, 1, now).Until.Sub(now), 2*initialDuration)
+	assert.Equal(t, HoldTime(1000), maxDuration)
 
-	_, released := h.Release(d, now)
+	_, released := entries.Release(hash, now)
 	assert.Assert(t, released)
-	_, held = h.Held(d, at(now))
-	assert.Assert(t, !held)
-	_, released = h.Release(d, now)
+	_, active = entries.Lookup(hash, fixedClock(now))
+	assert.Assert(t, !active)
+	_, released = entries.Release(hash, now)
 	assert.Assert(t, !released)
 }
 
-// TestHoldsAgree: hosts that were told the same, in any order and any number of times, hold the
-// same back.
-func TestHoldsAgree(t *testing.T) {
+// TestMergeInAnyOrder guards against hosts that disagree for good: those that received the same
+// entries, in any order and any number of times, have the same list.
+func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		told := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) vetchtrail.Hold {
-			strike := uint32(rapid.IntRange(1, 3).Draw(rt, "strike"))
+		reported := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) vetchtrail.Hold {
+			count := uint32(rapid.IntRange(1, 3).Draw(rt, "count"))
 			return vetchtrail.Hold{
-				Digest: digestOf(uint64(rapid.IntRange(1, 3).Draw(rt, "request"))), Strike: strike, Ends: 3,
+				Digest: hashOf(uint64(rapid.IntRange(1, 3).Draw(rt, "request"))), Strike: count, Ends: 3,
 				Until: simStart.Add(time.Duration(rapid.IntRange(1, 600).Draw(rt, "until")) * time.Second), Released: rapid.Bool().Draw(rt, "released"),
 			}
-		}), 1, 12).Draw(rt, "told")
-		a, b := NewHolds(), NewHolds()
-		for _, h := range told {
-			a.Take(h, simStart)
+		}), 1, 12).Draw(rt, "reported")
+		a, b := NewEntries(), NewEntries()
+		for _, h := range reported {
+			a.Merge(h, simStart)
 		}
-		for _, h := range rapid.Permutation(append(told, told...)).Draw(rt, "again") {
-			b.Take(h, simStart)
+		for _, h := range rapid.Permutation(append(reported, reported...)).Draw(rt, "again") {
+			b.Merge(h, simStart)
 		}
 		assert.DeepEqual(rt, a.All(simStart), b.All(simStart))
 		assert.Equal(rt, a.Version(simStart), b.Version(simStart))
 	})
 }
 
-// TestBounds: what is remembered is bounded, whatever callers send.
-func TestBounds(t *testing.T) {
-	h, v, now := NewHolds(), NewEvidence(), simStart
-	for n := range uint64(3 * mostHolds) {
-		h.Add(digestOf(n+1), 3, now.Add(time.Duration(n)))
+// TestBoundedMemory checks that memory stays bounded whatever callers send and however many
+// endpoints crash.
+func TestBoundedMemory(t *testing.T) {
+	entries, history, now := NewEntries(), NewCrashHistory(), simStart
+	for n := range uint64(3 * maxEntries) {
+		entries.Add(hashOf(n+1), 3, now.Add(time.Duration(n)))
 	}
-	assert.Equal(t, len(h.All(now)), mostHolds)
-	_, held := h.Held(digestOf(3*mostHolds), at(now))
-	assert.Assert(t, held, "the newest is remembered")
-	for n := range uint64(3 * mostEnds) {
-		e := End{Endpoint: fmt.Sprint(n), At: now}
-		for k := range uint64(2 * mostRan) {
-			e.Ran = append(e.Ran, Ran{Digest: digestOf(1000*n + k)})
+	assert.Equal(t, len(entries.All(now)), maxEntries)
+	_, active := entries.Lookup(hashOf(3*maxEntries), fixedClock(now))
+	assert.Assert(t, active, "the newest entry should be remembered")
+	for n := range uint64(3 * maxCrashes) {
+		c := Crash{Endpoint: fmt.Sprint(n), At: now}
+		for k := range uint64(2 * maxRequestsPerCrash) {
+			c.InFlight = append(c.InFlight, InFlight{ContentHash: hashOf(1000*n + k)})
 		}
-		v.Ended(e, now)
+		history.RecordCrash(c, now)
 	}
-	assert.Equal(t, len(v.ends), mostEnds)
-	assert.Equal(t, len(v.trails), mostEnds*mostRan)
-	v.Ended(End{Endpoint: "late", At: now}, now.Add(2*rememberEnds))
-	assert.Equal(t, len(v.trails), 0)
+	assert.Equal(t, len(history.crashes), maxCrashes)
+	assert.Equal(t, len(history.requests), maxCrashes*maxRequestsPerCrash)
+	history.RecordCrash(Crash{Endpoint: "late", At: now}, now.Add(2*crashRetention))
+	assert.Equal(t, len(history.requests), 0)
 }
 
-// TestKept: what the platform keeps, whoever writes it.
-func TestKept(t *testing.T) {
-	hold := func(n uint64, strike uint32, released bool) vetchtrail.Hold {
-		return vetchtrail.Hold{Digest: digestOf(n), Strike: strike, Ends: 3, Released: released}
+// TestPersistedEntries checks what is persisted after a second host has written: higher counts and
+// releases win, whichever host wrote them.
+func TestPersistedEntries(t *testing.T) {
+	entry := func(n uint64, count uint32, released bool) vetchtrail.Hold {
+		return vetchtrail.Hold{Digest: hashOf(n), Strike: count, Ends: 3, Released: released}
 	}
 	cases := map[string]struct {
-		held []vetchtrail.Hold
-		put  []vetchtrail.Hold
-		drop []vetchtrail.Digest
-		want []KeptHold
+		persisted []vetchtrail.Hold
+		put       []vetchtrail.Hold
+		drop      []vetchtrail.Digest
+		want      []PersistedEntry
 	}{
-		"nothing":           {nil, nil, nil, nil},
-		"one":               {nil, []vetchtrail.Hold{hold(1, 1, false)}, nil, []KeptHold{{digestOf(1).String(), 1, 3, false}}},
-		"another":           {[]vetchtrail.Hold{hold(1, 1, false)}, []vetchtrail.Hold{hold(2, 1, false)}, nil, []KeptHold{{digestOf(1).String(), 1, 3, false}, {digestOf(2).String(), 1, 3, false}}},
-		"a later strike":    {[]vetchtrail.Hold{hold(1, 1, true)}, []vetchtrail.Hold{hold(1, 2, false)}, nil, []KeptHold{{digestOf(1).String(), 2, 3, false}}},
-		"an earlier strike": {[]vetchtrail.Hold{hold(1, 2, false)}, []vetchtrail.Hold{hold(1, 1, false)}, nil, []KeptHold{{digestOf(1).String(), 2, 3, false}}},
-		"let go":            {[]vetchtrail.Hold{hold(1, 1, false)}, []vetchtrail.Hold{hold(1, 1, true)}, nil, []KeptHold{{digestOf(1).String(), 1, 3, true}}},
-		"let go by another": {[]vetchtrail.Hold{hold(1, 1, true)}, []vetchtrail.Hold{hold(1, 1, false)}, nil, []KeptHold{{digestOf(1).String(), 1, 3, true}}},
-		"over":              {[]vetchtrail.Hold{hold(1, 1, false)}, nil, []vetchtrail.Digest{digestOf(1)}, nil},
+		"none":                     {nil, nil, nil, nil},
+		"one":                      {nil, []vetchtrail.Hold{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, false}}},
+		"second request":           {[]vetchtrail.Hold{entry(1, 1, false)}, []vetchtrail.Hold{entry(2, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, false}, {hashOf(2).String(), 1, 3, false}}},
+		"higher count":             {[]vetchtrail.Hold{entry(1, 1, true)}, []vetchtrail.Hold{entry(1, 2, false)}, nil, []PersistedEntry{{hashOf(1).String(), 2, 3, false}}},
+		"lower count":              {[]vetchtrail.Hold{entry(1, 2, false)}, []vetchtrail.Hold{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 2, 3, false}}},
+		"released":                 {[]vetchtrail.Hold{entry(1, 1, false)}, []vetchtrail.Hold{entry(1, 1, true)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, true}}},
+		"released by another host": {[]vetchtrail.Hold{entry(1, 1, true)}, []vetchtrail.Hold{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, true}}},
+		"expired":                  {[]vetchtrail.Hold{entry(1, 1, false)}, nil, []vetchtrail.Digest{hashOf(1)}, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var k Kept
-			k.Put(c.held, nil)
+			k.Put(c.persisted, nil)
 			k.Put(c.put, c.drop)
 			text, err := k.Text()
 			assert.NilError(t, err)
 			read, err := ParseKept(text)
 			assert.NilError(t, err)
-			assert.DeepEqual(t, read.Holds, c.want)
+			assert.DeepEqual(t, read.Entries, c.want)
 			assert.Equal(t, len(read.From(simStart)), len(c.want))
 		})
 	}
 }
 
-// FuzzParseKept: whatever stands where holds are kept, what can be read of it are holds.
+// FuzzParseKept checks that any stored bytes yield only valid entries, none of them longer than the
+// maximum.
 func FuzzParseKept(f *testing.F) {
 	for _, seed := range []string{"", "{}", `{"holds":[{"digest":"00000000000000010000000000000000","strike":1,"ends":3}]}`, `{"holds":[{"digest":"zz","strike":1}]}`, `{"holds":7}`, `[]`} {
 		f.Add([]byte(seed))
@@ -232,7 +239,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		k, err := ParseKept(text)
 		for _, h := range k.From(simStart) {
-			assert.Assert(t, h.Strike > 0 && h.Until.After(simStart) && h.Until.Sub(simStart) <= mostHold, "%v %v", h, err)
+			assert.Assert(t, h.Strike > 0 && h.Until.After(simStart) && h.Until.Sub(simStart) <= maxDuration, "%v %v", h, err)
 		}
 	})
 }
