--- /dev/null
+++ b/process/quarantines/exchange_loss_test.go
@@ -0,0 +1,93 @@
+//go:build !race
+
+package quarantines
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// agreementTime is how long after the end of a partition all hosts know what the partitioned region
+// quarantined.
+const agreementTime = 30 * time.Second
+
+// partitionAndHeal has a partitioned region quarantine the poison request, ends the partition and
+// loses exchanges of entries from then on. Nothing is persisted. It returns the hosts that don't
+// have the request quarantined in the end.
+func partitionAndHeal(t *testing.T, seed uint64, losesExchange func(from, to string) (there, back bool)) (without []string) {
+	t.Helper()
+	withFleet(t, "no persistence", seed, func(t *testing.T, f *fleet) {
+		healed := false
+		f.locked(func() {
+			f.losesExchange = func(from, to string) (bool, bool) {
+				if !healed {
+					return false, false
+				}
+				return losesExchange(from, to)
+			}
+			f.partitioned[regionCount-1] = true
+		})
+		time.Sleep(healthyAfter)
+		inside := f.hosts[len(f.hosts)-hostsPerRegion:]
+		for range 60 {
+			inside[f.random(hostsPerRegion)].request(poisonRequest(), true)
+			time.Sleep(100 * time.Millisecond)
+		}
+		for _, h := range inside {
+			_, quarantined := h.q.Held(poisonRequest())
+			assert.Assert(t, quarantined, "%s hasn't quarantined it", h.host.Name)
+		}
+		f.locked(func() { f.partitioned[regionCount-1], healed = false, true })
+		time.Sleep(agreementTime)
+		for _, h := range f.hosts {
+			if _, quarantined := h.q.Held(poisonRequest()); !quarantined {
+				without = append(without, h.host.Name)
+			}
+		}
+	})
+	return without
+}
+
+// TestOneExchangeLost guards against an entry that never reaches some host because one exchange was
+// lost. It loses each single exchange after a partition in turn, on the way there or on the way
+// back.
+func TestOneExchangeLost(t *testing.T) {
+	exchanges := 0
+	count := func(string, string) (bool, bool) { exchanges++; return false, false }
+	assert.Equal(t, len(partitionAndHeal(t, 1, count)), 0)
+	t.Logf("%d exchanges in %s", exchanges, agreementTime)
+	for lost := range exchanges {
+		for _, back := range []bool{false, true} {
+			n := 0
+			without := partitionAndHeal(t, 1, func(string, string) (bool, bool) {
+				n++
+				return n-1 == lost && !back, n-1 == lost && back
+			})
+			assert.Equal(t, len(without), 0, "exchange %d lost, on its way back: %t: %v", lost, back, without)
+		}
+	}
+}
+
+// TestAllExchangesLostBetween guards against an entry that reaches some host over one path only. It
+// loses all exchanges that one host starts with another, for each pair, and all that one host
+// starts.
+func TestAllExchangesLostBetween(t *testing.T) {
+	var names []string
+	for r := range regionCount {
+		for n := range hostsPerRegion {
+			names = append(names, fmt.Sprintf("h-%d-%d", r, n))
+		}
+	}
+	for _, a := range names {
+		for _, b := range append(names, "") {
+			if a == b {
+				continue
+			}
+			without := partitionAndHeal(t, 1, func(from, to string) (bool, bool) { return from == a && (b == "" || to == b), false })
+			assert.Equal(t, len(without), 0, "%s never reaches %q: %v", a, b, without)
+		}
+	}
+}
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -19,80 +19,81 @@
 	"vetchtrail/schema"
 )
 
-// The fleet plays hosts of three regions on virtual time (testing/synctest): the real
-// Quarantines, with messages that are late, lost or told twice, regions and hosts that are cut
-// off, hosts that start again without memory or are suspended, and a platform that keeps holds.
+// The fleet simulates the hosts of three regions on virtual time (testing/synctest). It runs the
+// real Quarantines. Messages are delayed, lost or delivered twice, regions are partitioned, hosts
+// restart without memory or are suspended, and a simulated platform persists the entries.
 
 const (
-	regionsOf   = 3
-	hostsOf     = 3 // of a region
-	endpointsOf = 4
-	endpointUp  = 2500 * time.Millisecond // until an endpoint that ended is back
-	listsEvery  = 1200 * time.Millisecond // between two readings of the platform's lists
-	deadAfter   = 4 * time.Second         // until a host that is gone is ranked no longer
-	inTouchFor  = 5 * time.Second
+	regionCount        = 3
+	hostsPerRegion     = 3
+	endpointsPerRegion = 4
+	endpointRestart    = 2500 * time.Millisecond // downtime after a crash
+	listingInterval    = 1200 * time.Millisecond // interval at which a host reads the platform's listing
+	hostTimeout        = 4 * time.Second         // how long a stopped host is still ranked
+	healthyAfter       = 5 * time.Second         // after a fault
 )
 
-// fleet is a run.
+// fleet is one simulation.
 type fleet struct {
-	broken string // a mechanism that is taken out
-	began  time.Time
-
-	mu        sync.Mutex // guards what follows; never held while a host is called
-	rnd       *rand.Rand
-	hosts     []*virtual
-	endpoints [regionsOf][]*backend
-	kept      quarantine.Kept
-	cut       [regionsOf]bool
-	apart     bool      // hosts know no other
-	calm      time.Time // when the last trouble of the whole fleet ended
-	bytes     int       // of messages
-	// loses says which swaps of holds are lost, where nothing else is: the way there, or the way back. Nil: some
-	// messages of any kind are.
-	loses func(from, to string) (there, back bool)
-
-	ends     []time.Time // of endpoints, under the deadly request
-	arrivals []arrival   // of the deadly request at endpoints
+	disabled string // name of a mechanism that is turned off; empty: none
+	began    time.Time
+
+	mu          sync.Mutex // guards the fields below; not held while a host is called
+	rnd         *rand.Rand
+	hosts       []*testHost
+	endpoints   [regionCount][]*testEndpoint
+	persisted   quarantine.Kept
+	partitioned [regionCount]bool
+	isolated    bool      // no host knows another
+	recoveredAt time.Time // when the last fault that affects the whole fleet ended
+	bytes       int       // size of all messages
+	// losesExchange reports which exchanges of entries are lost, on the way there or on the way
+	// back. If it is set, no other message is lost. If it is nil, random messages of all kinds are.
+	losesExchange func(from, to string) (there, back bool)
+
+	crashes  []time.Time // of endpoints, by the poison request
+	arrivals []arrival   // of the poison request at endpoints
 }
 
-// arrival is the deadly request as it reaches an endpoint.
+// arrival is an arrival of the poison request at an endpoint.
 type arrival struct {
 	at      time.Time
-	inTouch bool // the host that sent it is
+	healthy bool // whether the sending host was
 }
 
-// virtual is a host.
-type virtual struct {
-	fleet  *fleet
-	host   vetchtrail.Host
-	region int
-	q      *Quarantines
-	stop   context.CancelFunc
-	up     bool
-	gone   time.Time     // when it ended last
-	since  time.Time     // when it was troubled last
-	asleep time.Duration // by which its steady clock is behind
+// testHost is a simulated host.
+type testHost struct {
+	fleet        *fleet
+	host         vetchtrail.Host
+	region       int
+	q            *Quarantines
+	stop         context.CancelFunc
+	up           bool
+	stoppedAt    time.Time     // when it last stopped
+	faultedAt    time.Time     // when a fault last affected it
+	suspendedFor time.Duration // how far a clock that stops during suspension is behind
 }
 
-type backend struct {
-	name string
-	born time.Time
-	down time.Time // until when it is away
+// testEndpoint is a simulated endpoint.
+type testEndpoint struct {
+	name      string
+	startedAt time.Time
+	downUntil time.Time // end of its downtime
 }
 
 func regionName(n int) string { return fmt.Sprint("region-", n) }
 
-func newFleet(broken string, seed uint64) *fleet {
-	f := &fleet{broken: broken, began: time.Now(), rnd: rand.New(rand.NewPCG(seed, 5))}
-	for r := range regionsOf {
-		for n := range hostsOf {
+func newFleet(disabled string, seed uint64) *fleet {
+	f := &fleet{disabled: disabled, began: time.Now(), rnd: rand.New(rand.NewPCG(seed, 5))}
+	for r := range regionCount {
+		for n := range hostsPerRegion {
 			addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(r), byte(n)}), 7070)
-			f.hosts = append(f.hosts, &virtual{
+			f.hosts = append(f.hosts, &testHost{
 				fleet: f, region: r, host: vetchtrail.Host{Name: fmt.Sprintf("h-%d-%d", r, n), Region: regionName(r), Peers: addr},
 			})
 		}
-		for n := range endpointsOf {
-			f.endpoints[r] = append(f.endpoints[r], &backend{name: fmt.Sprintf("e-%d-%d", r, n), born: time.Now()})
+		for n := range endpointsPerRegion {
+			f.endpoints[r] = append(f.endpoints[r], &testEndpoint{name: fmt.Sprintf("e-%d-%d", r, n), startedAt: time.Now()})
 		}
 	}
 	for _, h := range f.hosts {
@@ -101,109 +102,109 @@
 	return f
 }
 
-// boot is the clock of suspensions: its moments are none of the time of day.
-func (f *fleet) boot() time.Time { return time.Unix(3600, 0).Add(time.Since(f.began)) }
+// steadyClock is the clock that runs on during a suspension. Its times aren't times of day.
+func (f *fleet) steadyClock() time.Time { return time.Unix(3600, 0).Add(time.Since(f.began)) }
 
-// locked does something with the fleet's state.
+// locked calls do with the lock held.
 func (f *fleet) locked(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-// draw returns a number below n.
-func (f *fleet) draw(n int) int {
+// random returns a random number below n.
+func (f *fleet) random(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rnd.IntN(n)
 }
 
-// isCut says whether a region reaches no other, nor the platform.
-func (f *fleet) isCut(region int) bool {
+// isPartitioned reports whether a region reaches neither the other regions nor the platform.
+func (f *fleet) isPartitioned(region int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cut[region]
+	return f.partitioned[region]
 }
 
-// close ends the duties of all hosts.
+// close stops all hosts.
 func (f *fleet) close() {
 	for _, h := range f.hosts {
 		f.locked(h.stop)
 	}
 }
 
-func (h *virtual) start() {
+func (h *testHost) start() {
 	f := h.fleet
 	c := Config{
 		Self: h.host, Regions: func() []string { return []string{regionName(0), regionName(1), regionName(2)} }, Hosts: h, Peers: h,
 		Refuses: h.refuses, Leaving: func(string) bool { return false }, Keeper: h, Log: slog.New(slog.DiscardHandler),
-		Clock: f.boot,
+		Clock: f.steadyClock,
 	}
-	if f.broken == "a clock that a suspension fools" {
+	if f.disabled == "clock that stops during suspension" {
 		c.Clock = func() time.Time {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.boot().Add(-h.asleep)
+			return f.steadyClock().Add(-h.suspendedFor)
 		}
 	}
-	if f.broken == "nothing outlasts the hosts" {
+	if f.disabled == "no persistence" {
 		c.Keeper = nil
 	}
 	q := New(c)
 	ctx, stop := context.WithCancel(context.Background())
 	f.locked(func() {
-		h.up, h.since, h.asleep, h.q, h.stop = true, time.Now(), 0, q, stop
+		h.up, h.faultedAt, h.suspendedFor, h.q, h.stop = true, time.Now(), 0, q, stop
 		h.host.Incarnation++
 	})
 	go q.Run(ctx)
-	go h.readLists(ctx, q)
+	go h.pollListing(ctx, q)
 }
 
-// readLists takes what the platform lists, as long as it is reached.
-func (h *virtual) readLists(ctx context.Context, q *Quarantines) {
+// pollListing reads the platform's listing again and again, while the platform is reachable.
+func (h *testHost) pollListing(ctx context.Context, q *Quarantines) {
 	for ctx.Err() == nil {
-		if !h.fleet.isCut(h.region) && h.fleet.broken != "nothing outlasts the hosts" && h.fleet.broken != "nobody else is told" {
+		if !h.fleet.isPartitioned(h.region) && h.fleet.disabled != "no persistence" && h.fleet.disabled != "no propagation" {
 			q.Listed(h.fleet.listing())
 		}
-		wait(ctx, listsEvery)
+		sleep(ctx, listingInterval)
 	}
 }
 
 func (f *fleet) listing() *vetchtrail.Listing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := &vetchtrail.Listing{Holds: f.kept.From(f.boot())}
-	for _, region := range f.endpoints {
-		for _, e := range region {
-			l.Endpoints = append(l.Endpoints, &vetchtrail.Endpoint{Name: e.name, Born: e.born})
+	l := &vetchtrail.Listing{Holds: f.persisted.From(f.steadyClock())}
+	for _, inRegion := range f.endpoints {
+		for _, e := range inRegion {
+			l.Endpoints = append(l.Endpoints, &vetchtrail.Endpoint{Name: e.name, Born: e.startedAt})
 		}
 	}
 	return l
 }
 
-// kill ends a host with all that it remembers.
-func (h *virtual) kill() {
+// kill stops a host, which loses all its state.
+func (h *testHost) kill() {
 	h.fleet.locked(func() {
-		h.up, h.gone = false, time.Now()
+		h.up, h.stoppedAt = false, time.Now()
 		h.stop()
 	})
 }
 
-// isUp says whether a host runs, and returns its part.
-func (h *virtual) isUp() (*Quarantines, bool) {
+// running returns the Quarantines of a host and whether the host runs.
+func (h *testHost) running() (*Quarantines, bool) {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	return h.q, h.up
 }
 
 // RankedIn implements Hosts.
-func (h *virtual) RankedIn(region, _ string, n int) []vetchtrail.Host {
+func (h *testHost) RankedIn(region, _ string, n int) []vetchtrail.Host {
 	now := time.Now()
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	var out []vetchtrail.Host
 	for _, other := range h.fleet.hosts {
-		if other.host.Region == region && (other.up || now.Sub(other.gone) < deadAfter) && h.reaches(other) && (other == h || !h.fleet.apart) {
+		if other.host.Region == region && (other.up || now.Sub(other.stoppedAt) < hostTimeout) && h.reaches(other) && (other == h || !h.fleet.isolated) {
 			out = append(out, other.host)
 		}
 	}
@@ -211,187 +212,189 @@
 	return out[:min(n, len(out))]
 }
 
-// reaches is asked with the lock held.
-func (h *virtual) reaches(other *virtual) bool {
-	return h.region == other.region || !h.fleet.cut[h.region] && !h.fleet.cut[other.region]
+// reaches reports whether a host reaches another. The caller holds the lock.
+func (h *testHost) reaches(other *testHost) bool {
+	return h.region == other.region || !h.fleet.partitioned[h.region] && !h.fleet.partitioned[other.region]
 }
 
-var errNotReached = errors.New("not reached")
+var errUnreachable = errors.New("host not reachable")
 
-// send delivers a message after a while, or loses it, or delivers it twice.
-func send[M proto.Message](ctx context.Context, h *virtual, addr netip.AddrPort, m M, take func(*Quarantines, M) (*schema.Holds, error)) (*schema.Holds, error) {
+// send delivers a message after a delay, or loses it, or delivers it twice.
+func send[M proto.Message](ctx context.Context, h *testHost, addr netip.AddrPort, m M, handle func(*Quarantines, M) (*schema.Holds, error)) (*schema.Holds, error) {
 	f := h.fleet
-	var to *virtual
-	reached, back := false, true
+	var receiver *testHost
+	reached, replied := false, true
 	f.locked(func() {
 		f.bytes += proto.Size(m)
-		to = f.hosts[slices.IndexFunc(f.hosts, func(o *virtual) bool { return o.host.Peers == addr })]
-		reached = to.up && h.reaches(to)
-		if f.loses == nil {
+		receiver = f.hosts[slices.IndexFunc(f.hosts, func(o *testHost) bool { return o.host.Peers == addr })]
+		reached = receiver.up && h.reaches(receiver)
+		if f.losesExchange == nil {
 			reached = reached && f.rnd.IntN(20) > 0
-		} else if _, swap := any(m).(*schema.Holds); swap && reached {
-			reached, back = f.lost(h, to)
+		} else if _, isExchange := any(m).(*schema.Holds); isExchange && reached {
+			reached, replied = f.exchangeLost(h, receiver)
 		}
 	})
 	if !reached {
 		<-ctx.Done()
-		return nil, errNotReached
+		return nil, errUnreachable
 	}
 	delay := time.Millisecond
-	if h.region != to.region {
+	if h.region != receiver.region {
 		delay = 55 * time.Millisecond
 	}
-	wait(ctx, delay+time.Duration(f.draw(20))*time.Millisecond)
-	q, up := to.isUp()
+	sleep(ctx, delay+time.Duration(f.random(20))*time.Millisecond)
+	q, up := receiver.running()
 	if !up {
-		return nil, errNotReached
+		return nil, errUnreachable
 	}
-	reply, err := take(q, proto.Clone(m).(M))
-	if f.draw(10) == 0 {
-		reply, err = take(q, proto.Clone(m).(M))
+	reply, err := handle(q, proto.Clone(m).(M))
+	if f.random(10) == 0 {
+		reply, err = handle(q, proto.Clone(m).(M))
 	}
-	if !back {
+	if !replied {
 		<-ctx.Done()
-		return nil, errNotReached
+		return nil, errUnreachable
 	}
-	wait(ctx, delay)
+	sleep(ctx, delay)
 	return reply, err
 }
 
-// lost says of a swap of holds whether it gets there and its answer back. The lock is held.
-func (f *fleet) lost(from, to *virtual) (there, back bool) {
-	lostThere, lostBack := f.loses(from.host.Name, to.host.Name)
+// exchangeLost reports whether an exchange reaches the other host, and whether its reply comes
+// back. The caller holds the lock.
+func (f *fleet) exchangeLost(from, to *testHost) (there, back bool) {
+	lostThere, lostBack := f.losesExchange(from.host.Name, to.host.Name)
 	return !lostThere, !lostBack
 }
 
 // Ended implements Peers.
-func (h *virtual) Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
-	if h.fleet.broken == "hosts count for themselves" {
-		return nil, errNotReached
+func (h *testHost) Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
+	if h.fleet.disabled == "no crash reports" {
+		return nil, errUnreachable
 	}
 	return send(ctx, h, addr, m, (*Quarantines).HostEnded)
 }
 
 // Hold implements Peers.
-func (h *virtual) Hold(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error) {
-	if h.fleet.broken == "nobody else is told" {
-		return nil, errNotReached
+func (h *testHost) Hold(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error) {
+	if h.fleet.disabled == "no propagation" {
+		return nil, errUnreachable
 	}
 	return send(ctx, h, addr, m, (*Quarantines).HostHolds)
 }
 
 // Keep implements vetchtrail.HoldKeeper.
-func (h *virtual) Keep(ctx context.Context, put []vetchtrail.Hold, drop []vetchtrail.Digest) error {
-	if h.fleet.isCut(h.region) {
+func (h *testHost) Keep(ctx context.Context, put []vetchtrail.Hold, drop []vetchtrail.Digest) error {
+	if h.fleet.isPartitioned(h.region) {
 		<-ctx.Done()
-		return errNotReached
+		return errUnreachable
 	}
-	h.fleet.locked(func() { h.fleet.kept.Put(put, drop) })
+	h.fleet.locked(func() { h.fleet.persisted.Put(put, drop) })
 	return nil
 }
 
-func (h *virtual) refuses(_ context.Context, e vetchtrail.Endpoint) bool {
+func (h *testHost) refuses(_ context.Context, e vetchtrail.Endpoint) bool {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
-	at := slices.IndexFunc(h.fleet.endpoints[h.region], func(b *backend) bool { return b.name == e.Name })
-	return time.Now().Before(h.fleet.endpoints[h.region][at].down)
+	i := slices.IndexFunc(h.fleet.endpoints[h.region], func(other *testEndpoint) bool { return other.name == e.Name })
+	return time.Now().Before(h.fleet.endpoints[h.region][i].downUntil)
 }
 
-// inTouch says whether nothing has troubled a host, its region or the fleet for a while. The
-// lock is held.
-func (h *virtual) inTouch(now time.Time) bool {
+// healthy reports whether no fault has affected a host, its region or the fleet for a while. The
+// caller holds the lock.
+func (h *testHost) healthy(now time.Time) bool {
 	f := h.fleet
-	return now.Sub(h.since) > inTouchFor && now.Sub(f.calm) > inTouchFor && !slices.Contains(f.cut[:], true)
+	return now.Sub(h.faultedAt) > healthyAfter && now.Sub(f.recoveredAt) > healthyAfter && !slices.Contains(f.partitioned[:], true)
 }
 
-// ask has a request come to a host, which sends it to an endpoint unless it holds it back.
-// Deadly: the endpoint ends, with other requests of the region's hosts.
-func (h *virtual) ask(r *vetchtrail.Request, deadly bool) (ran, held bool) {
+// request sends a request to a host, which forwards it to an endpoint unless it is quarantined. A
+// poison request crashes the endpoint, with other requests from the region's hosts.
+func (h *testHost) request(r *vetchtrail.Request, poison bool) (sent, quarantined bool) {
 	f, now := h.fleet, time.Now()
-	q, up := h.isUp()
+	q, up := h.running()
 	if !up {
 		return false, false
 	}
-	if _, held := q.Held(r); held {
+	if _, quarantined := q.Held(r); quarantined {
 		return false, true
 	}
-	if !deadly {
+	if !poison {
 		q.Answered(r)
 		return true, false
 	}
-	var b *backend
+	var e *testEndpoint
 	f.locked(func() {
-		live := slices.DeleteFunc(slices.Clone(f.endpoints[h.region]), func(b *backend) bool { return now.Before(b.down) })
+		live := slices.DeleteFunc(slices.Clone(f.endpoints[h.region]), func(e *testEndpoint) bool { return now.Before(e.downUntil) })
 		if len(live) > 0 {
-			b = live[f.rnd.IntN(len(live))]
-			f.arrivals = append(f.arrivals, arrival{at: now, inTouch: h.inTouch(now)})
+			e = live[f.rnd.IntN(len(live))]
+			f.arrivals = append(f.arrivals, arrival{at: now, healthy: h.healthy(now)})
 		}
 	})
-	if b == nil {
+	if e == nil {
 		return false, false
 	}
 	time.Sleep(70 * time.Millisecond)
-	f.end(b, h, r)
+	f.crash(e, h, r)
 	return true, false
 }
 
-// end ends an endpoint under a request of a host.
-func (f *fleet) end(b *backend, h *virtual, r *vetchtrail.Request) {
+// crash crashes an endpoint that runs a request of host h.
+func (f *fleet) crash(target *testEndpoint, h *testHost, r *vetchtrail.Request) {
 	now := time.Now()
 	var e vetchtrail.Endpoint
 	f.locked(func() {
-		f.ends = append(f.ends, now)
-		e = vetchtrail.Endpoint{Name: b.name, Born: b.born}
-		b.down, b.born = now.Add(endpointUp), now.Add(endpointUp)
+		f.crashes = append(f.crashes, now)
+		e = vetchtrail.Endpoint{Name: target.name, Born: target.startedAt}
+		target.downUntil, target.startedAt = now.Add(endpointRestart), now.Add(endpointRestart)
 	})
 	lost := vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonLost}
 	for _, other := range f.hosts {
-		q, up := other.isUp()
+		q, up := other.running()
 		if other.region != h.region || !up {
 			continue
 		}
 		if other == h {
 			q.Lost(e, r, lost, vetchtrail.Timing{Sent: now})
 		}
-		for range 4 { // others' requests, which are answered elsewhere
-			beside := innocent(uint64(f.draw(1 << 40)))
-			q.Lost(e, beside, lost, vetchtrail.Timing{Sent: now})
-			q.Answered(beside)
+		for range 4 { // other requests, which are answered elsewhere
+			harmless := harmlessRequest(uint64(f.random(1 << 40)))
+			q.Lost(e, harmless, lost, vetchtrail.Timing{Sent: now})
+			q.Answered(harmless)
 		}
 	}
 }
 
-func innocent(n uint64) *vetchtrail.Request {
+func harmlessRequest(n uint64) *vetchtrail.Request {
 	return &vetchtrail.Request{Path: fmt.Sprint("/ask/", n)}
 }
 
-func deadlyRequest() *vetchtrail.Request { return &vetchtrail.Request{Path: "/ask/deadly"} }
+func poisonRequest() *vetchtrail.Request { return &vetchtrail.Request{Path: "/ask/deadly"} }
 
-// over returns how often the deadly request was sent by hosts in touch later than they could
-// know of it.
-func (f *fleet) over() int {
-	if len(f.ends) < 3 {
+// lateArrivals returns how often healthy hosts sent the poison request to an endpoint after they
+// should have known that it is quarantined.
+func (f *fleet) lateArrivals() int {
+	if len(f.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, a := range f.arrivals {
-		if a.inTouch && a.at.After(f.ends[2].Add(inTouchFor)) {
+		if a.healthy && a.at.After(f.crashes[2].Add(healthyAfter)) {
 			n++
 		}
 	}
 	return n
 }
 
-// suspend stands a host's steady clock and its duties still for a time.
-func (h *virtual) suspend(t time.Duration) {
+// suspend counts a host as suspended for a time: its clock falls behind if it stops during
+// suspension, and the host isn't healthy.
+func (h *testHost) suspend(t time.Duration) {
 	h.fleet.locked(func() {
-		h.asleep += t
-		h.since = time.Now().Add(t)
+		h.suspendedFor += t
+		h.faultedAt = time.Now().Add(t)
 	})
 }
 
 var _ vetchtrail.Quarantine = (*Quarantines)(nil)
 
 func logFleet(t testing.TB, f *fleet) {
-	t.Logf("%d ends, %d arrivals, %d over, %d bytes of messages", len(f.ends), len(f.arrivals), f.over(), f.bytes)
+	t.Logf("%d crashes, %d arrivals, %d late, %d bytes of messages", len(f.crashes), len(f.arrivals), f.lateArrivals(), f.bytes)
 }
--- /dev/null
+++ b/process/quarantines/losses.go
@@ -0,0 +1,215 @@
+package quarantines
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"vetchtrail"
+	"vetchtrail/request/quarantine"
+)
+
+const (
+	// lossGatherTime is how long after the first loss at an endpoint it is probed. All connections
+	// of an endpoint that crashes are reset together, so that the other losses arrive in this time.
+	lossGatherTime = 60 * time.Millisecond
+	// secondProbeDelay is the delay between two probes of an endpoint. One that refuses both has
+	// crashed; one that has too many connections refuses only now and then.
+	secondProbeDelay = 100 * time.Millisecond
+	// probeTimeout bounds a probe. Endpoints are in the same region, and a crashed one refuses at
+	// once.
+	probeTimeout = 300 * time.Millisecond
+	// probeCooldown is the least time between probes of an endpoint that did not refuse. It keeps
+	// an endpoint that loses responses but is alive from being probed for each of them.
+	probeCooldown = time.Second
+	// crashLossWindow is how long before the last loss at a crashed endpoint a request may have
+	// been lost to count as lost in the crash.
+	crashLossWindow = 2 * time.Second
+	// listingWait is how long a loss is remembered until the platform's listing shows that its
+	// endpoint has crashed: three missed heartbeats and the transfer of the listing to this host.
+	listingWait = 10 * time.Second
+	// maxLossesPerEndpoint bounds the losses remembered of one endpoint.
+	maxLossesPerEndpoint = 256
+	// streamingThreshold is how long a response must have been streaming for InFlight.Streaming.
+	// Poison requests crash endpoints within some tens of milliseconds after these start them.
+	streamingThreshold = 500 * time.Millisecond
+)
+
+// lossTracker remembers lost attempts until it is known whether their endpoints have crashed.
+type lossTracker struct {
+	mu        sync.Mutex
+	endpoints map[string]*affectedEndpoint // by endpoint name
+}
+
+// affectedEndpoint is an endpoint at which attempts were lost.
+type affectedEndpoint struct {
+	endpoint  vetchtrail.Endpoint
+	lost      []loss // in chronological order
+	probing   bool
+	nextProbe time.Time // when it may be probed again
+}
+
+// loss is a lost attempt.
+type loss struct {
+	quarantine.InFlight
+	at time.Time
+}
+
+func newLossTracker() lossTracker { return lossTracker{endpoints: map[string]*affectedEndpoint{}} }
+
+// Lost implements vetchtrail.Quarantine.
+func (q *Quarantines) Lost(e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, t vetchtrail.Timing) {
+	if q.cfg.Off || !mayBeCrash(o) || t.Sent.IsZero() {
+		return
+	}
+	now := q.cfg.Clock()
+	l := loss{at: now, InFlight: quarantine.InFlight{ContentHash: r.Digest(), Streaming: !t.First.IsZero() && time.Since(t.First) > streamingThreshold}}
+	if at, probe := q.lossTracker.add(e, l, now); probe {
+		go q.probe(e, at.Sub(now))
+	}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.watched.add(l.ContentHash, now)
+}
+
+// mayBeCrash reports whether an outcome is one that a crash of the endpoint causes.
+func mayBeCrash(o vetchtrail.Outcome) bool {
+	return o.Kind == vetchtrail.Unknown && (o.Reason == vetchtrail.ReasonLost || o.Reason == vetchtrail.ReasonBroken)
+}
+
+// add remembers a loss. If the endpoint is to be probed, it returns true and the time of the probe.
+func (t *lossTracker) add(e vetchtrail.Endpoint, l loss, now time.Time) (at time.Time, probe bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.removeExpired(now)
+	a, ok := t.endpoints[e.Name]
+	if !ok {
+		a = &affectedEndpoint{}
+		t.endpoints[e.Name] = a
+	}
+	a.endpoint = e
+	if a.lost = append(a.lost, l); len(a.lost) > maxLossesPerEndpoint {
+		a.lost = a.lost[1:]
+	}
+	if a.probing {
+		return time.Time{}, false
+	}
+	a.probing = true
+	return vetchtrail.Later(now.Add(lossGatherTime), a.nextProbe), true
+}
+
+// removeExpired removes losses whose endpoint wasn't found to have crashed. The caller holds the
+// lock.
+func (t *lossTracker) removeExpired(now time.Time) {
+	for name, a := range t.endpoints {
+		for len(a.lost) > 0 && now.Sub(a.lost[0].at) > listingWait {
+			a.lost = a.lost[1:]
+		}
+		if len(a.lost) == 0 && !a.probing {
+			delete(t.endpoints, name)
+		}
+	}
+}
+
+// probe finds out after a delay whether an endpoint has crashed.
+func (q *Quarantines) probe(e vetchtrail.Endpoint, delay time.Duration) {
+	time.Sleep(delay)
+	refused := q.refusesConnections(e)
+	if refused {
+		time.Sleep(secondProbeDelay)
+		refused = q.refusesConnections(e)
+	}
+	if !refused || q.cfg.Leaving(e.Name) {
+		q.lossTracker.finishProbe(e.Name, q.cfg.Clock().Add(probeCooldown))
+		return
+	}
+	q.EndpointCrashed(e.Name, "refuses connections")
+}
+
+// refusesConnections probes an endpoint once.
+func (q *Quarantines) refusesConnections(e vetchtrail.Endpoint) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	return q.cfg.Refuses(ctx, e)
+}
+
+// finishProbe ends the probe of an endpoint that has not crashed.
+func (t *lossTracker) finishProbe(name string, nextProbe time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if a, ok := t.endpoints[name]; ok {
+		a.probing, a.nextProbe = false, nextProbe
+	}
+}
+
+// EndpointCrashed records that an endpoint has stopped without having announced it. how is the
+// evidence, for the log.
+func (q *Quarantines) EndpointCrashed(name, how string) {
+	crash, ok := q.lossTracker.takeCrash(name)
+	if !ok {
+		return
+	}
+	countCrash()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.cfg.Log.Warn("endpoint ended", "endpoint", name, "how", how, "ran", len(crash.InFlight), "digests", hashStrings(crash.InFlight), "suspects", suspectLogEntries(q.suspects))
+	q.crashes = append(q.crashes, crash)
+	q.wakeRun()
+}
+
+// takeCrash removes an endpoint and returns its crash with the requests lost in it. It returns
+// false if no request was.
+func (t *lossTracker) takeCrash(name string) (quarantine.Crash, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	a, ok := t.endpoints[name]
+	if !ok {
+		return quarantine.Crash{}, false
+	}
+	delete(t.endpoints, name) // also if all losses have expired: an entry left here would be marked as probing for ever
+	if len(a.lost) == 0 {
+		return quarantine.Crash{}, false
+	}
+	last := a.lost[len(a.lost)-1].at
+	out := quarantine.Crash{Endpoint: name, StartedAt: a.endpoint.Born, At: last}
+	for _, l := range a.lost {
+		if last.Sub(l.at) > crashLossWindow {
+			continue
+		}
+		out.At = vetchtrail.Earlier(out.At, l.at)
+		out.InFlight = append(out.InFlight, l.InFlight)
+	}
+	return out, true
+}
+
+// Listed processes a listing of the platform. An endpoint that lost requests has crashed if it is
+// no longer listed, or is listed with a later start time.
+func (q *Quarantines) Listed(l *vetchtrail.Listing) {
+	for _, name := range q.lossTracker.crashedByListing(l) {
+		if !q.cfg.Leaving(name) {
+			q.EndpointCrashed(name, "listed no longer")
+		}
+	}
+	q.mergePersisted(l.Holds)
+}
+
+// crashedByListing returns the endpoints with losses that have crashed according to the listing.
+func (t *lossTracker) crashedByListing(l *vetchtrail.Listing) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.endpoints) == 0 {
+		return nil
+	}
+	startedAt := make(map[string]time.Time, len(l.Endpoints))
+	for _, e := range l.Endpoints {
+		startedAt[e.Name] = e.Born
+	}
+	var out []string
+	for name, a := range t.endpoints {
+		listedStart, listed := startedAt[name]
+		if !listed || listedStart.After(a.endpoint.Born) && !a.endpoint.Born.IsZero() {
+			out = append(out, name)
+		}
+	}
+	return out
+}
--- a/process/quarantines/messages.go
+++ b/process/quarantines/messages.go
@@ -10,31 +10,31 @@
 	"vetchtrail/schema"
 )
 
-// fromEnd returns the message for the end of an endpoint.
-func fromEnd(e quarantine.Crash, now time.Time) *schema.End {
-	m := &schema.End{Endpoint: e.Endpoint, Born: schema.Nanos(e.StartedAt), Age: int64(now.Sub(e.At))}
-	for _, r := range e.InFlight {
+// fromCrash returns the message for a crash. Times are sent as ages at now.
+func fromCrash(c quarantine.Crash, now time.Time) *schema.End {
+	m := &schema.End{Endpoint: c.Endpoint, Born: schema.Nanos(c.StartedAt), Age: int64(now.Sub(c.At))}
+	for _, r := range c.InFlight {
 		m.Ran = append(m.Ran, r.ContentHash[:]...)
-		begun := byte(0)
+		streaming := byte(0)
 		if r.Streaming {
-			begun = 1
+			streaming = 1
 		}
-		m.Begun = append(m.Begun, begun)
+		m.Begun = append(m.Begun, streaming)
 	}
 	return m
 }
 
-// toEnd returns the end of a message that arrived now.
-func toEnd(m *schema.End, now time.Time) (quarantine.Crash, error) {
-	ran, begun := m.GetRan(), m.GetBegun()
-	if len(ran) != len(begun)*len(vetchtrail.Digest{}) || m.GetEndpoint() == "" || m.GetAge() < 0 {
-		return quarantine.Crash{}, errors.Errorf("quarantines: end: %d bytes of digests of %d requests at %q", len(ran), len(begun), m.GetEndpoint())
+// toCrash returns the crash of a message that arrived at now.
+func toCrash(m *schema.End, now time.Time) (quarantine.Crash, error) {
+	hashes, streaming := m.GetRan(), m.GetBegun()
+	if len(hashes) != len(streaming)*len(vetchtrail.Digest{}) || m.GetEndpoint() == "" || m.GetAge() < 0 {
+		return quarantine.Crash{}, errors.Errorf("quarantines: invalid crash: %d bytes of content hashes for %d requests at %q", len(hashes), len(streaming), m.GetEndpoint())
 	}
-	e := quarantine.Crash{Endpoint: m.GetEndpoint(), StartedAt: schema.Moment(m.GetBorn()), At: now.Add(-time.Duration(m.GetAge()))}
-	for i, b := range begun {
-		e.InFlight = append(e.InFlight, quarantine.InFlight{ContentHash: vetchtrail.Digest(ran[i*len(vetchtrail.Digest{}) : (i+1)*len(vetchtrail.Digest{})]), Streaming: b != 0})
+	c := quarantine.Crash{Endpoint: m.GetEndpoint(), StartedAt: schema.Moment(m.GetBorn()), At: now.Add(-time.Duration(m.GetAge()))}
+	for i, b := range streaming {
+		c.InFlight = append(c.InFlight, quarantine.InFlight{ContentHash: vetchtrail.Digest(hashes[i*len(vetchtrail.Digest{}) : (i+1)*len(vetchtrail.Digest{})]), Streaming: b != 0})
 	}
-	return e, nil
+	return c, nil
 }
 
 // fromSuspects returns the messages for suspects.
@@ -46,15 +46,16 @@
 	return out
 }
 
-// toSuspects returns the suspects of messages.
+// toSuspects returns the suspects of messages. If one is invalid, it returns an error and no
+// suspects.
 func toSuspects(in []*schema.Suspect) ([]quarantine.Suspect, error) {
 	out := make([]quarantine.Suspect, 0, len(in))
 	for _, m := range in {
-		d, err := schema.ToDigest(m.GetDigest())
+		hash, err := schema.ToDigest(m.GetDigest())
 		if err != nil {
-			return nil, errors.Wrap(err, "quarantines: suspects")
+			return nil, errors.Wrap(err, "quarantines: invalid suspects")
 		}
-		out = append(out, quarantine.Suspect{Digest: d, Ends: int(m.GetEnds())})
+		out = append(out, quarantine.Suspect{Digest: hash, Ends: int(m.GetEnds())})
 	}
 	return out, nil
 }
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -12,73 +12,75 @@
 	"vetchtrail/schema"
 )
 
-var messageTime = time.Unix(1_800_000_000, 0)
+var testNow = time.Unix(1_800_000_000, 0)
 
-// TestMessages: what a host tells of an end is what another takes.
-func TestMessages(t *testing.T) {
-	want := quarantine.Crash{Endpoint: "e", StartedAt: messageTime.Add(-time.Hour), At: messageTime.Add(-time.Second), InFlight: []quarantine.InFlight{
+// TestCrashMessageRoundTrip guards against fields of a crash or an entry that get lost or changed
+// between two hosts.
+func TestCrashMessageRoundTrip(t *testing.T) {
+	want := quarantine.Crash{Endpoint: "e", StartedAt: testNow.Add(-time.Hour), At: testNow.Add(-time.Second), InFlight: []quarantine.InFlight{
 		{ContentHash: vetchtrail.Digest{1}}, {ContentHash: vetchtrail.Digest{2}, Streaming: true},
 	}}
-	got, err := toEnd(fromEnd(want, messageTime), messageTime)
+	got, err := toCrash(fromCrash(want, testNow), testNow)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, want)
-	hold := vetchtrail.Hold{Digest: vetchtrail.Digest{3}, Strike: 2, Ends: 4, Since: messageTime.Add(-time.Minute), Until: messageTime.Add(time.Minute), Released: true}
-	back, err := schema.ToHold(schema.FromHold(hold, messageTime), messageTime)
+	entry := vetchtrail.Hold{Digest: vetchtrail.Digest{3}, Strike: 2, Ends: 4, Since: testNow.Add(-time.Minute), Until: testNow.Add(time.Minute), Released: true}
+	back, err := schema.ToHold(schema.FromHold(entry, testNow), testNow)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, back, hold)
+	assert.DeepEqual(t, back, entry)
 }
 
-// TestBadMessages: a message that can't be read is an error and changes nothing.
-func TestBadMessages(t *testing.T) {
-	digest := make([]byte, len(vetchtrail.Digest{}))
+// TestInvalidMessages checks that an invalid message returns an error and changes nothing.
+func TestInvalidMessages(t *testing.T) {
+	hash := make([]byte, len(vetchtrail.Digest{}))
 	cases := map[string]struct {
-		ends  *schema.Ends
-		holds *schema.Holds
+		crashes *schema.Ends
+		entries *schema.Holds
 	}{
-		"a digest too short":        {&schema.Ends{Ends: []*schema.End{{Endpoint: "e", Ran: digest[1:], Begun: []byte{0}}}}, nil},
-		"more answers than digests": {&schema.Ends{Ends: []*schema.End{{Endpoint: "e", Ran: digest, Begun: []byte{0, 0}}}}, nil},
-		"no endpoint":               {&schema.Ends{Ends: []*schema.End{{Ran: digest, Begun: []byte{0}}}}, nil},
-		"in the future":             {&schema.Ends{Ends: []*schema.End{{Endpoint: "e", Age: -1}}}, nil},
-		"served, a digest too long": {&schema.Ends{Served: []*schema.Served{{Digest: append(digest, 0)}}}, nil},
-		"a hold without a digest":   {nil, &schema.Holds{Holds: []*schema.Hold{{Strike: 1}}}},
-		"a hold without a strike":   {nil, &schema.Holds{Holds: []*schema.Hold{{Digest: digest}}}},
-		"a strike beyond all":       {nil, &schema.Holds{Holds: []*schema.Hold{{Digest: digest, Strike: 1 << 30}}}},
+		"content hash too short":                {&schema.Ends{Ends: []*schema.End{{Endpoint: "e", Ran: hash[1:], Begun: []byte{0}}}}, nil},
+		"fewer content hashes than requests":    {&schema.Ends{Ends: []*schema.End{{Endpoint: "e", Ran: hash, Begun: []byte{0, 0}}}}, nil},
+		"no endpoint name":                      {&schema.Ends{Ends: []*schema.End{{Ran: hash, Begun: []byte{0}}}}, nil},
+		"time in the future":                    {&schema.Ends{Ends: []*schema.End{{Endpoint: "e", Age: -1}}}, nil},
+		"served request, content hash too long": {&schema.Ends{Served: []*schema.Served{{Digest: append(hash, 0)}}}, nil},
+		"entry without content hash":            {nil, &schema.Holds{Holds: []*schema.Hold{{Strike: 1}}}},
+		"entry with count 0":                    {nil, &schema.Holds{Holds: []*schema.Hold{{Digest: hash}}}},
+		"entry with count out of range":         {nil, &schema.Holds{Holds: []*schema.Hold{{Digest: hash, Strike: 1 << 30}}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			q := New(Config{Clock: func() time.Time { return messageTime }, Hosts: nobody{}})
+			q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
 			var err error
-			if c.ends != nil {
-				_, err = q.HostEnded(c.ends)
+			if c.crashes != nil {
+				_, err = q.HostEnded(c.crashes)
 			} else {
-				_, err = q.HostHolds(c.holds)
+				_, err = q.HostHolds(c.entries)
 			}
 			assert.Assert(t, err != nil)
-			holds, suspects := q.Holds()
-			assert.Equal(t, len(holds)+len(suspects), 0)
+			entries, suspects := q.Holds()
+			assert.Equal(t, len(entries)+len(suspects), 0)
 		})
 	}
 }
 
-// TestHoldTold: a hold that another host tells lasts no longer than holds do.
-func TestHoldTold(t *testing.T) {
-	q := New(Config{Clock: func() time.Time { return messageTime }, Hosts: nobody{}})
-	d := innocent(1).Digest()
-	_, err := q.HostHolds(&schema.Holds{Holds: []*schema.Hold{{Digest: d[:], Strike: 1, Remaining: int64(1000 * time.Hour)}}})
+// TestReceivedDurationCapped guards against a host that sends an entry with too long a duration: it
+// is cut to the duration for its count.
+func TestReceivedDurationCapped(t *testing.T) {
+	q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
+	hash := harmlessRequest(1).Digest()
+	_, err := q.HostHolds(&schema.Holds{Holds: []*schema.Hold{{Digest: hash[:], Strike: 1, Remaining: int64(1000 * time.Hour)}}})
 	assert.NilError(t, err)
-	hold, held := q.Held(innocent(1))
-	assert.Assert(t, held)
-	assert.Equal(t, hold.Until.Sub(messageTime), quarantine.HoldTime(1))
+	entry, quarantined := q.Held(harmlessRequest(1))
+	assert.Assert(t, quarantined)
+	assert.Equal(t, entry.Until.Sub(testNow), quarantine.HoldTime(1))
 }
 
-// nobody is a fleet of no hosts.
-type nobody struct{}
+// noHosts is a Hosts without hosts.
+type noHosts struct{}
 
-func (nobody) RankedIn(string, string, int) []vetchtrail.Host { return nil }
+func (noHosts) RankedIn(string, string, int) []vetchtrail.Host { return nil }
 
-// FuzzHostEnded: whatever bytes come as a host's word, they are taken or refused.
+// FuzzHostEnded checks that any report is either recorded or refused, but not both.
 func FuzzHostEnded(f *testing.F) {
-	good, _ := proto.Marshal(&schema.Ends{From: "h", Ends: []*schema.End{fromEnd(quarantine.Crash{Endpoint: "e", At: messageTime, InFlight: []quarantine.InFlight{{}}}, messageTime)}})
+	good, _ := proto.Marshal(&schema.Ends{From: "h", Ends: []*schema.End{fromCrash(quarantine.Crash{Endpoint: "e", At: testNow, InFlight: []quarantine.InFlight{{}}}, testNow)}})
 	f.Add(good)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -86,9 +88,9 @@
 		if proto.Unmarshal(text, &m) != nil {
 			return
 		}
-		q := New(Config{Clock: func() time.Time { return messageTime }, Hosts: nobody{}})
+		q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
 		if _, err := q.HostEnded(&m); err != nil {
-			assert.Assert(t, !q.evidence.AwaitingReports(messageTime), "refused and taken: %v", err)
+			assert.Assert(t, !q.history.AwaitingReports(testNow), "refused and recorded: %v", err)
 		}
 	})
 }
--- a/process/quarantines/metrics.go
+++ b/process/quarantines/metrics.go
@@ -4,12 +4,12 @@
 
 // Names of the metrics.
 const (
-	EndsName  = "vetchtrail_endpoints_ended_total"
-	HoldsName = "vetchtrail_holds_total"
+	CrashesMetric     = "vetchtrail_endpoints_ended_total"
+	QuarantinedMetric = "vetchtrail_holds_total"
 )
 
-// countEnd counts an endpoint that ended with requests of this host.
-func countEnd() { metrics.GetOrCreateCounter(EndsName).Inc() }
+// countCrash counts a crash of an endpoint that had requests of this host.
+func countCrash() { metrics.GetOrCreateCounter(CrashesMetric).Inc() }
 
-// countHold counts a request that this host found and held back.
-func countHold() { metrics.GetOrCreateCounter(HoldsName).Inc() }
+// countQuarantined counts a request that this host detected and quarantined.
+func countQuarantined() { metrics.GetOrCreateCounter(QuarantinedMetric).Inc() }
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -1,7 +1,9 @@
-// Package quarantines finds the requests under which endpoints end and holds them back on all
-// hosts, by the rules of request/quarantine: it makes sure that an endpoint has ended, tells
-// the hosts that count what was there, and spreads what they hold back. It lives for the
-// process.
+// Package quarantines detects poison requests, which crash the endpoints that run them, and
+// quarantines them on all hosts. Each host finds out which endpoints have crashed with its requests
+// and reports these crashes to the crash aggregators of all regions. The aggregators decide which
+// requests to quarantine and send the entries to all hosts, which refuse these requests. The rules
+// of the decision are in package request/quarantine; nothing here is kept across a restart, except
+// through the vetchtrail.HoldKeeper.
 package quarantines
 
 import (
@@ -18,217 +20,226 @@
 )
 
 const (
-	// counterDuty names the duty to count ends.
-	counterDuty = "count ends"
-	// counters is how many hosts of a region count, so that the loss of one loses no count.
-	counters = 2
-	// suspectsTold bounds the suspects in a message.
-	suspectsTold = 32
-	// suspectAt is from how many ends on all hosts are told of a suspect, so that whoever
-	// serves it says so.
-	suspectAt = 2
-	// suspectsFor is for how long a host that doesn't count believes in the suspects that it was
-	// told: longer than the pause between two questions, also with 300 hosts in its region.
-	suspectsFor = time.Minute
+	// aggregatorTask is the task for which the crash aggregators are ranked. All hosts hash this
+	// text to agree on the ranking, so it has to stay the same.
+	aggregatorTask = "count ends"
+	// aggregatorsPerRegion is more than one, so that the loss of one host loses no reported
+	// crashes.
+	aggregatorsPerRegion = 2
+	// maxSuspectsPerMessage bounds the suspects in a message.
+	maxSuspectsPerMessage = 32
+	// suspectThreshold is the number of crashes from which aggregators report a request to all
+	// hosts as a suspect. A host that serves a suspect reports that, which clears the request.
+	suspectThreshold = 2
+	// suspectsTTL is how long a host that isn't an aggregator shows the suspects that it received.
+	// It is longer than the interval between two exchanges, also with 300 hosts in a region.
+	suspectsTTL = time.Minute
 )
 
-// Hosts is what quarantines know of the other hosts.
+// Hosts provides the other hosts.
 type Hosts interface {
-	// RankedIn returns the first n hosts of a region for a duty that live now, this one too if it
-	// is in the region. Which live is told by another clock than Config.Clock: a moment of that
-	// one would have hosts live for ever that are gone.
-	RankedIn(region, duty string, n int) []vetchtrail.Host
+	// RankedIn returns the first n live hosts of a region in their order for a task, including this
+	// host if it is in the region. The implementation decides by its own clock which hosts are
+	// alive: by the times of Config.Clock, which is another clock, lost hosts would stay alive for
+	// ever.
+	RankedIn(region, task string, n int) []vetchtrail.Host
 }
 
-// Peers is how quarantines reach other hosts.
+// Peers sends messages to other hosts and returns their replies.
 type Peers interface {
 	Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error)
 	Hold(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error)
 }
 
-// Config is what Quarantines need.
+// Config holds the dependencies and settings of Quarantines.
 type Config struct {
 	Self    vetchtrail.Host
 	Regions func() []string
 	Hosts   Hosts
 	Peers   Peers
-	// Refuses says whether an endpoint refuses connections.
+	// Refuses reports whether an endpoint refuses connections.
 	Refuses func(ctx context.Context, e vetchtrail.Endpoint) bool
-	// Leaving says whether an endpoint is known to leave: that it ends then is no fault.
+	// Leaving reports whether an endpoint is known to be leaving. That it stops then is no crash.
 	Leaving func(name string) bool
-	Keeper  vetchtrail.HoldKeeper // nil: holds last as long as hosts that know them
-	Clock   func() time.Time      // that goes on while the host is suspended
-	Off     bool                  // nothing is held back
+	Keeper  vetchtrail.HoldKeeper // nil: entries last only as long as a host has them
+	Clock   func() time.Time      // runs on while the host is suspended
+	Off     bool                  // nothing is detected or quarantined
 	Log     *slog.Logger
 }
 
-// Quarantines is a host's part in holding requests back. It is a vetchtrail.Quarantine, and
-// safe for use by many.
+// Quarantines detects and refuses poison requests on one host, together with the other hosts. It
+// implements vetchtrail.Quarantine and is safe for concurrent use.
 type Quarantines struct {
-	cfg   Config
-	holds *quarantine.Entries
-	watch watch
-	wake  chan struct{} // for the duties of Run
-
-	mu       sync.Mutex // guards what follows
-	evidence *quarantine.CrashHistory
-	judge    time.Time // when there is something to judge; zero: there is not
-	suspects []quarantine.Suspect
-	// suspectsUntil is until when those stand that a counter told; a counter's own stand.
+	cfg         Config
+	entries     *quarantine.Entries
+	lossTracker lossTracker
+	wake        chan struct{} // makes Run look for work at once
+
+	mu       sync.Mutex // guards the fields below
+	history  *quarantine.CrashHistory
+	detectAt time.Time            // when to run the next detection; zero: not needed
+	suspects []quarantine.Suspect // those with most crashes first
+	// suspectsUntil is when suspects received from an aggregator expire. Those that an aggregator
+	// found itself don't expire.
 	suspectsUntil time.Time
-	suspected     suspected
-	served        []served                              // not told of yet
-	ends          []quarantine.Crash                    // of this host's endpoints, not told of yet
-	recent        []quarantine.Crash                    // the last of them, told of or not
-	met           map[process]bool                      // counters that were told of those
-	kept          map[vetchtrail.Digest]vetchtrail.Hold // as the platform keeps them
+	watched       watchedRequests
+	served        []servedRequest                       // not reported yet
+	crashes       []quarantine.Crash                    // seen by this host, not reported yet
+	recentCrashes []quarantine.Crash                    // seen by this host lately, reported or not
+	informed      map[hostInstance]bool                 // aggregators that were sent recentCrashes
+	persisted     map[vetchtrail.Digest]vetchtrail.Hold // entries as the platform has them
 }
 
-type served struct {
-	digest vetchtrail.Digest
-	at     time.Time
+// servedRequest is a watched request that an endpoint has served.
+type servedRequest struct {
+	contentHash vetchtrail.Digest
+	at          time.Time
 }
 
-// New returns quarantines that hold nothing back.
+// New returns Quarantines with no entries.
 func New(c Config) *Quarantines {
 	return &Quarantines{
-		cfg: c, holds: quarantine.NewEntries(), wake: make(chan struct{}, 1), watch: newWatch(),
-		evidence: quarantine.NewCrashHistory(), kept: map[vetchtrail.Digest]vetchtrail.Hold{},
+		cfg: c, entries: quarantine.NewEntries(), wake: make(chan struct{}, 1), lossTracker: newLossTracker(),
+		history: quarantine.NewCrashHistory(), persisted: map[vetchtrail.Digest]vetchtrail.Hold{},
 	}
 }
 
-// Held implements vetchtrail.Quarantine. Where nothing is held back it costs a load of a
-// pointer; else the request's digest, once, and a look-up.
+// Held implements vetchtrail.Quarantine. While nothing is quarantined it costs one atomic load.
+// Otherwise it computes the request's content hash, once per request, and looks it up.
 func (q *Quarantines) Held(r *vetchtrail.Request) (vetchtrail.Hold, bool) {
-	if q.cfg.Off || !q.holds.AnyActive() {
+	if q.cfg.Off || !q.entries.AnyActive() {
 		return vetchtrail.Hold{}, false
 	}
-	return q.holds.Lookup(r.Digest(), q.cfg.Clock)
+	return q.entries.Lookup(r.Digest(), q.cfg.Clock)
 }
 
 // Answered implements vetchtrail.Quarantine.
 func (q *Quarantines) Answered(r *vetchtrail.Request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.suspected.none() {
+	if q.watched.empty() {
 		return
 	}
 	now := q.cfg.Clock()
-	q.suspected.forget(now)
-	if d := r.Digest(); q.suspected.remove(d) {
-		q.served = append(q.served, served{digest: d, at: now})
-		q.stir()
+	q.watched.removeExpired(now)
+	if hash := r.Digest(); q.watched.remove(hash) {
+		q.served = append(q.served, servedRequest{contentHash: hash, at: now})
+		q.wakeRun()
 	}
 }
 
-// Holds returns the requests that are held back or were lately, and those that may be soon.
+// Holds returns the requests that are quarantined or were lately, and the suspects.
 func (q *Quarantines) Holds() ([]vetchtrail.Hold, []quarantine.Suspect) {
 	now := q.cfg.Clock()
-	counts := q.counts()
+	isAggregator := q.isAggregator()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !counts && !now.Before(q.suspectsUntil) {
+	if !isAggregator && !now.Before(q.suspectsUntil) {
 		q.suspects = nil
 	}
-	return q.holds.All(now), slices.Clone(q.suspects)
+	return q.entries.All(now), slices.Clone(q.suspects)
 }
 
-// Release lets a request go and tells all hosts. It returns false if it is not held back.
-func (q *Quarantines) Release(d vetchtrail.Digest) (vetchtrail.Hold, bool) {
+// Release ends the quarantine of a request on all hosts. It returns false if the request isn't
+// quarantined.
+func (q *Quarantines) Release(hash vetchtrail.Digest) (vetchtrail.Hold, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.cfg.Clock()
-	hold, ok := q.holds.Release(d, now)
+	entry, ok := q.entries.Release(hash, now)
 	if ok {
-		q.cfg.Log.Info("request let go", "digest", d.String(), "strike", hold.Strike)
-		q.evidence.RecordServed(d, now)
-		q.spread([]vetchtrail.Hold{hold}, now)
+		q.cfg.Log.Info("request released from quarantine", "digest", hash.String(), "strike", entry.Strike)
+		q.history.RecordServed(hash, now)
+		q.broadcast([]vetchtrail.Hold{entry}, now)
 	}
-	return hold, ok
+	return entry, ok
 }
 
-// stir makes Run look at once. The caller holds the lock.
-func (q *Quarantines) stir() {
+// wakeRun makes Run look for work at once. The caller holds the lock.
+func (q *Quarantines) wakeRun() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// counts says whether this host is one of its region that count.
-func (q *Quarantines) counts() bool {
-	return slices.ContainsFunc(q.countersOf(q.cfg.Self.Region), func(h vetchtrail.Host) bool { return h.Name == q.cfg.Self.Name })
+// isAggregator reports whether this host is a crash aggregator of its region.
+func (q *Quarantines) isAggregator() bool {
+	return slices.ContainsFunc(q.aggregatorsIn(q.cfg.Self.Region), func(h vetchtrail.Host) bool { return h.Name == q.cfg.Self.Name })
 }
 
-func (q *Quarantines) countersOf(region string) []vetchtrail.Host {
-	return q.cfg.Hosts.RankedIn(region, counterDuty, counters)
+// aggregatorsIn returns the crash aggregators of a region: the hosts ranked first for
+// aggregatorTask.
+func (q *Quarantines) aggregatorsIn(region string) []vetchtrail.Host {
+	return q.cfg.Hosts.RankedIn(region, aggregatorTask, aggregatorsPerRegion)
 }
 
-// take takes holds that were told, and returns those that were news. The caller holds the
-// lock.
-func (q *Quarantines) take(in []vetchtrail.Hold, now time.Time) []vetchtrail.Hold {
-	var news []vetchtrail.Hold
-	for _, h := range in {
-		h.Until = vetchtrail.Earlier(h.Until, now.Add(quarantine.HoldTime(h.Strike)))
-		if !q.holds.Merge(h, now) {
+// merge merges entries from another host or from the platform, and returns those that changed
+// something. The caller holds the lock.
+func (q *Quarantines) merge(in []vetchtrail.Hold, now time.Time) []vetchtrail.Hold {
+	var changed []vetchtrail.Hold
+	for _, entry := range in {
+		entry.Until = vetchtrail.Earlier(entry.Until, now.Add(quarantine.HoldTime(entry.Strike)))
+		if !q.entries.Merge(entry, now) {
 			continue
 		}
-		news = append(news, h)
-		if h.Released {
-			q.evidence.RecordServed(h.Digest, now)
+		changed = append(changed, entry)
+		if entry.Released {
+			q.history.RecordServed(entry.Digest, now)
 		}
 	}
-	return news
+	return changed
 }
 
-// suspected are the digests of requests that were lost with an endpoint, here or elsewhere:
-// whoever serves one says so. Only the newest are remembered.
-type suspected struct {
-	all   map[vetchtrail.Digest]time.Time // until when
-	order []vetchtrail.Digest
+// watchedRequests is the content hashes of requests that were lost with an endpoint, on this host
+// or on others. A host that serves one of them reports it, which clears the request. Only the
+// latest are remembered.
+type watchedRequests struct {
+	expiresAt map[vetchtrail.Digest]time.Time // expiry by content hash
+	order     []vetchtrail.Digest
 }
 
 const (
-	// mostSuspected bounds the digests remembered: those of some dozen endpoints' requests.
-	mostSuspected = 2048
-	// suspectedFor is for how long one is remembered. Its caller has asked again by then, and
-	// while some are, the digest of each request that is answered is taken.
-	suspectedFor = 2 * time.Minute
+	// maxWatched bounds the hashes. It is enough for the requests of some dozen crashed endpoints.
+	maxWatched = 2048
+	// watchedTTL is how long a hash is remembered. The caller has retried by then. While any are
+	// remembered, the content hash of every answered request is computed.
+	watchedTTL = 2 * time.Minute
 )
 
-func (s *suspected) none() bool { return len(s.all) == 0 }
+func (w *watchedRequests) empty() bool { return len(w.expiresAt) == 0 }
 
-func (s *suspected) add(d vetchtrail.Digest, now time.Time) {
-	if s.all == nil {
-		s.all = map[vetchtrail.Digest]time.Time{}
+func (w *watchedRequests) add(hash vetchtrail.Digest, now time.Time) {
+	if w.expiresAt == nil {
+		w.expiresAt = map[vetchtrail.Digest]time.Time{}
 	}
-	if _, known := s.all[d]; !known {
-		s.order = append(s.order, d)
+	if _, known := w.expiresAt[hash]; !known {
+		w.order = append(w.order, hash)
 	}
-	s.all[d] = now.Add(suspectedFor)
-	for len(s.order) > mostSuspected {
-		s.drop()
+	w.expiresAt[hash] = now.Add(watchedTTL)
+	for len(w.order) > maxWatched {
+		w.removeOldest()
 	}
 }
 
-// drop forgets the one that was added first.
-func (s *suspected) drop() {
-	delete(s.all, s.order[0])
-	s.order = s.order[1:]
+// removeOldest removes the hash that was added first.
+func (w *watchedRequests) removeOldest() {
+	delete(w.expiresAt, w.order[0])
+	w.order = w.order[1:]
 }
 
-// forget drops those that were added first and are too old.
-func (s *suspected) forget(now time.Time) {
-	for len(s.order) > 0 && !now.Before(s.all[s.order[0]]) {
-		s.drop()
+// removeExpired removes expired hashes, in the order in which they were added.
+func (w *watchedRequests) removeExpired(now time.Time) {
+	for len(w.order) > 0 && !now.Before(w.expiresAt[w.order[0]]) {
+		w.removeOldest()
 	}
 }
 
-func (s *suspected) remove(d vetchtrail.Digest) bool {
-	if _, known := s.all[d]; !known {
+func (w *watchedRequests) remove(hash vetchtrail.Digest) bool {
+	if _, known := w.expiresAt[hash]; !known {
 		return false
 	}
-	delete(s.all, d)
-	s.order = slices.DeleteFunc(s.order, func(other vetchtrail.Digest) bool { return other == d })
+	delete(w.expiresAt, hash)
+	w.order = slices.DeleteFunc(w.order, func(other vetchtrail.Digest) bool { return other == hash })
 	return true
 }
--- /dev/null
+++ b/process/quarantines/report.go
@@ -0,0 +1,208 @@
+package quarantines
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"vetchtrail"
+	"vetchtrail/request/quarantine"
+	"vetchtrail/schema"
+)
+
+const (
+	// detectionDelay is how long after the report of a crash detection runs. By then all hosts have
+	// had time to report the crash.
+	detectionDelay = 320 * time.Millisecond
+	// callTimeout bounds a call to another host. It is enough for a round trip between regions.
+	callTimeout = time.Second
+	// reportAttempts is how often a report is sent to an aggregator that doesn't answer, with
+	// reportRetryDelay between two attempts. If all fail, reportToNewAggregators sends the crashes
+	// again; the served requests of the report are lost.
+	reportAttempts   = 3
+	reportRetryDelay = 200 * time.Millisecond
+	// recentCrashTTL is how long this host reports the crashes that it saw to aggregators that it
+	// newly meets, and maxRecentCrashes bounds these crashes.
+	recentCrashTTL   = time.Minute
+	maxRecentCrashes = 32
+)
+
+// reportAndDetect reports what this host saw to the aggregators and, if this host is one of them,
+// runs a detection that is due. It reports whether a request was quarantined.
+func (q *Quarantines) reportAndDetect(ctx context.Context, now time.Time) bool {
+	q.mu.Lock()
+	crashes, served := q.crashes, q.served
+	q.crashes, q.served = nil, nil
+	q.recentCrashes = append(q.recentCrashes, crashes...)
+	q.recentCrashes = q.recentCrashes[max(0, len(q.recentCrashes)-maxRecentCrashes):]
+	q.mu.Unlock()
+	if len(crashes)+len(served) > 0 {
+		q.reportToAggregators(ctx, crashes, served, now)
+	}
+	return q.detect(now)
+}
+
+// reportToAggregators sends crashes and served requests to the aggregators of all regions.
+func (q *Quarantines) reportToAggregators(ctx context.Context, crashes []quarantine.Crash, served []servedRequest, now time.Time) {
+	m := &schema.Ends{From: q.cfg.Self.Name}
+	for _, c := range crashes {
+		m.Ends = append(m.Ends, fromCrash(c, now))
+	}
+	for _, s := range served {
+		m.Served = append(m.Served, &schema.Served{Digest: s.contentHash[:], Age: int64(now.Sub(s.at))})
+	}
+	for _, h := range q.allAggregators() {
+		if h.Name == q.cfg.Self.Name {
+			q.recordReport(crashes, served, now)
+			continue
+		}
+		go q.sendReport(ctx, h, m, now)
+	}
+}
+
+// allAggregators returns the aggregators of all regions.
+func (q *Quarantines) allAggregators() []vetchtrail.Host {
+	var out []vetchtrail.Host
+	for _, region := range q.cfg.Regions() {
+		out = append(out, q.aggregatorsIn(region)...)
+	}
+	return out
+}
+
+// hostInstance is one process of a host. Another one under the same name has no crash history.
+type hostInstance struct {
+	name        string
+	incarnation uint64
+}
+
+// reportToNewAggregators sends the recent crashes to aggregators that weren't aggregators, or
+// weren't reached, when this host saw them. Hosts of a region that haven't met each act as
+// aggregator by themselves, and what each of them saw is too little to detect a poison request.
+func (q *Quarantines) reportToNewAggregators(ctx context.Context, now time.Time) {
+	aggregators := q.allAggregators()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.recentCrashes = slices.DeleteFunc(q.recentCrashes, func(c quarantine.Crash) bool { return now.Sub(c.At) > recentCrashTTL })
+	informed := map[hostInstance]bool{}
+	for _, h := range aggregators {
+		key := hostInstance{name: h.Name, incarnation: h.Incarnation}
+		informed[key] = true
+		if q.informed[key] || h.Name == q.cfg.Self.Name || len(q.recentCrashes) == 0 {
+			continue
+		}
+		m := &schema.Ends{From: q.cfg.Self.Name}
+		for _, c := range q.recentCrashes {
+			m.Ends = append(m.Ends, fromCrash(c, now))
+		}
+		go q.sendReport(ctx, h, m, now)
+	}
+	q.informed = informed
+}
+
+// sendReport sends a report to one aggregator and retries if it doesn't answer. One that isn't
+// reached at all is sent the recent crashes again by reportToNewAggregators.
+func (q *Quarantines) sendReport(ctx context.Context, h vetchtrail.Host, m *schema.Ends, createdAt time.Time) {
+	for attempt := range reportAttempts {
+		if attempt > 0 {
+			sleep(ctx, reportRetryDelay)
+		}
+		call, cancel := context.WithTimeout(ctx, callTimeout)
+		reply, err := q.cfg.Peers.Ended(call, h.Peers, withAddedAge(m, q.cfg.Clock().Sub(createdAt)))
+		cancel()
+		if err == nil {
+			q.recordSuspects(reply)
+			return
+		}
+		q.cfg.Log.Info("counter of ends not reached", "peer", h.Name, "try", attempt+1, "error", err)
+		if ctx.Err() != nil {
+			return
+		}
+	}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	delete(q.informed, hostInstance{name: h.Name, incarnation: h.Incarnation})
+}
+
+// withAddedAge returns a copy of a report that is sent some time after it was made.
+func withAddedAge(m *schema.Ends, added time.Duration) *schema.Ends {
+	out := &schema.Ends{From: m.GetFrom()}
+	for _, e := range m.GetEnds() {
+		out.Ends = append(out.Ends, &schema.End{Endpoint: e.GetEndpoint(), Born: e.GetBorn(), Age: e.GetAge() + int64(added), Ran: e.GetRan(), Begun: e.GetBegun()})
+	}
+	for _, s := range m.GetServed() {
+		out.Served = append(out.Served, &schema.Served{Digest: s.GetDigest(), Age: s.GetAge() + int64(added)})
+	}
+	return out
+}
+
+// recordReport adds what a host saw to the crash history.
+func (q *Quarantines) recordReport(crashes []quarantine.Crash, served []servedRequest, now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, c := range crashes {
+		q.history.RecordCrash(c, now)
+	}
+	for _, s := range served {
+		q.history.RecordServed(s.contentHash, s.at)
+	}
+	if q.detectAt.IsZero() {
+		q.detectAt = now.Add(detectionDelay)
+		q.wakeRun()
+	}
+}
+
+// HostEnded records what another host saw and replies with the suspects.
+func (q *Quarantines) HostEnded(m *schema.Ends) (*schema.Holds, error) {
+	now := q.cfg.Clock()
+	var crashes []quarantine.Crash
+	var served []servedRequest
+	for _, reported := range m.GetEnds() {
+		crash, err := toCrash(reported, now)
+		if err != nil {
+			return nil, err
+		}
+		crashes = append(crashes, crash)
+	}
+	for _, reported := range m.GetServed() {
+		hash, err := schema.ToDigest(reported.GetDigest())
+		if err != nil {
+			return nil, err
+		}
+		served = append(served, servedRequest{contentHash: hash, at: now.Add(-time.Duration(max(0, reported.GetAge())))})
+	}
+	q.recordReport(crashes, served, now)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return &schema.Holds{From: q.cfg.Self.Name, Suspects: fromSuspects(q.suspects)}, nil
+}
+
+// detect runs a detection if one is due and quarantines the requests that it finds. It sends new
+// entries and changed suspects to the other hosts.
+func (q *Quarantines) detect(now time.Time) (found bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.detectAt.IsZero() || now.Before(q.detectAt) {
+		return false
+	}
+	q.detectAt = time.Time{}
+	if q.history.AwaitingReports(now) {
+		q.detectAt = now.Add(detectionDelay)
+	}
+	var entries []vetchtrail.Hold
+	for _, s := range q.history.Detect(quarantine.StrategyGreedy, q.entries, now) {
+		entry := q.entries.Add(s.Digest, s.Ends, now)
+		entries = append(entries, entry)
+		countQuarantined()
+		q.cfg.Log.Warn("request held back", "digest", s.Digest.String(), "ends", s.Ends, "strike", entry.Strike, "for", entry.Until.Sub(now))
+	}
+	suspects := slices.DeleteFunc(q.history.Suspects(suspectThreshold), func(s quarantine.Suspect) bool {
+		_, quarantined := q.entries.Lookup(s.Digest, q.cfg.Clock)
+		return quarantined
+	})
+	suspects = suspects[:min(maxSuspectsPerMessage, len(suspects))]
+	if len(entries) > 0 || !slices.Equal(suspects, q.suspects) {
+		q.suspects = suspects
+		q.broadcast(entries, now)
+	}
+	return len(entries) > 0
+}
--- /dev/null
+++ b/process/quarantines/store.go
@@ -0,0 +1,78 @@
+package quarantines
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"vetchtrail"
+	"vetchtrail/request/quarantine"
+)
+
+const (
+	// storeKey is the key of the entries in the project's own store.
+	storeKey = "vetchtrail/holds"
+	// maxWriteAttempts is how often a write is attempted when other hosts write at the same time.
+	maxWriteAttempts = 4
+	// loadRetryDelay is the delay until a starting host tries again to read the store.
+	loadRetryDelay = time.Second
+)
+
+// Store persists entries in the project's own store. It implements vetchtrail.HoldKeeper.
+type Store struct {
+	Store vetchtrail.Store
+	Log   *slog.Logger
+}
+
+// Keep implements vetchtrail.HoldKeeper.
+func (s *Store) Keep(ctx context.Context, put []vetchtrail.Hold, drop []vetchtrail.Digest) error {
+	var err error
+	for range maxWriteAttempts {
+		var persisted quarantine.Kept
+		var index uint64
+		if persisted, index, err = s.read(ctx); err != nil {
+			return err
+		}
+		persisted.Put(put, drop)
+		text, encodeErr := persisted.Text()
+		if encodeErr != nil {
+			return encodeErr
+		}
+		if err = s.Store.CompareAndSwap(ctx, storeKey, text, index); !errors.Is(err, vetchtrail.ErrConflict) {
+			return err
+		}
+	}
+	return err
+}
+
+// read returns the stored entries and the index with which they can be replaced.
+func (s *Store) read(ctx context.Context) (quarantine.Kept, uint64, error) {
+	e, err := s.Store.Get(ctx, storeKey)
+	if errors.Is(err, vetchtrail.ErrNotFound) {
+		return quarantine.Kept{}, 0, nil
+	}
+	if err != nil {
+		return quarantine.Kept{}, 0, err
+	}
+	persisted, err := quarantine.ParseKept(e.Value)
+	if err != nil {
+		s.Log.Error("some persisted quarantine entries can't be read and will be overwritten", "key", storeKey, "index", e.Index, "error", err)
+	}
+	return persisted, e.Index, nil
+}
+
+// Load merges the entries of the store when a host starts. It retries until the store is read or
+// ctx ends.
+func (q *Quarantines) Load(ctx context.Context, s *Store) {
+	for ctx.Err() == nil {
+		persisted, _, err := s.read(ctx)
+		if err == nil {
+			q.mergePersisted(persisted.From(q.cfg.Clock()))
+			return
+		}
+		q.cfg.Log.Info("persisted quarantine entries not read", "error", err)
+		sleep(ctx, loadRetryDelay)
+	}
+}
