--- /dev/null
+++ b/process/lists/diff.go
@@ -0,0 +1,139 @@
+package lists
+
+import (
+	"encoding/binary"
+	"math"
+	"slices"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"vetchtrail"
+)
+
+// endpointDiff leads from the endpoints of one listing to those of another. Both are in the
+// order of their names.
+type endpointDiff struct {
+	changed  []*vetchtrail.Endpoint // added, or with other values
+	removed  []string               // names
+	checksum uint64                 // checksum of the new endpoints minus that of the old
+}
+
+// empty reports whether the diff has no endpoints.
+func (d *endpointDiff) empty() bool { return len(d.changed)+len(d.removed) == 0 }
+
+// diffEndpoints returns the diff from a listing's endpoints to those of another.
+func diffEndpoints(before, after []*vetchtrail.Endpoint) endpointDiff {
+	var d endpointDiff
+	if len(before) > 0 && len(before) == len(after) && &before[0] == &after[0] {
+		return d
+	}
+	for len(before) > 0 || len(after) > 0 {
+		switch order := compareFirst(before, after); {
+		case order < 0:
+			d.removed = append(d.removed, before[0].Name)
+			d.checksum -= hashOf(before[0])
+			before = before[1:]
+		case order > 0:
+			d.changed = append(d.changed, after[0])
+			d.checksum += hashOf(after[0])
+			after = after[1:]
+		default:
+			if !sameEntry(before[0], after[0]) {
+				d.changed = append(d.changed, after[0])
+				d.checksum += hashOf(after[0]) - hashOf(before[0])
+			}
+			before, after = before[1:], after[1:]
+		}
+	}
+	return d
+}
+
+// compareFirst compares the names of the first endpoints; an empty slice is the greater.
+func compareFirst(a, b []*vetchtrail.Endpoint) int {
+	switch {
+	case len(a) == 0:
+		return 1
+	case len(b) == 0:
+		return -1
+	case a[0] == b[0]:
+		return 0
+	}
+	return strings.Compare(a[0].Name, b[0].Name)
+}
+
+// sameEntry reports whether two entries of an endpoint are the same. It ignores when a cold
+// start ends: messages have the time that remains, so the end differs by their time in
+// transit.
+func sameEntry(a, b *vetchtrail.Endpoint) bool {
+	if a == b {
+		return true
+	}
+	if !a.Born.Equal(b.Born) || a.ColdUntil.IsZero() != b.ColdUntil.IsZero() {
+		return false
+	}
+	first, second := *a, *b
+	first.Born, first.ColdUntil = second.Born, second.ColdUntil
+	return first == second
+}
+
+// apply returns the endpoints that the diff makes of those before it. The result shares the
+// entries that stay.
+func (d endpointDiff) apply(before []*vetchtrail.Endpoint) []*vetchtrail.Endpoint {
+	out := make([]*vetchtrail.Endpoint, 0, len(before)+len(d.changed))
+	changed := d.changed
+	for _, e := range before {
+		for len(changed) > 0 && changed[0].Name < e.Name {
+			out, changed = append(out, changed[0]), changed[1:]
+		}
+		switch {
+		case len(changed) > 0 && changed[0].Name == e.Name:
+			out, changed = append(out, changed[0]), changed[1:]
+		case !d.removes(e.Name):
+			out = append(out, e)
+		}
+	}
+	return append(out, changed...)
+}
+
+// removes reports whether the diff removes an endpoint.
+func (d endpointDiff) removes(name string) bool {
+	_, ok := slices.BinarySearch(d.removed, name)
+	return ok
+}
+
+// checksumOf returns the sum of the endpoints' hashes. Hosts compare it to find out whether
+// they have the same endpoints. A sum does not depend on the order in which endpoints were
+// added, and a diff can bring it up to date.
+func checksumOf(endpoints []*vetchtrail.Endpoint) uint64 {
+	var sum uint64
+	for _, e := range endpoints {
+		sum += hashOf(e)
+	}
+	return sum
+}
+
+// hashOf returns a hash of the values of an endpoint that must be the same at all hosts.
+func hashOf(e *vetchtrail.Endpoint) uint64 {
+	text := make([]byte, 0, 128)
+	for _, s := range []string{e.Name, e.Service, e.Region, e.DataCentre, e.Instance} {
+		text = append(append(text, s...), 0)
+	}
+	text = e.Addr.AppendTo(text)
+	text = append(text, boolByte(e.Draining), boolByte(e.Fenced))
+	for _, n := range []uint64{uint64(e.Slots), math.Float64bits(e.ColdRate), math.Float64bits(e.MoveToken)} {
+		text = binary.LittleEndian.AppendUint64(text, n)
+	}
+	if !e.Born.IsZero() {
+		text = binary.LittleEndian.AppendUint64(text, uint64(e.Born.UnixNano()))
+	}
+	return xxhash.Sum64(text)
+}
+
+// boolByte returns 1 for true and 0 for false.
+func boolByte(b bool) byte {
+	if b {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/process/lists/fetch.go
@@ -0,0 +1,208 @@
+package lists
+
+import (
+	"context"
+	"math"
+	"net/netip"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"vetchtrail"
+	"vetchtrail/schema"
+)
+
+const (
+	// fetchInterval is the pause between two queries for a newer listing to the host that
+	// polls the platform. It adds half a second to the listing's age and costs each host two
+	// small calls a second.
+	fetchInterval = 500 * time.Millisecond
+	// queryTimeout bounds such a query: the queried host is of the same region, some
+	// milliseconds away.
+	queryTimeout = 700 * time.Millisecond
+	// peerAgeSlack is how much older than the poll interval a queried host's listing may be.
+	// An older one means that the host is cut off from the platform. It is to queried hosts
+	// what takeoverSlack is to this one.
+	peerAgeSlack = 800 * time.Millisecond
+	// maxPeers is how many hosts are queried in turn while each of them does not answer or is
+	// rejected by the platform itself.
+	maxPeers = 12
+	// rejectedRetryDelay is how long a host that reported being rejected by the platform is
+	// not queried again. Such a query costs a round trip within the region.
+	rejectedRetryDelay = 3 * time.Second
+	// unreachableRetryDelay is the same for a host that did not answer, which costs a
+	// queryTimeout.
+	unreachableRetryDelay = 5 * time.Second
+)
+
+// Run keeps the listing and the configuration up to date from other hosts until ctx ends.
+// While this host polls the platform itself and its listing is new, it queries nobody.
+func (l *Lists) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		if l.current.Load() == nil {
+			l.queryStartupPeers(ctx)
+			wait(ctx, startupQueryPause(time.Since(l.startedAt)))
+			continue
+		}
+		wait(ctx, fetchInterval)
+		now := time.Now()
+		if now.Sub(l.current.Load().At) < l.Pace() && l.Reads() {
+			continue
+		}
+		l.fetchFromPeers(ctx)
+	}
+}
+
+// wait returns after d or when ctx ends.
+func wait(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
+
+// fetchFromPeers queries hosts in turn until one has a recent listing.
+// A host that the platform rejects says so in its reply, and the next is queried at once.
+func (l *Lists) fetchFromPeers(ctx context.Context) {
+	now := time.Now()
+	for _, h := range l.peersToQuery(now) {
+		if ctx.Err() != nil || l.inBackoff(h.Name, now) {
+			continue
+		}
+		age, rejected, err := l.fetchFrom(ctx, h)
+		if err != nil {
+			l.cfg.Log.Info("lists not borrowed", "peer", h.Name, "error", err)
+		}
+		if errors.Is(err, ErrBusy) {
+			return // the remaining hosts fetch the same listing from the busy ones
+		}
+		l.recordPeer(h.Name, rejected, err != nil, time.Now())
+		if err == nil && !rejected && age < l.Pace()+peerAgeSlack {
+			return
+		}
+	}
+}
+
+// inBackoff reports whether a host is not to be queried now, because it did not answer or
+// reported being rejected by the platform.
+func (l *Lists) inBackoff(host string, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return now.Before(l.rejectedUntil[host]) || now.Before(l.unreachableUntil[host])
+}
+
+// recordPeer records whether the platform rejects a host, and whether the host answered. A
+// host that did not answer counts as rejected too: it may have crashed or be cut off, so
+// others must poll in its place.
+func (l *Lists) recordPeer(host string, rejected, unreachable bool, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch {
+	case unreachable:
+		l.unreachableUntil[host] = now.Add(unreachableRetryDelay)
+		l.rejectedUntil[host] = now.Add(unreachableRetryDelay)
+	case rejected:
+		l.rejectedUntil[host] = now.Add(rejectedRetryDelay)
+	default:
+		delete(l.rejectedUntil, host)
+		delete(l.unreachableUntil, host)
+	}
+}
+
+// peersToQuery returns the hosts to query for a listing: those that rank first for polling.
+// In this host's first seconds the seeds come before them, because hosts that have not
+// settled do not count on being first.
+func (l *Lists) peersToQuery(now time.Time) []vetchtrail.Host {
+	out := l.cfg.Hosts.Ranked(pollTask, maxPeers, now)
+	if now.Sub(l.startedAt) >= settleTime {
+		return out
+	}
+	return append(l.seeds(), out...)
+}
+
+// seeds returns the seeds but this host. The jitter decides which comes first, so that hosts
+// do not all query the same one.
+func (l *Lists) seeds() []vetchtrail.Host {
+	var out []vetchtrail.Host
+	for _, s := range l.cfg.Seeds {
+		if s != l.cfg.Self.Peers {
+			out = append(out, seedHost(s))
+		}
+	}
+	if len(out) == 0 {
+		return nil
+	}
+	first := int(l.jitter() * float64(len(out)))
+	return append(out[first:len(out):len(out)], out[:first]...)
+}
+
+// seedHost returns a host of which only the address is known, with that as its name.
+func seedHost(addr netip.AddrPort) vetchtrail.Host {
+	return vetchtrail.Host{Name: addr.String(), Peers: addr}
+}
+
+// fetchFrom fetches a newer listing and configuration from a host. It returns the age of that
+// host's listing and whether the platform rejects the host. A host without a listing counts
+// as rejected.
+func (l *Lists) fetchFrom(ctx context.Context, h vetchtrail.Host) (age time.Duration, rejected bool, err error) {
+	current := l.current.Load()
+	reply, err := l.query(ctx, h.Peers, current.Revision)
+	if err != nil {
+		return 0, false, err
+	}
+	if reply.GetConfiguration() > l.cfg.Configuration.Revision() {
+		if err := l.pullConfiguration(ctx, h); err != nil {
+			l.cfg.Log.Info("configuration not pulled", "peer", h.Name, "revision", reply.GetConfiguration(), "error", err)
+		}
+	}
+	if reply.GetSeen() == 0 {
+		return queryTimeout, true, nil
+	}
+	return time.Duration(reply.GetAge()), reply.GetCut(), l.applyReply(ctx, reply, h, current)
+}
+
+// probe queries how new a host's listing and configuration are. The query claims the highest
+// revision, so the reply has no listing and is a few bytes long.
+func (l *Lists) probe(ctx context.Context, h vetchtrail.Host) (*schema.Listing, error) {
+	return l.cfg.Peers.List(ctx, h.Peers, &schema.ListRequest{Revision: math.MaxUint64})
+}
+
+// pullConfiguration brings this host's configuration up to that of another host.
+func (l *Lists) pullConfiguration(ctx context.Context, h vetchtrail.Host) error {
+	reply, err := l.cfg.Peers.Changes(ctx, h.Peers, l.cfg.Configuration.Revision())
+	if err != nil {
+		return err
+	}
+	return l.cfg.Configuration.Learned(reply)
+}
+
+// applyReply takes over the listing in the reply of host h; current was this host's listing
+// when it sent the query. A diff that does not fit current is replaced by a query for the full
+// listing: while two hosts poll the platform, they may differ in which endpoints they still
+// take to be listed.
+func (l *Lists) applyReply(ctx context.Context, reply *schema.Listing, h vetchtrail.Host, current *vetchtrail.Listing) error {
+	if reply.GetRevision() == 0 { // no change: only the time of the last poll is newer
+		if current == nil || l.current.Load() != current {
+			return nil // replaced while the query was in flight
+		}
+		unchanged := *current
+		unchanged.Seen, unchanged.At = reply.GetSeen(), time.Now().Add(-time.Duration(reply.GetAge()))
+		l.Take(unchanged)
+		return nil
+	}
+	fetched, err := l.decodeReply(reply, current)
+	if errors.Is(err, ErrBaseMismatch) {
+		l.cfg.Log.Warn("difference of lists not taken, asking for them whole", "peer", h.Name, "error", err)
+		if reply, err = l.query(ctx, h.Peers, 0); err != nil {
+			return err
+		}
+		fetched, err = l.decodeReply(reply, nil)
+	}
+	if err != nil {
+		return err
+	}
+	l.cfg.Log.Info("lists borrowed", "peer", h.Name, "store_revision", fetched.Seen, "age", time.Since(fetched.At), "since", reply.GetSince(),
+		"endpoints", len(reply.GetEndpoints()), "gone", len(reply.GetGone()))
+	l.Take(fetched)
+	return nil
+}
--- a/process/lists/history.go
+++ b/process/lists/history.go
@@ -7,60 +7,65 @@
 	"vetchtrail"
 )
 
-// mostChanges is how many changes of endpoints are remembered. A host that is behind by more is lent the
-// lists whole.
-const mostChanges = 4096
+// maxChanges is how many endpoint changes the history keeps. A host that is behind by more is
+// served the full listing.
+const maxChanges = 4096
 
-// history is which endpoints changed at which revision of the lists, so that a host is lent what changed since
-// its own: with the lists lent whole a change costs hosts times endpoints.
+// history records which endpoints changed at which revision of the listing, so that a host can
+// be served only what changed since its own. With full listings the cost of one change is the
+// number of hosts times the number of endpoints.
 type history struct {
-	after   uint64   // changes after this revision are remembered
-	changes []change // in the order of their revisions
-	hosts   uint64   // revision at which the hosts changed last
+	after         uint64   // changes after this revision are all in the history
+	changes       []change // in the order of their revisions
+	hostsRevision uint64   // revision of the last change of the listed hosts
 }
 
+// change is that an endpoint was added, changed or removed at a revision.
 type change struct {
 	revision uint64
 	name     string
 }
 
-// note remembers how lists differ from those before. Where they are of the same revision, as when two hosts read
-// the platform, who holds that one is lent the difference with the next.
-func (h *history) note(before, revision uint64, d difference, hosts bool) {
+// record adds the diff from the last listing, of revision before, to the one of revision. If
+// both have the same revision, as when two hosts poll the platform and disagree, the diff is
+// recorded under the next revision: peers at the old one then receive it with that.
+func (h *history) record(before, revision uint64, d endpointDiff, hostsChanged bool) {
 	revision = max(revision, before+1)
-	if hosts {
-		h.hosts = revision
+	if hostsChanged {
+		h.hostsRevision = revision
 	}
 	for _, e := range d.changed {
 		h.changes = append(h.changes, change{revision, e.Name})
 	}
-	for _, name := range d.gone {
+	for _, name := range d.removed {
 		h.changes = append(h.changes, change{revision, name})
 	}
-	if over := len(h.changes) - mostChanges; over > 0 {
-		h.after = h.changes[over-1].revision
-		h.changes = slices.Clone(h.changes[over:])
+	if excess := len(h.changes) - maxChanges; excess > 0 {
+		h.after = h.changes[excess-1].revision
+		h.changes = slices.Clone(h.changes[excess:])
 		for len(h.changes) > 0 && h.changes[0].revision == h.after {
 			h.changes = h.changes[1:]
 		}
 	}
 }
 
-// begin forgets all: nothing is known of what was before a revision.
-func (h *history) begin(revision uint64) { *h = history{after: revision, hosts: revision} }
+// reset empties the history: nothing is known of changes up to a revision.
+func (h *history) reset(revision uint64) { *h = history{after: revision, hostsRevision: revision} }
 
-// count returns how many endpoints a host that holds lists of a revision is lent at most.
-func (h *history) count(revision uint64, is *vetchtrail.Listing) int {
+// countSince returns an upper bound of the endpoints in a reply to a host whose listing is of a
+// revision.
+func (h *history) countSince(revision uint64, current *vetchtrail.Listing) int {
 	if revision < h.after || revision == 0 {
-		return len(is.Endpoints)
+		return len(current.Endpoints)
 	}
-	at, _ := slices.BinarySearchFunc(h.changes, revision+1, func(c change, r uint64) int { return cmp.Compare(c.revision, r) })
-	return len(h.changes) - at
+	first, _ := slices.BinarySearchFunc(h.changes, revision+1, func(c change, r uint64) int { return cmp.Compare(c.revision, r) })
+	return len(h.changes) - first
 }
 
-// since returns how lists differ from those of an earlier revision; false: it lies too far back.
-func (h *history) since(revision uint64, is *vetchtrail.Listing) (difference, bool) {
-	var d difference
+// diffSince returns the diff to the current listing from that of an earlier revision; false:
+// the history does not reach back that far.
+func (h *history) diffSince(revision uint64, current *vetchtrail.Listing) (endpointDiff, bool) {
+	var d endpointDiff
 	if revision < h.after {
 		return d, false
 	}
@@ -73,13 +78,13 @@
 			continue
 		}
 		seen[c.name] = true
-		if e := is.Endpoint(c.name); e != nil {
+		if e := current.Endpoint(c.name); e != nil {
 			d.changed = append(d.changed, e)
 		} else {
-			d.gone = append(d.gone, c.name)
+			d.removed = append(d.removed, c.name)
 		}
 	}
 	vetchtrail.SortEndpoints(d.changed)
-	slices.Sort(d.gone)
+	slices.Sort(d.removed)
 	return d, true
 }
--- a/process/lists/lists.go
+++ b/process/lists/lists.go
@@ -1,5 +1,11 @@
-// Package lists holds what a hosted platform lists, endpoints and hosts, and decides which
-// hosts ask the platform for it. The others ask those. It lives for the process.
+// Package lists holds the listing: the endpoints and hosts that a hosted platform's service
+// discovery reports. Calls to the platform are limited and priced, so the package decides which
+// hosts poll it. All other hosts fetch the listing from those. The package also pulls newer
+// configurations from peers.
+//
+// The package does not call the platform itself: the platform's feed does so when Lists
+// allows it, and passes in what it read. Nothing is stored; a listing lasts as long as the
+// process.
 package lists
 
 import (
@@ -18,149 +24,174 @@
 	"vetchtrail/schema"
 )
 
-// Hosts is what the lists need to know of the other hosts.
+// Hosts is the view of the other hosts that Lists needs. Hosts are ranked for a task by
+// rendezvous hashing.
 type Hosts interface {
-	// Rank returns how many live hosts of the region, and of the data centre, go before
-	// this one for a duty.
-	Rank(duty string, now time.Time) (region, dataCentre int)
-	// Ranked returns the first n of the other live hosts of the region for a duty.
-	Ranked(duty string, n int, now time.Time) []vetchtrail.Host
-	// Ahead returns a host that said to hold a newer configuration.
+	// Rank returns how many live hosts rank before this one for a task, in the region and
+	// in the data centre.
+	Rank(task string, now time.Time) (region, dataCentre int)
+	// Ranked returns the first n of the region's other live hosts for a task.
+	Ranked(task string, n int, now time.Time) []vetchtrail.Host
+	// Ahead returns a host that reported a newer configuration than this host's.
 	Ahead(now time.Time) (vetchtrail.Host, bool)
+	// SetListed passes on the hosts of a new listing.
 	SetListed(hosts []vetchtrail.Host)
 }
 
-// Peers is how other hosts are asked.
+// Peers sends queries to other hosts.
 type Peers interface {
+	// List queries a host for its listing.
 	List(ctx context.Context, addr netip.AddrPort, q *schema.ListRequest) (*schema.Listing, error)
+	// Changes queries a host for the configuration changes after a revision.
 	Changes(ctx context.Context, addr netip.AddrPort, from uint64) (*schema.ChangesReply, error)
 }
 
-// Configuration is what is held of the configuration.
+// Configuration is this host's copy of the configuration.
 type Configuration interface {
+	// Revision returns the revision of the copy; 0: there is none yet.
 	Revision() uint64
-	// Learned takes what another host told.
+	// Learned applies the changes that another host sent.
 	Learned(reply *schema.ChangesReply) error
 }
 
-// Config is what Lists need.
+// Config configures Lists.
 type Config struct {
-	Self  vetchtrail.Host
-	Seeds []netip.AddrPort // peers of some hosts
-	// KnownWithin is the time in which all hosts must know of an endpoint that leaves.
+	Self vetchtrail.Host
+	// Seeds are the peer addresses of some hosts, from which a starting host fetches its
+	// first listing.
+	Seeds []netip.AddrPort
+	// KnownWithin is the time within which all hosts must know that an endpoint is leaving.
 	KnownWithin time.Duration
-	// Link is how much the host can send, in Mbit/s; 0: not known.
+	// Link is the send capacity of the host's network link in Mbit/s; 0: not known.
 	Link          float64
 	Hosts         Hosts
 	Peers         Peers
 	Configuration Configuration
-	Taken         func()           // lists or a configuration were taken; it may be called by many
-	Clock         func() time.Time // that goes on while the host is suspended
-	Log           *slog.Logger
+	// Taken is called after a listing or a configuration may have changed. Calls may be
+	// concurrent.
+	Taken func()
+	// Clock returns the time of a clock that goes on while the host is suspended; quarantine
+	// entries are timed by it.
+	Clock func() time.Time
+	Log   *slog.Logger
 }
 
-// Lists is what the platform lists, as this host holds it. It is a vetchtrail.Following.
+// Lists holds this host's copy of the listing and decides whether this host polls the
+// platform. It implements vetchtrail.Following.
 type Lists struct {
-	cfg      Config
-	born     time.Time
-	held     atomic.Pointer[vetchtrail.Listing]
-	tookOver atomic.Pointer[time.Time] // when this host began to read for another; nil: never
-	heard    atomic.Pointer[time.Time] // when the newest lists that another host told of were read; nil: none did
-	platform contact
-	newest   newest
-	asking   atomic.Int64 // questions of a starting host that are under way
-	fetching atomic.Bool  // a starting host is being lent the lists
-
-	mu      sync.Mutex // guards steps of held and what follows
-	history history
-	sum     uint64 // of the endpoints held
-	sending sending
-	rnd     *rand.Rand
-	cut     map[string]time.Time // until when a host is taken to be turned away by the platform, by name
-	unmet   map[string]time.Time // until when a host that did not answer is not asked
+	cfg       Config
+	startedAt time.Time
+	current   atomic.Pointer[vetchtrail.Listing] // nil: no listing yet
+	// takeoverAt is when this host last began to poll in place of a host that ranks before
+	// it; nil: never.
+	takeoverAt atomic.Pointer[time.Time]
+	// lastPeerPoll is the latest time, among the replies of busy hosts, at which the
+	// platform was polled; nil: there was no such reply.
+	lastPeerPoll    atomic.Pointer[time.Time]
+	platform        platformStatus
+	configCheck     configCheck
+	startupQueries  atomic.Int64 // startup queries in flight
+	startupFetching atomic.Bool  // the first listing is being fetched from a peer
+
+	mu       sync.Mutex // guards replacing current, and all fields below
+	history  history
+	checksum uint64 // of the endpoints in current
+	uplink   uplink
+	rnd      *rand.Rand
+	// rejectedUntil has, by host name, until when this host assumes that the platform
+	// rejects that host.
+	rejectedUntil map[string]time.Time
+	// unreachableUntil has, by host name, until when a host that did not answer is not
+	// queried.
+	unreachableUntil map[string]time.Time
 }
 
-// New returns lists that hold nothing.
+// New returns Lists without a listing.
 func New(c Config) *Lists {
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
 	return &Lists{
-		cfg: c, born: time.Now(), cut: map[string]time.Time{}, unmet: map[string]time.Time{},
-		sending: sending{rate: lendPart * c.Link * bytesPerMbit}, rnd: rand.New(rand.NewPCG(xxhash.Sum64String(c.Self.Name), 0)),
+		cfg: c, startedAt: time.Now(), rejectedUntil: map[string]time.Time{}, unreachableUntil: map[string]time.Time{},
+		uplink: uplink{bytesPerSecond: servedLinkShare * c.Link * bytesPerMbit}, rnd: rand.New(rand.NewPCG(xxhash.Sum64String(c.Self.Name), 0)),
 	}
 }
 
-// bytesPerMbit is how many bytes a megabit is.
+// bytesPerMbit is the number of bytes in a megabit.
 const bytesPerMbit = 1e6 / 8
 
-// Listing returns the lists held; nil: none.
-func (l *Lists) Listing() *vetchtrail.Listing { return l.held.Load() }
+// Listing returns the current listing; nil: there is none yet.
+func (l *Lists) Listing() *vetchtrail.Listing { return l.current.Load() }
 
-// Take takes lists unless newer ones are held: those of a peer may be newer than what this
-// host's feed read before the platform turned it away.
-func (l *Lists) Take(in vetchtrail.Listing) {
+// Take makes next the current listing unless the current one is newer. That happens when the
+// current one was fetched from a peer, and next is the last that this host's feed read before
+// the platform rejected it.
+func (l *Lists) Take(next vetchtrail.Listing) {
 	l.mu.Lock()
-	held := l.held.Load()
-	if held == nil || in.Seen >= held.Seen {
-		l.replace(held, &in)
+	current := l.current.Load()
+	if current == nil || next.Seen >= current.Seen {
+		l.replace(current, &next)
 	}
 	l.mu.Unlock()
 	l.cfg.Taken()
 }
 
-// replace holds other lists and remembers how they differ. The revision never falls: hosts that ask are
-// lent what differs by it. The caller holds the lock.
-func (l *Lists) replace(held, in *vetchtrail.Listing) {
-	if held == nil {
-		l.history.begin(in.Revision)
-		l.sum = sumOf(in.Endpoints)
+// replace makes next the current listing and records how it differs from the last one. The
+// revision never falls, because peers are served the changes since a revision. The caller
+// holds the lock.
+func (l *Lists) replace(current, next *vetchtrail.Listing) {
+	if current == nil {
+		l.history.reset(next.Revision)
+		l.checksum = checksumOf(next.Endpoints)
 	} else {
-		in.Revision = max(in.Revision, held.Revision)
-		d := differ(held.Endpoints, in.Endpoints)
+		next.Revision = max(next.Revision, current.Revision)
+		d := diffEndpoints(current.Endpoints, next.Endpoints)
 		if d.empty() {
-			in.Endpoints = held.Endpoints
+			next.Endpoints = current.Endpoints
 		}
-		l.history.note(held.Revision, in.Revision, d, !slices.Equal(held.Hosts, in.Hosts))
-		l.sum += d.sum
+		l.history.record(current.Revision, next.Revision, d, !slices.Equal(current.Hosts, next.Hosts))
+		l.checksum += d.checksum
 	}
-	l.held.Store(in)
-	l.cfg.Hosts.SetListed(in.Hosts)
+	l.current.Store(next)
+	l.cfg.Hosts.SetListed(next.Hosts)
 }
 
-// contact is whether the platform answers this host.
-type contact struct {
-	asking atomic.Pointer[time.Time] // since when a call waits; nil: none does
-	failed atomic.Bool               // the last call was not answered
+// platformStatus tracks whether the platform answers this host.
+type platformStatus struct {
+	callStarted    atomic.Pointer[time.Time] // start of the call in flight; nil: none
+	lastCallFailed atomic.Bool
 }
 
-// lateAnswer is how long a call of the platform may wait before this host is taken to be
-// turned away by it: a watch that hears of nothing takes a second, and with less the other hosts would
-// read as well whenever nothing changes for so long.
-const lateAnswer = 1300 * time.Millisecond
+// slowCallThreshold is how long a call to the platform may take before this host counts as
+// rejected. A watch of the platform returns after a second if nothing changes; with a
+// threshold below that, other hosts would poll too whenever nothing changes.
+const slowCallThreshold = 1300 * time.Millisecond
 
-// Asking implements vetchtrail.Following.
-func (l *Lists) Asking(now time.Time) { l.platform.asking.Store(&now) }
+// Asking implements vetchtrail.Following: it records the start of a call to the platform.
+func (l *Lists) Asking(now time.Time) { l.platform.callStarted.Store(&now) }
 
-// Answered implements vetchtrail.Following.
+// Answered implements vetchtrail.Following: it records the end of a call to the platform.
 func (l *Lists) Answered(ok bool) {
-	l.platform.asking.Store(nil)
-	l.platform.failed.Store(!ok)
+	l.platform.callStarted.Store(nil)
+	l.platform.lastCallFailed.Store(!ok)
 }
 
-// Cut says whether the platform does not answer this host.
-func (l *Lists) Cut(now time.Time) bool {
-	since := l.platform.asking.Load()
-	return l.platform.failed.Load() || (since != nil && now.Sub(*since) > lateAnswer)
+// Rejected reports whether the platform rejects this host: the last call failed, or the
+// current one is slow.
+func (l *Lists) Rejected(now time.Time) bool {
+	since := l.platform.callStarted.Load()
+	return l.platform.lastCallFailed.Load() || (since != nil && now.Sub(*since) > slowCallThreshold)
 }
 
-// spread is this host's own part of a time over which hosts are spread, 0 to 1.
-func (l *Lists) spread() float64 {
+// jitter returns a fraction from 0 to 1 that is fixed for this host's name. It spreads over
+// time what all hosts would otherwise do at once.
+func (l *Lists) jitter() float64 {
 	const steps = 1 << 16
 	return float64(xxhash.Sum64String("spread "+l.cfg.Self.Name)%steps) / steps
 }
 
-// isSeed says whether this host is one that settings of hosts name as a seed.
+// isSeed reports whether this host is one of the seeds. Without seeds in the settings every
+// host is one.
 func (l *Lists) isSeed() bool {
 	for _, s := range l.cfg.Seeds {
 		if s == l.cfg.Self.Peers {
--- /dev/null
+++ b/process/lists/poll.go
@@ -0,0 +1,142 @@
+package lists
+
+import "time"
+
+// pollTask is the task of polling the platform for the listing. The calls of all hosts
+// together are limited and priced, so one host of a region polls and the others query it.
+// All hosts hash this text to rank themselves for the task, so it must not change.
+const pollTask = "follow the platform"
+
+const (
+	// takeoverSlack is how much older than the poll interval a host's listing may be before
+	// the host polls in place of the one assigned. It covers the time between two queries to
+	// peers, and slow replies.
+	takeoverSlack = 1300 * time.Millisecond
+	// takeoverStep is how much longer a host waits than the one that ranks before it in its
+	// data centre. By then that one has polled, unless the platform rejects it too.
+	takeoverStep = time.Second
+	// takeoverDuration is how long a host that took over goes on polling.
+	takeoverDuration = 5 * time.Second
+	// pollersPerRejected is how many hosts poll for each earlier-ranked one that is known to
+	// be rejected. If the platform rejects a third of the hosts, it rarely rejects all of
+	// these.
+	pollersPerRejected = 6
+	// pollFraction is the poll interval as a fraction of the time within which all hosts must
+	// know that an endpoint is leaving. The rest is for the listing's way to the other hosts and
+	// for a takeover. A smaller fraction costs more calls and gains little.
+	pollFraction = 0.4
+	// settleTime is how long after its start a host knows too few other hosts to trust that
+	// it ranks first in its region. Heartbeats reach some hundred hosts in four rounds; hosts
+	// that become known through an introduction take two rounds more.
+	settleTime = 4 * time.Second
+	// startupTakeoverSteps is the number of takeover steps over which hosts in their settle time
+	// spread their takeovers by jitter, because they can't rank themselves yet.
+	startupTakeoverSteps = 3
+	// startupPollDelay is how long a starting host queries its seeds for a listing before it
+	// polls the platform itself.
+	startupPollDelay = 700 * time.Millisecond
+	// startupPollJitter is the time over which these polls are spread, so that the first
+	// hosts to poll can serve the others.
+	startupPollJitter = 1500 * time.Millisecond
+)
+
+// pollState is what decides whether a host polls the platform.
+type pollState struct {
+	hasListing       bool
+	listingAge       time.Duration // since the platform was last polled, as far as this host knows
+	seed             bool          // the host is a seed; without seeds in the settings every host is one
+	uptime           time.Duration
+	jitter           float64       // fraction from 0 to 1 that is fixed for this host
+	pollInterval     time.Duration // between two polls of one host
+	rankInRegion     int           // hosts of its region that rank before it
+	rankInDataCentre int           // hosts of its data centre that rank before it
+	rejectedBefore   int           // hosts of rankInRegion that the platform is known to reject
+	sinceTakeover    time.Duration // time since this host took over; negative: it never did
+}
+
+// shouldPoll reports whether the host is to poll the platform now.
+func (s pollState) shouldPoll() bool {
+	switch {
+	case !s.hasListing:
+		return s.seed || s.uptime > startupPollDelay+time.Duration(s.jitter*float64(startupPollJitter))
+	case s.sinceTakeover >= 0 && s.sinceTakeover < takeoverDuration:
+		return true
+	case s.uptime < settleTime:
+		return s.seed || s.overdue(1+s.jitter*startupTakeoverSteps)
+	case s.rankInRegion <= s.rejectedBefore*pollersPerRejected:
+		return true // first in the region, or close enough behind rejected hosts
+	}
+	return s.overdue(float64(s.rankInDataCentre))
+}
+
+// overdue reports whether the listing is old enough for a host with this rank to take over.
+func (s pollState) overdue(rank float64) bool {
+	return s.listingAge > s.pollInterval+takeoverSlack+time.Duration(rank*float64(takeoverStep))
+}
+
+// pollState returns this host's poll state.
+func (l *Lists) pollState(now time.Time) pollState {
+	s := pollState{
+		seed: l.isSeed(), uptime: now.Sub(l.startedAt), jitter: l.jitter(), pollInterval: l.Pace(), sinceTakeover: -1,
+	}
+	if current := l.current.Load(); current != nil {
+		s.hasListing, s.listingAge = true, now.Sub(current.At)
+		if polled := l.lastPeerPoll.Load(); polled != nil {
+			s.listingAge = min(s.listingAge, now.Sub(*polled))
+		}
+	}
+	s.rankInRegion, s.rankInDataCentre = l.cfg.Hosts.Rank(pollTask, now)
+	s.rejectedBefore = l.countRejected(s.rankInRegion, now)
+	if at := l.takeoverAt.Load(); at != nil {
+		s.sinceTakeover = now.Sub(*at)
+	}
+	return s
+}
+
+// countRejected returns how many of the first hosts of the region the platform is known to
+// reject. It looks at as many hosts as rank before this one, at most maxPeers.
+func (l *Lists) countRejected(rank int, now time.Time) int {
+	n := 0
+	for _, h := range l.cfg.Hosts.Ranked(pollTask, min(rank, maxPeers), now) {
+		if l.isRejected(h.Name, now) {
+			n++
+		}
+	}
+	return n
+}
+
+// isRejected reports whether the platform is assumed to reject a host.
+func (l *Lists) isRejected(host string, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return now.Before(l.rejectedUntil[host])
+}
+
+// Reads implements vetchtrail.Following: it reports whether this host is to poll the platform
+// now. If that makes a settled host poll that is not first in its region, Reads starts a
+// takeover.
+func (l *Lists) Reads() bool {
+	now := time.Now()
+	s := l.pollState(now)
+	if !s.shouldPoll() {
+		return false
+	}
+	if s.rankInRegion > 0 && s.uptime >= settleTime && (s.sinceTakeover < 0 || s.sinceTakeover >= takeoverDuration) {
+		l.takeoverAt.Store(&now)
+		l.cfg.Log.Info("reading the platform's lists for another host", "age", s.listingAge, "before_in_region", s.rankInRegion, "before_in_data_centre", s.rankInDataCentre, "turned_away", s.rejectedBefore)
+	}
+	return true
+}
+
+// WatchesConfiguration implements vetchtrail.Following: the second host of the region waits
+// for new configurations too, so that none is late if the host that polls is lost.
+func (l *Lists) WatchesConfiguration() bool {
+	now := time.Now()
+	rank, _ := l.cfg.Hosts.Rank(pollTask, now)
+	return rank == 1 && now.Sub(l.startedAt) >= settleTime
+}
+
+// Pace implements vetchtrail.Following: it returns the interval between two polls.
+func (l *Lists) Pace() time.Duration {
+	return time.Duration(pollFraction * float64(l.cfg.KnownWithin))
+}
--- /dev/null
+++ b/process/lists/query.go
@@ -0,0 +1,137 @@
+package lists
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"vetchtrail"
+	"vetchtrail/schema"
+)
+
+// Errors of fetching a listing from a peer.
+var (
+	// ErrBaseMismatch means that a diff does not fit the listing that it was to be applied to.
+	ErrBaseMismatch = errors.New("lists: the diff does not fit this host's listing")
+	// ErrBusy means that a peer's link is busy, and that no peer which it referred to served a
+	// listing.
+	ErrBusy = errors.New("lists: the links of those that could lend are taken")
+)
+
+const (
+	// maxShortReply is how many endpoints a reply within queryTimeout may have. A longer one
+	// gets longQueryTimeout.
+	maxShortReply = 1000
+	// maxQueriedPeers bounds the peers that one query goes to, by the referrals of busy ones.
+	maxQueriedPeers = 10
+)
+
+// query queries a host for a listing newer than a revision, and if its link is busy, the hosts
+// that it refers to. A reply without a listing means that the host has none newer.
+func (l *Lists) query(ctx context.Context, to netip.AddrPort, revision uint64) (*schema.Listing, error) {
+	first, err := l.queryOne(ctx, to, revision)
+	if err != nil || !first.GetBusy() {
+		return first, err
+	}
+	l.notePeerPoll(first, time.Now())
+	queried := map[netip.AddrPort]bool{to: true, l.cfg.Self.Peers: true}
+	next := l.parseReferrals(first)
+	for len(next) > 0 && len(queried) < maxQueriedPeers {
+		at := next[0]
+		next = next[1:]
+		if queried[at] {
+			continue
+		}
+		queried[at] = true
+		reply, err := l.queryOne(ctx, at, revision)
+		switch {
+		case err != nil:
+			l.cfg.Log.Debug("query to a referred host failed", "peer", at, "error", err)
+		case reply.GetBusy():
+			next = append(l.parseReferrals(reply), next...)
+		case reply.GetRevision() > 0:
+			return reply, nil
+		}
+	}
+	return first, errors.Wrapf(ErrBusy, "queried %d hosts", len(queried)-1)
+}
+
+// parseReferrals returns the hosts that a busy one refers to. It skips unreadable addresses and
+// those beyond maxReferrals.
+func (l *Lists) parseReferrals(reply *schema.Listing) []netip.AddrPort {
+	var out []netip.AddrPort
+	for _, text := range reply.GetRefer() {
+		addr, err := netip.ParseAddrPort(text)
+		if err != nil || len(out) >= maxReferrals {
+			l.cfg.Log.Error("referral to a host skipped", "address", text, "named", len(reply.GetRefer()), "error", err)
+			continue
+		}
+		out = append(out, addr)
+	}
+	return out
+}
+
+// queryOne queries one host. If the reply would be longer than maxShortReply, it queries again
+// with more time.
+func (l *Lists) queryOne(ctx context.Context, to netip.AddrPort, revision uint64) (*schema.Listing, error) {
+	q := &schema.ListRequest{Revision: revision, From: l.cfg.Self.Peers.String(), Most: maxShortReply}
+	short, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	reply, err := l.cfg.Peers.List(short, to, q)
+	if err != nil || reply.GetLarge() == 0 {
+		return reply, err
+	}
+	q.Most = 0
+	long, cancel := context.WithTimeout(ctx, longQueryTimeout)
+	defer cancel()
+	return l.cfg.Peers.List(long, to, q)
+}
+
+// notePeerPoll records when the platform was last polled according to the reply of a busy
+// host. While that is recent, some host polls the platform, and this host need not take over
+// although its own listing ages.
+func (l *Lists) notePeerPoll(reply *schema.Listing, now time.Time) {
+	if reply.GetCut() || reply.GetSeen() == 0 {
+		return
+	}
+	at := now.Add(-time.Duration(reply.GetAge()))
+	if last := l.lastPeerPoll.Load(); last == nil || at.After(*last) {
+		l.lastPeerPoll.Store(&at)
+	}
+}
+
+// decodeReply returns the listing in a peer's reply. A diff is applied to current and must lead
+// to the checksum in the reply, else the error is ErrBaseMismatch.
+func (l *Lists) decodeReply(reply *schema.Listing, current *vetchtrail.Listing) (vetchtrail.Listing, error) {
+	fetched, err := schema.ToListing(reply, time.Now(), l.cfg.Clock())
+	if err != nil {
+		return fetched, err
+	}
+	vetchtrail.SortEndpoints(fetched.Endpoints)
+	if reply.GetSince() == 0 {
+		return fetched, nil
+	}
+	if current == nil || current.Revision != reply.GetSince() {
+		return fetched, errors.Wrapf(ErrBaseMismatch, "diff since revision %d", reply.GetSince())
+	}
+	if reply.GetHostsKept() {
+		fetched.Hosts = current.Hosts
+	}
+	d := endpointDiff{changed: fetched.Endpoints, removed: reply.GetGone()}
+	fetched.Endpoints = d.apply(current.Endpoints)
+	if sum, ok := l.checksumAfter(current, fetched.Endpoints); !ok || sum != reply.GetSum() {
+		return fetched, errors.Wrapf(ErrBaseMismatch, "diff from revision %d to %d has checksum %x, not %x", current.Revision, fetched.Revision, sum, reply.GetSum())
+	}
+	return fetched, nil
+}
+
+// checksumAfter returns the checksum of endpoints, worked out from that of the current listing;
+// false: current is no longer this host's listing.
+func (l *Lists) checksumAfter(current *vetchtrail.Listing, endpoints []*vetchtrail.Endpoint) (uint64, bool) {
+	l.mu.Lock()
+	checksum, ok := l.checksum, l.current.Load() == current
+	l.mu.Unlock()
+	return checksum + diffEndpoints(current.Endpoints, endpoints).checksum, ok
+}
--- /dev/null
+++ b/process/lists/startup.go
@@ -0,0 +1,100 @@
+package lists
+
+import (
+	"context"
+	"time"
+
+	"vetchtrail"
+)
+
+const (
+	// startupQueryInterval is the pause of a just started host between two rounds of queries;
+	// each round queries all seeds at once. A seed that starts at the same moment does not
+	// answer until it listens.
+	startupQueryInterval = 60 * time.Millisecond
+	// maxStartupQueryInterval is the pause that this grows to after some seconds: hundreds of
+	// hosts that start at once have the same seeds.
+	maxStartupQueryInterval = 500 * time.Millisecond
+	// startupQueryTimeout bounds one startup query; it allows two round trips between regions.
+	// If nobody answers the first packet of a connection, TCP sends it again after a second; a
+	// new connection is faster. Without this bound, hosts that start at once would wait for
+	// each other's listeners.
+	startupQueryTimeout = 400 * time.Millisecond
+	// maxStartupQueries bounds the startup queries in flight.
+	maxStartupQueries = 12
+	// longQueryTimeout bounds a query for a long listing: a seed with a narrow link may serve
+	// thousands of endpoints to a hundred hosts at once.
+	longQueryTimeout = 2500 * time.Millisecond
+)
+
+// startupQueryPause returns the pause before the next round of startup queries of a host with
+// this uptime. The pause grows with the uptime.
+func startupQueryPause(uptime time.Duration) time.Duration {
+	return min(startupQueryInterval+uptime/startupBackoffDivisor, maxStartupQueryInterval)
+}
+
+// startupBackoffDivisor is the uptime over the growth of startupQueryPause.
+const startupBackoffDivisor = 16
+
+// queryStartupPeers starts one round of startup queries and does not wait for the replies. It
+// queries the seeds, and the host that ranks first for polling if this host knows of one. The
+// first peer that has a listing serves it to this host.
+func (l *Lists) queryStartupPeers(ctx context.Context) {
+	now := time.Now()
+	peers := append(l.seeds(), l.cfg.Hosts.Ranked(pollTask, 1, now)...)
+	for _, h := range peers {
+		if l.startupQueries.Add(1) > maxStartupQueries {
+			l.startupQueries.Add(-1)
+			return
+		}
+		go func() {
+			defer l.startupQueries.Add(-1)
+			if l.canServe(ctx, h) {
+				l.fetchFirst(ctx, h)
+			}
+		}()
+	}
+}
+
+// canServe reports whether a host answers and has a listing.
+func (l *Lists) canServe(ctx context.Context, h vetchtrail.Host) bool {
+	ctx, cancel := context.WithTimeout(ctx, startupQueryTimeout)
+	defer cancel()
+	reply, err := l.probe(ctx, h)
+	if err != nil {
+		l.cfg.Log.Debug("startup query failed", "peer", h.Name, "error", err)
+		return false
+	}
+	return reply.GetSeen() > 0
+}
+
+// fetchFirst fetches this host's first listing and configuration from a host, unless it is
+// already fetching them from another. If each of a dozen startup queries fetched a listing of
+// thousands of endpoints, the links would be full when all hosts start at once.
+func (l *Lists) fetchFirst(ctx context.Context, h vetchtrail.Host) {
+	if l.current.Load() != nil || !l.startupFetching.CompareAndSwap(false, true) {
+		return
+	}
+	defer l.startupFetching.Store(false)
+	ctx, cancel := context.WithTimeout(ctx, longQueryTimeout)
+	defer cancel()
+	pulled := make(chan struct{})
+	go func() {
+		defer close(pulled)
+		if l.cfg.Configuration.Revision() > 0 {
+			return
+		}
+		if err := l.pullConfiguration(ctx, h); err != nil {
+			l.cfg.Log.Info("configuration not pulled", "peer", h.Name, "error", err)
+		}
+	}()
+	reply, err := l.query(ctx, h.Peers, 0)
+	<-pulled
+	if err == nil && reply.GetSeen() > 0 && l.current.Load() == nil {
+		err = l.applyReply(ctx, reply, h, nil)
+	}
+	if err != nil {
+		l.cfg.Log.Info("lists not borrowed", "peer", h.Name, "error", err)
+	}
+	l.cfg.Taken()
+}
