--- /dev/null
+++ b/process/membership/capacity.go
@@ -0,0 +1,84 @@
+package membership
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"vetchtrail"
+	"vetchtrail/schema"
+)
+
+// minDrawn is the least number of hosts that a caller is given, if there are as many:
+// some may be lost before it asks again.
+const minDrawn = 4
+
+// Named returns hosts for a caller to use. It draws them among those of Serving, each
+// with a probability of its capacity over the greatest one, and at least minDrawn.
+// Hosts of the same capacity are all returned.
+//
+// Callers pick at random among the hosts that they are given. Where a few
+// hosts of a data centre have links many times as wide as the others', giving out all
+// hosts alike would send long prompts through narrow links. It would also split what is
+// known of the endpoints' loads over more hosts.
+func (m *Membership) Named(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
+	serving := m.Serving(region, dataCentre, homes, now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return drawHosts(serving, m.rng.Float64)
+}
+
+// drawHosts draws hosts by their capacities. random returns numbers from 0 to 1.
+func drawHosts(hosts []vetchtrail.Host, random func() float64) []vetchtrail.Host {
+	greatest := 1.0
+	for _, h := range hosts {
+		greatest = max(greatest, capacityOf(h))
+	}
+	type draw struct {
+		host   vetchtrail.Host
+		excess float64 // random number less the host's probability; drawn if it is 0 or less
+	}
+	all := make([]draw, 0, len(hosts))
+	for _, h := range hosts {
+		all = append(all, draw{h, random() - capacityOf(h)/greatest})
+	}
+	slices.SortStableFunc(all, func(a, b draw) int { return cmp.Compare(a.excess, b.excess) })
+	var out []vetchtrail.Host
+	for _, d := range all {
+		if d.excess <= 0 || len(out) < minDrawn {
+			out = append(out, d.host)
+		}
+	}
+	return out
+}
+
+// capacityOf returns a host's capacity, 1 if the host reported none: such hosts weigh
+// the same.
+func capacityOf(h vetchtrail.Host) float64 { return float64(max(1, h.Capacity)) }
+
+// drawMember returns one of the member entries, each with a probability of its capacity
+// over that of all. random is a number from 0 to 1.
+func drawMember(entries []*schema.Member, random float64) *schema.Member {
+	sum := 0.0
+	for _, entry := range entries {
+		sum += float64(max(1, entry.GetCapacity()))
+	}
+	remaining := random * sum
+	for _, entry := range entries {
+		if remaining -= float64(max(1, entry.GetCapacity())); remaining < 0 {
+			return entry
+		}
+	}
+	return entries[len(entries)-1]
+}
+
+// rankKey returns the number that hosts are sorted by for a task, the least first. It is
+// the time until a host's first event, if events of each host come at random with the
+// rate of its capacity. So a host goes first for a share of the tasks that equals its
+// share of the capacity: weighted rendezvous hashing (Schindelhauer and Schomaker 2005).
+// Tasks that many hosts send queries to are then seldom behind a narrow link.
+func rankKey(task string, h *vetchtrail.Host) float64 {
+	u := (float64(hashPair(task, h.Name)>>11) + 0.5) / (1 << 53)
+	return -math.Log(u) / capacityOf(*h)
+}
--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -15,96 +15,98 @@
 // SwapDigests swaps digests with other data centres until ctx ends.
 func (m *Membership) SwapDigests(ctx context.Context, p Peers) {
 	for {
-		m.SwapOnce(ctx, p)
+		m.swapOnce(ctx, p)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(m.swapPause(time.Now())):
+		case <-time.After(m.swapDelay(time.Now())):
 		}
 	}
 }
 
-// swapPause is short while this host is young and a data centre is to be found, or
-// the platform's lists are still to come.
-func (m *Membership) swapPause(now time.Time) time.Duration {
+// swapDelay returns the time until the next swaps. It is discoveryInterval while the
+// host has recently started and either has no listing yet or lacks the digest of a
+// data centre on it.
+func (m *Membership) swapDelay(now time.Time) time.Duration {
 	m.mu.Lock()
-	awaited := m.cfg.WholeRegion && !m.lists
-	young := now.Sub(m.born) < findFor
+	listingAwaited := m.cfg.WholeRegion && !m.haveListing
+	recentlyStarted := now.Sub(m.startedAt) < discoveryTime
 	m.mu.Unlock()
-	if young && (awaited || len(m.unknownCentres()) > 0) {
-		return findTick
+	if recentlyStarted && (listingAwaited || len(m.unknownDataCentres()) > 0) {
+		return discoveryInterval
 	}
 	return SwapTick
 }
 
-// findTick is the pause between swaps while a data centre that the platform lists is
-// not known: some round trips between regions. What may only run there is refused
-// meanwhile.
-const findTick = 250 * time.Millisecond
+// discoveryInterval is the pause between swaps while a data centre on the platform's
+// listing is not known: some round trips between regions. Requests that may run only
+// in that data centre are refused until it is known.
+const discoveryInterval = 250 * time.Millisecond
 
-// findFor is for how long after its start a host looks for data centres so often:
-// those that it has not found then are gone or cut off.
-const findFor = 10 * time.Second
+// discoveryTime is how long after its start a host swaps every discoveryInterval. Data
+// centres that it has not found by then are gone or cut off.
+const discoveryTime = 10 * time.Second
 
-// unknownCentres returns a listed host of each other data centre that this host has
-// no digest of, or one of the time before its hosts held a configuration and lists,
-// by data centre.
-func (m *Membership) unknownCentres() map[string]netip.AddrPort {
+// unknownDataCentres returns the address of one listed host, at random, for each
+// other data centre without a digest, by data centre. A digest without services does
+// not count: its hosts had no configuration and listing yet.
+func (m *Membership) unknownDataCentres() map[string]netip.AddrPort {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[string]netip.AddrPort{}
 	found := map[string]int{}
-	for _, h := range m.listed {
+	for _, h := range m.listedHosts {
 		d, known := m.remotes[h.DataCentre]
 		if (known && len(d.digest.GetServices()) > 0) || h.DataCentre == m.self.DataCentre || !h.Peers.IsValid() {
 			continue
 		}
 		found[h.DataCentre]++
-		if m.rnd.IntN(found[h.DataCentre]) == 0 { // each with the same chance
+		if m.rng.IntN(found[h.DataCentre]) == 0 { // each host is picked with the same probability
 			out[h.DataCentre] = h.Peers
 		}
 	}
 	return out
 }
 
-// SwapOnce swaps digests with a host of each data centre that is this host's
-// duty, and with a seed of those not known yet.
-func (m *Membership) SwapOnce(ctx context.Context, p Peers) {
+// swapOnce swaps digests once with each host of swapTargets. It does not wait for
+// the replies.
+func (m *Membership) swapOnce(ctx context.Context, p Peers) {
 	now := time.Now()
 	targets := m.swapTargets(now)
 	if len(targets) == 0 {
-		return // the digest sums up all endpoints, and few hosts have the duty
+		return // making the digest goes through all endpoints, and most hosts have no targets
 	}
-	own := m.ownDigest(now)
+	local := m.localDigest(now)
 	for _, t := range targets {
 		go func() {
-			if err := m.swapWith(ctx, p, t, own); err != nil {
-				m.cfg.Log.Debug("digest not swapped", "peer", t.addr, "error", err)
+			if err := m.swapWith(ctx, p, t, local); err != nil {
+				m.cfg.Log.Debug("digests not swapped", "peer", t.addr, "error", err)
 			}
 		}()
 	}
 }
 
-// swapWith swaps with one host, again with our members if it lacks them.
-func (m *Membership) swapWith(ctx context.Context, p Peers, t target, own *schema.Digest) error {
+// swapWith swaps digests with one host: first without this data centre's members,
+// then with them if the other host requests them.
+func (m *Membership) swapWith(ctx context.Context, p Peers, t swapTarget, local *schema.Digest) error {
 	sent := time.Now()
 	out := &schema.Digests{
-		From: m.cfg.Self.Name, Digest: withoutMembers(own), HaveMembers: m.membersHash(t.dataCentre),
-		Leaves: m.leavesWithin(m.regionOf(t.dataCentre), sent),
+		From: m.cfg.Self.Name, Digest: withoutMembers(local), HaveMembers: m.heldMembersHash(t.dataCentre),
+		Leaves: m.leavingForRegion(m.regionOf(t.dataCentre), sent),
 	}
 	reply, err := p.Swap(ctx, t.addr, out)
 	if err != nil {
 		return err
 	}
-	m.swapped(reply, sent, time.Now())
+	m.mergeSwapReply(reply, sent, time.Now())
 	if reply.GetWantMembers() {
-		out.Digest = own
+		out.Digest = local
 		_, err = p.Swap(ctx, t.addr, out)
 	}
 	return err
 }
 
-// regionOf is a data centre's region as its digest tells; empty: not known.
+// regionOf returns a data centre's region, as its digest says; empty if there is none.
 func (m *Membership) regionOf(dataCentre string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,24 +116,28 @@
 	return ""
 }
 
-// leavesWithin are the endpoints that leave of which a data centre of a region is told: of those that this
-// host learned of in the last swaps. Other regions call none of them.
-func (m *Membership) leavesWithin(region string, now time.Time) []*schema.EndpointLeaves {
+// leavingForRegion returns the leaving endpoints to send to a data centre of a region:
+// those that this host learned of in the last leavingRelayTime. Only hosts of the same
+// region call these endpoints, so other regions are sent none.
+func (m *Membership) leavingForRegion(region string, now time.Time) []*schema.EndpointLeaves {
 	if region != m.cfg.Self.Region || !m.cfg.WholeRegion {
 		return nil
 	}
-	return m.leavesAfter(now.Add(-leavesFresh), now)
+	return m.leavingSince(now.Add(-leavingRelayTime), now)
 }
 
-func (m *Membership) membersHash(dataCentre string) uint32 {
+// heldMembersHash returns the hash of the members that this host holds of a data
+// centre, 0 if it does not know the data centre.
+func (m *Membership) heldMembersHash(dataCentre string) uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if d, ok := m.remotes[dataCentre]; ok {
-		return hashOf(d.digest.GetMembers())
+		return hashMembers(d.digest.GetMembers())
 	}
 	return 0
 }
 
+// withoutMembers returns a digest with the hash of its members in place of them.
 func withoutMembers(d *schema.Digest) *schema.Digest {
 	return &schema.Digest{
 		DataCentre: d.GetDataCentre(), Region: d.GetRegion(), Sequence: d.GetSequence(), Revision: d.GetRevision(),
@@ -140,55 +146,59 @@
 	}
 }
 
-// target is a host to swap digests with.
-type target struct {
-	dataCentre string // empty: a seed, not known yet
+// swapTarget is a host to swap digests with.
+type swapTarget struct {
+	dataCentre string // empty if it is not known: a seed or a listed host
 	addr       netip.AddrPort
 }
 
-func (m *Membership) swapTargets(now time.Time) []target {
+// swapTargets picks the hosts to swap digests with: one of each data centre that this
+// host is assigned to swap with, one of each unknown data centre on the listing, and one
+// unknown seed if no listed data centre is unknown.
+func (m *Membership) swapTargets(now time.Time) []swapTarget {
 	m.mu.Lock()
-	hosts := make(map[string]int, len(m.remotes)) // on whom the duty falls, by data centre
+	hosts := make(map[string]int, len(m.remotes)) // number of hosts assigned, by data centre
 	for name, d := range m.remotes {
 		hosts[name] = 1
-		if now.Sub(d.at) > standby {
+		if now.Sub(d.digestTime) > standbyAfter {
 			hosts[name] = 2
 		}
 	}
 	m.mu.Unlock()
-	var out []target
+	var out []swapTarget
 	for name, n := range hosts {
 		if m.OnDuty("digest "+name, n, now) {
-			out = append(out, m.anyOf(name)...)
+			out = append(out, m.randomHostOf(name)...)
 		}
 	}
-	centres := m.unknownCentres()
-	for _, addr := range centres {
-		out = append(out, target{addr: addr})
+	unknown := m.unknownDataCentres()
+	for _, addr := range unknown {
+		out = append(out, swapTarget{addr: addr})
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if seeds := m.unknownSeeds(); len(seeds) > 0 && len(centres) == 0 {
-		out = append(out, target{addr: seeds[m.rnd.IntN(len(seeds))]})
+	if seeds := m.unknownSeeds(); len(seeds) > 0 && len(unknown) == 0 {
+		out = append(out, swapTarget{addr: seeds[m.rng.IntN(len(seeds))]})
 	}
 	return out
 }
 
-// anyOf returns one host of a data centre.
-func (m *Membership) anyOf(dataCentre string) []target {
+// randomHostOf returns one host of a data centre at random, or none if its members
+// are not held.
+func (m *Membership) randomHostOf(dataCentre string) []swapTarget {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lines := m.remotes[dataCentre].digest.GetMembers()
-	if len(lines) == 0 {
+	entries := m.remotes[dataCentre].digest.GetMembers()
+	if len(entries) == 0 {
 		return nil
 	}
-	h := hostOf(lines[m.rnd.IntN(len(lines))])
-	return []target{{dataCentre, h.Peers}}
+	h := hostFromEntry(entries[m.rng.IntN(len(entries))])
+	return []swapTarget{{dataCentre, h.Peers}}
 }
 
-// ownDigest is what this data centre tells the others.
-func (m *Membership) ownDigest(now time.Time) *schema.Digest {
-	revision := m.cfg.Revision() // before what it brought about
+// localDigest makes the digest of this data centre, with its members.
+func (m *Membership) localDigest(now time.Time) *schema.Digest {
+	revision := m.cfg.Revision() // read before the summaries, which then include its effects
 	sums := m.cfg.Load.Summaries(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -204,9 +214,9 @@
 		if h.Revision > d.Newest || d.NewestHost == "" {
 			d.Newest, d.NewestHost = h.Revision, h.Name
 		}
-		d.Members = append(d.Members, lineOf(h, 0))
+		d.Members = append(d.Members, fullEntry(h, 0))
 	}
-	d.MembersHash = hashOf(d.GetMembers())
+	d.MembersHash = hashMembers(d.GetMembers())
 	for _, s := range sums {
 		d.Services = append(d.Services, &schema.ServiceDigest{
 			Service: s.Service, Free: uint32(s.Free), Slots: uint32(s.Slots), WaitMillis: millis(s.Wait),
@@ -216,37 +226,40 @@
 	return d
 }
 
-// Swapped takes the digest of a host elsewhere and returns ours.
+// Swapped handles the digest that a host of another data centre sent, and returns
+// this data centre's: without members if the sender holds them.
 func (m *Membership) Swapped(in *schema.Digests) *schema.Digests {
 	now := time.Now()
-	own := m.ownDigest(now)
-	if in.GetHaveMembers() == own.GetMembersHash() {
-		own = withoutMembers(own)
+	local := m.localDigest(now)
+	if in.GetHaveMembers() == local.GetMembersHash() {
+		local = withoutMembers(local)
 	}
-	m.learnLeaves(in.GetFrom(), in.GetLeaves())
-	leaves := m.leavesWithin(in.GetDigest().GetRegion(), now)
+	m.learnLeaving(in.GetFrom(), in.GetLeaves())
+	leaves := m.leavingForRegion(in.GetDigest().GetRegion(), now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	known := m.introduce(in)
-	whole := m.mergeDigest(in.GetDigest(), now, now)
-	return &schema.Digests{From: m.cfg.Self.Name, Digest: own, WantMembers: !whole, Introduced: known, Leaves: leaves}
+	introduced := m.introductionsFor(in) // before the digest and its members replace those held
+	complete := m.mergeDigest(in.GetDigest(), now, now)
+	return &schema.Digests{From: m.cfg.Self.Name, Digest: local, WantMembers: !complete, Introduced: introduced, Leaves: leaves}
 }
 
-// swapped takes the answer to a swap that was sent at a moment.
-func (m *Membership) swapped(in *schema.Digests, sent, now time.Time) {
-	m.learnLeaves(in.GetFrom(), in.GetLeaves())
+// mergeSwapReply takes the reply to a swap. Half the time since it was sent is the
+// delay to the data centre.
+func (m *Membership) mergeSwapReply(in *schema.Digests, sent, now time.Time) {
+	m.learnLeaving(in.GetFrom(), in.GetLeaves())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mergeDigest(in.GetDigest(), now, now)
-	m.meet(in.GetIntroduced())
+	m.noteIntroduced(in.GetIntroduced())
 	if r, ok := m.remotes[in.GetDigest().GetDataCentre()]; ok {
 		r.delay = now.Sub(sent) / 2
 	}
 }
 
-// mergeDigest takes a digest if it is newer. It returns false if the digest
-// came without its members and they are not held. The caller holds the lock.
-func (m *Membership) mergeDigest(d *schema.Digest, at, now time.Time) bool {
+// mergeDigest takes a digest that was made at digestTime, if it is newer than the one
+// held. It returns false if the digest came without its members and they are not
+// held. The caller holds the lock.
+func (m *Membership) mergeDigest(d *schema.Digest, digestTime, now time.Time) bool {
 	name := d.GetDataCentre()
 	if name == m.self.DataCentre || name == "" {
 		return true
@@ -254,51 +267,53 @@
 	r, ok := m.remotes[name]
 	switch {
 	case !ok:
-		r = &remote{own: map[string]int{}, warmth: 1, delay: defaultDelay}
+		r = &remote{inFlight: map[string]int{}, warmUpShare: 1, delay: defaultDelay}
 		m.remotes[name] = r
-	case !at.After(r.at):
+	case !digestTime.After(r.digestTime):
 		return r.fillMembers(d, now)
-	case now.Sub(r.at) > reachableFor:
-		r.warmth = coldRegion // it was cut off or down: its caches are cold
+	case now.Sub(r.digestTime) > reachableFor:
+		r.warmUpShare = warmUpStart // it was cut off or down, and its caches are cold
 	}
 	if len(d.GetMembers()) == 0 && ok {
-		d.Members = r.digest.GetMembers() // those told before
+		d.Members = r.digest.GetMembers() // of the digest before: most have the same
 	}
-	r.digest, r.at, r.passed = d, at, 0
-	r.setWhole(hashOf(d.GetMembers()) == d.GetMembersHash(), now)
-	return r.whole
+	r.digest, r.digestTime, r.relayCount = d, digestTime, 0
+	r.setComplete(hashMembers(d.GetMembers()) == d.GetMembersHash(), now)
+	return r.complete
 }
 
-// fillMembers takes the members of an older digest if they are those that the held
-// one came without. It returns false if they are still missing.
+// fillMembers takes the members of a digest that is not newer, if they are those that
+// the held digest came without. It returns false if they are still missing.
 func (r *remote) fillMembers(d *schema.Digest, now time.Time) bool {
 	held := r.digest
-	if hashOf(held.GetMembers()) != held.GetMembersHash() && d.GetMembersHash() == held.GetMembersHash() && len(d.GetMembers()) > 0 {
+	if hashMembers(held.GetMembers()) != held.GetMembersHash() && d.GetMembersHash() == held.GetMembersHash() && len(d.GetMembers()) > 0 {
 		held.Members = d.GetMembers()
 	}
-	r.setWhole(hashOf(held.GetMembers()) == held.GetMembersHash(), now)
-	return r.whole
+	r.setComplete(hashMembers(held.GetMembers()) == held.GetMembersHash(), now)
+	return r.complete
 }
 
-// setWhole notes whether the members of the newest digest are held.
-func (r *remote) setWhole(whole bool, now time.Time) {
-	if r.whole && !whole || r.since.IsZero() {
-		r.since = now
+// setComplete records whether the held members are those of the newest digest.
+func (r *remote) setComplete(complete bool, now time.Time) {
+	if r.complete && !complete || r.incompleteSince.IsZero() {
+		r.incompleteSince = now
 	}
-	r.whole = whole
+	r.complete = complete
 }
 
-// defaultDelay is taken for a link over which nothing was answered yet.
+// defaultDelay is assumed to a data centre until one of its hosts replied to a swap
+// of this host.
 const defaultDelay = 30 * time.Millisecond
 
-// hashOf is a hash of what seldom changes of members.
-func hashOf(lines []*schema.Member) uint32 {
+// hashMembers hashes the fields of member entries that seldom change: name,
+// incarnation and state.
+func hashMembers(entries []*schema.Member) uint32 {
 	var h xxhash.Digest
 	h.Reset()
-	for _, l := range lines {
-		_, _ = h.WriteString(l.GetName())
-		_, _ = h.WriteString(strconv.FormatUint(l.GetIncarnation(), 16))
-		_, _ = h.WriteString(strconv.FormatUint(uint64(l.GetState()), 16))
+	for _, entry := range entries {
+		_, _ = h.WriteString(entry.GetName())
+		_, _ = h.WriteString(strconv.FormatUint(entry.GetIncarnation(), 16))
+		_, _ = h.WriteString(strconv.FormatUint(uint64(entry.GetState()), 16))
 	}
 	return uint32(h.Sum64())
 }
--- /dev/null
+++ b/process/membership/heartbeat.go
@@ -0,0 +1,402 @@
+package membership
+
+import (
+	"context"
+	"math"
+	"net/netip"
+	"slices"
+	"strconv"
+	"time"
+
+	"vetchtrail"
+	"vetchtrail/process/load"
+	"vetchtrail/schema"
+)
+
+// Peers calls other hosts at their peer addresses.
+type Peers interface {
+	// Exchange sends a heartbeat and returns the other host's.
+	Exchange(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error)
+	// Swap sends a digest and returns that of the other host's data centre.
+	Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error)
+}
+
+// Beat sends heartbeats now and at each Tick until ctx ends.
+func (m *Membership) Beat(ctx context.Context, p Peers) {
+	t := time.NewTicker(Tick)
+	defer t.Stop()
+	for {
+		m.sendHeartbeats(ctx, p)
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.C:
+		}
+	}
+}
+
+// sendHeartbeats exchanges heartbeats with some hosts of this data centre, and
+// with one that is dead or not known yet. It does not wait for the replies.
+func (m *Membership) sendHeartbeats(ctx context.Context, p Peers) {
+	for _, addr := range m.heartbeatTargets(time.Now()) {
+		h := m.heartbeatTo(addr, time.Now())
+		go func() {
+			reply, err := p.Exchange(ctx, addr, h)
+			if err != nil {
+				m.cfg.Log.Debug("heartbeat not exchanged", "peer", addr, "error", err)
+				m.sendInFull(addr)
+				return
+			}
+			m.merge(reply, time.Now())
+		}()
+	}
+}
+
+// sendInFull makes the next heartbeat to the host at addr a full one.
+func (m *Membership) sendInFull(addr netip.AddrPort) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, b := range m.members {
+		if b.Peers == addr {
+			b.resetSent()
+		}
+	}
+}
+
+// heartbeatTargets picks the hosts to send heartbeats to: live members at random,
+// and one address out of the dead members, the unknown seeds and the introduced
+// hosts. It counts this host's heartbeat and forgets members that were silent for
+// forgetAfter.
+func (m *Membership) heartbeatTargets(now time.Time) []netip.AddrPort {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.counter++
+	var probes []netip.AddrPort
+	var live []*member
+	for name, b := range m.members {
+		switch {
+		case now.Sub(b.Heard) > forgetAfter:
+			delete(m.members, name)
+			delete(m.namesByShortID, b.shortID)
+		case b.state(now) == vetchtrail.HostDead:
+			probes = append(probes, b.Peers)
+		default:
+			live = append(live, b)
+		}
+	}
+	out := m.drawGossipPeers(live)
+	probes = append(probes, m.unknownSeeds()...)
+	probes = append(probes, m.pendingIntroduced()...)
+	if len(probes) > 0 {
+		out = append(out, probes[m.rng.IntN(len(probes))])
+	}
+	return out
+}
+
+// unknownSeeds returns the seeds at whose addresses no host is known. The caller
+// holds the lock.
+func (m *Membership) unknownSeeds() []netip.AddrPort {
+	unknown := make(map[netip.AddrPort]bool, len(m.seeds))
+	for _, s := range m.seeds {
+		unknown[s] = true
+	}
+	delete(unknown, m.self.Peers)
+	for _, b := range m.members {
+		delete(unknown, b.Peers)
+	}
+	for _, d := range m.remotes {
+		hosts := d.allHosts()
+		for i := range hosts {
+			delete(unknown, hosts[i].Peers)
+		}
+	}
+	return slices.DeleteFunc(slices.Clone(m.seeds), func(s netip.AddrPort) bool { return !unknown[s] })
+}
+
+// heartbeatTo makes the heartbeat that starts an exchange with the host at an
+// address.
+func (m *Membership) heartbeatTo(to netip.AddrPort, now time.Time) *schema.Heartbeat {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+
+	for _, b := range m.members {
+		if b.Peers == to {
+			h := m.newHeartbeat(b, now)
+			// Only here: the reply to this heartbeat brings the members. Requested
+			// in a reply, they would come only with the next exchange.
+			h.Lacks = m.membersToRequest(now)
+			return h
+		}
+	}
+	return m.newHeartbeat(nil, now)
+}
+
+// newHeartbeat makes a heartbeat. A member gets only what it was not sent before;
+// a host that is not known here (nil) gets the members, all in full. The caller
+// holds the lock.
+func (m *Membership) newHeartbeat(to *member, now time.Time) *schema.Heartbeat {
+	h := &schema.Heartbeat{From: m.self.Name, DataCentre: m.self.DataCentre}
+	if to != nil {
+		to.sentState.startMessage()
+	}
+	self := m.selfNow()
+	h.Members = make([]*schema.Member, 0, 1+len(m.members))
+	h.Members = append(h.Members, entryFor(to, &self, m.selfShortID(), m.counter))
+	for _, b := range m.members {
+		if b == to || b.state(now) == vetchtrail.HostDead {
+			continue
+		}
+		h.Members = append(h.Members, entryFor(to, &b.Host, b.shortID, b.counter))
+	}
+	if to == nil {
+		return h
+	}
+	h.WantFull, to.wantFull = to.wantFull, false
+	h.Loads = m.loadsFor(&to.sentState, now)
+	h.Rates = m.rateLimitsFor(to, now)
+	h.Leaves = m.leavingFor(&to.sentState, now)
+	h.Digests = m.relaysFor(to, now)
+	return h
+}
+
+// entryFor returns a host's entry for a member: a short one, which names the host
+// by its short ID, if the member was sent the full one before.
+func entryFor(to *member, h *vetchtrail.Host, shortID uint32, counter uint64) *schema.Member {
+	if to == nil {
+		return fullEntry(*h, counter)
+	}
+	if to.sentState.shortIDs[shortID] {
+		return &schema.Member{Short: shortID, Counter: counter, State: uint32(h.State), Revision: h.Revision}
+	}
+	to.sentState.shortIDs[shortID] = true
+	return fullEntry(*h, counter)
+}
+
+// fullEntry returns a host's entry with all that is reported of it.
+func fullEntry(h vetchtrail.Host, counter uint64) *schema.Member {
+	return &schema.Member{
+		Name: h.Name, Incarnation: h.Incarnation, Counter: counter, State: uint32(h.State),
+		Revision: h.Revision, Callers: h.Callers.String(), Peers: h.Peers.String(), Capacity: h.Capacity,
+	}
+}
+
+// shortIDOf returns the short ID of a host: a hash of its name and incarnation
+// that stands for both in short entries. A collision within a data centre is
+// unlikely, and what it mixes up is put right by the next full heartbeat.
+func shortIDOf(name string, incarnation uint64) uint32 {
+	return uint32(hashPair(name, strconv.FormatUint(incarnation, 16)))
+}
+
+// maxRelayedReportAge is the age up to which load reports are sent where hosts call
+// the endpoints of their whole region. Streams run for some seconds and queues
+// change sooner, so that an older report is out of date.
+const maxRelayedReportAge = 2 * time.Second
+
+// loadsFor returns the load reports that this host took since its last heartbeat to
+// another host.
+//
+// Where hosts are assigned to poll the endpoints, it sends only the reports that it
+// fetched itself, and those of leaving endpoints. Where reports come with responses
+// alone (WholeRegion), it also relays those of other hosts: one of a hundred hosts
+// in a region gets a response from an endpoint only once in ten seconds, and would
+// decide by old reports.
+//
+// What was sent is recorded as one number for each host. Recorded by endpoint, it
+// would grow as hosts times endpoints.
+func (m *Membership) loadsFor(to *sentState, now time.Time) []*schema.Load {
+	var after time.Time
+	if m.cfg.WholeRegion {
+		after = now.Add(-maxRelayedReportAge)
+	}
+	var reports []load.Heard
+	reports, to.loadsUpTo = m.cfg.Load.HeardAfter(to.loadsUpTo, after)
+	var out []*schema.Load
+	for _, r := range reports {
+		if !m.cfg.WholeRegion && !r.Fetched && !r.Report.Leaving {
+			continue
+		}
+		out = append(out, &schema.Load{
+			Endpoint: r.Short, Running: uint32(r.Report.Running), Queued: uint32(r.Report.Queued),
+			AgeMillis: millis(now.Sub(r.Report.At)), Leaving: r.Report.Leaving, UpMillis: uptimeMillis(r, now),
+		})
+	}
+	return out
+}
+
+// uptimeMillis returns how long an endpoint's process has run, or 0 to leave it
+// out. It is sent only for endpoints that once announced that they leave or pause,
+// as a restart ends the announcement. For all endpoints it would cost more bytes
+// than the loads.
+func uptimeMillis(r load.Heard, now time.Time) uint32 {
+	if !r.Said || r.Report.Started.IsZero() {
+		return 0
+	}
+	return uint32(min(max(1, now.Sub(r.Report.Started).Milliseconds()), math.MaxUint32))
+}
+
+// rateLimitsFor returns the rate limits of endpoints that a host was not sent yet: new,
+// changed and lifted ones. A host that sends such an endpoint no requests for a while
+// then knows the limit before its next one.
+func (m *Membership) rateLimitsFor(to *member, now time.Time) []*schema.EndpointRate {
+	var out []*schema.EndpointRate
+	for _, l := range m.cfg.Load.Limits() {
+		sent, known := to.sentState.rateLimits[l.Endpoint]
+		same := sent.Limit.Named == l.Limit.Named && sent.Limit.Rate == l.Limit.Rate && sent.Born.Equal(l.Born)
+		if (known && same) || (!known && !l.Limit.Named) {
+			continue
+		}
+		to.sentState.rateLimits[l.Endpoint] = l
+		out = append(out, schema.FromRateLimit(l.Endpoint, l.Born, l.Limit, now))
+	}
+	return out
+}
+
+// leavingRelayTime is how long a host relays that an endpoint is leaving, from when
+// it learned so. A host takes part in about four exchanges each Tick, so that each
+// of a hundred hosts has it by then from several others. A full heartbeat has all
+// leaving endpoints.
+const leavingRelayTime = 3 * time.Second
+
+// leavingFor returns the endpoints that announced that they are leaving and that a
+// host was not sent yet.
+func (m *Membership) leavingFor(to *sentState, now time.Time) []*schema.EndpointLeaves {
+	after := to.leavingUpTo
+	if !after.IsZero() {
+		after = vetchtrail.Later(after, now.Add(-leavingRelayTime))
+	}
+	to.leavingUpTo = now
+	return m.leavingSince(after, now)
+}
+
+// leavingSince returns the endpoints that this host learned to be leaving after a time.
+func (m *Membership) leavingSince(after, now time.Time) []*schema.EndpointLeaves {
+	var out []*schema.EndpointLeaves
+	for _, l := range m.cfg.Load.Leavers(after, now) {
+		out = append(out, schema.FromLeaves(l.Short, l.Born, l.Said, now))
+	}
+	return out
+}
+
+// learnLeaving takes the leaving endpoints that the host named from sent.
+func (m *Membership) learnLeaving(from string, leaves []*schema.EndpointLeaves) {
+	if m.cfg.Notices == nil {
+		return
+	}
+	for _, l := range leaves {
+		m.cfg.Notices.Learn(from, l)
+	}
+}
+
+// millis returns a duration in whole milliseconds for a message, 0 for a negative one.
+func millis(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
+
+// Exchanged handles another host's heartbeat and returns this host's.
+func (m *Membership) Exchanged(h *schema.Heartbeat) *schema.Heartbeat {
+	now := time.Now()
+	if h.GetDataCentre() != m.cfg.Self.DataCentre {
+		// The sender has this host as a seed. Hosts of different data centres
+		// learn of each other by digests.
+		return &schema.Heartbeat{From: m.cfg.Self.Name, DataCentre: m.cfg.Self.DataCentre}
+	}
+	m.merge(h, now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.newHeartbeat(m.members[h.GetFrom()], now)
+}
+
+// merge takes what is newer in a received heartbeat.
+func (m *Membership) merge(h *schema.Heartbeat, now time.Time) {
+	if h.GetDataCentre() != m.cfg.Self.DataCentre {
+		return
+	}
+	m.mu.Lock()
+	resolved := true
+	for _, entry := range h.GetMembers() {
+		resolved = m.mergeEntry(entry, now) && resolved
+	}
+	for _, d := range h.GetDigests() {
+		m.mergeDigest(d, now.Add(-time.Duration(d.GetAgeMillis())*time.Millisecond), now)
+	}
+	if from, ok := m.members[h.GetFrom()]; ok {
+		from.lacksMembersOf = h.GetLacks()
+		from.wantFull = from.wantFull || !resolved
+		if h.GetWantFull() {
+			from.resetSent()
+		}
+	}
+	m.mu.Unlock()
+	for _, l := range h.GetLoads() {
+		m.cfg.Load.ReportShort(l.GetEndpoint(), loadReportOf(l, now), now.Add(leavingReportTTL))
+	}
+	for _, r := range h.GetRates() {
+		if m.cfg.Rates != nil {
+			m.cfg.Rates.Learn(r)
+		}
+	}
+	m.learnLeaving(h.GetFrom(), h.GetLeaves())
+}
+
+// loadReportOf reads a load report that was received at the time now.
+func loadReportOf(l *schema.Load, now time.Time) vetchtrail.LoadReport {
+	r := vetchtrail.LoadReport{
+		At:      now.Add(-time.Duration(l.GetAgeMillis()) * time.Millisecond),
+		Running: int(l.GetRunning()), Queued: int(l.GetQueued()), Leaving: l.GetLeaving(),
+	}
+	if up := l.GetUpMillis(); up > 0 {
+		r.Started = now.Add(-time.Duration(up) * time.Millisecond)
+	}
+	return r
+}
+
+// mergeEntry takes a host's entry if its incarnation or counter is newer. It returns
+// false if the entry is short and its host is not known. The caller holds the lock.
+func (m *Membership) mergeEntry(entry *schema.Member, now time.Time) bool {
+	if entry.GetShort() != 0 {
+		return m.mergeShortEntry(entry, now)
+	}
+	if entry.GetName() == m.self.Name {
+		if entry.GetIncarnation() > m.self.Incarnation {
+			m.cfg.Log.Error("another process has this host's name", "host", m.self.Name)
+		}
+		return true
+	}
+	b, ok := m.members[entry.GetName()]
+	switch {
+	case !ok || entry.GetIncarnation() > b.Incarnation:
+		b = &member{relayed: map[string]relayState{}}
+		m.members[entry.GetName()] = b
+	case entry.GetIncarnation() < b.Incarnation || entry.GetCounter() <= b.counter:
+		return true
+	}
+	b.Host = hostFromEntry(entry)
+	b.Region, b.DataCentre = m.self.Region, m.self.DataCentre
+	b.shortID = shortIDOf(b.Name, b.Incarnation)
+	m.namesByShortID[b.shortID] = b.Name
+	b.update(entry, now)
+	return true
+}
+
+// mergeShortEntry takes a short entry if its counter is newer. It returns false if
+// its host is not known. The caller holds the lock.
+func (m *Membership) mergeShortEntry(entry *schema.Member, now time.Time) bool {
+	if entry.GetShort() == m.selfShortID() {
+		return true
+	}
+	b, ok := m.members[m.namesByShortID[entry.GetShort()]]
+	if !ok || b.shortID != entry.GetShort() {
+		return false
+	}
+	if entry.GetCounter() > b.counter {
+		b.update(entry, now)
+	}
+	return true
+}
+
+// update takes what both short and full entries hold. The entry is newer than the
+// one before.
+func (b *member) update(entry *schema.Member, now time.Time) {
+	b.Heard = now
+	b.Revision = entry.GetRevision()
+	b.counter = entry.GetCounter()
+	b.reported = vetchtrail.HostState(entry.GetState())
+}
--- /dev/null
+++ b/process/membership/hosts.go
@@ -0,0 +1,164 @@
+package membership
+
+import (
+	"math"
+	"slices"
+	"strings"
+	"time"
+
+	"vetchtrail"
+	"vetchtrail/schema"
+)
+
+// Serving returns the ready hosts nearest to a caller: those of its data centre, or
+// else of its region, or else of the home regions. Without home regions it falls back
+// to all ready hosts that can be reached.
+func (m *Membership) Serving(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
+	var all []vetchtrail.Host
+	for _, h := range append(m.Hosts(now), m.Elsewhere(now)...) {
+		if h.State == vetchtrail.HostReady {
+			all = append(all, h)
+		}
+	}
+	for _, near := range []func(vetchtrail.Host) bool{
+		func(h vetchtrail.Host) bool { return h.DataCentre == dataCentre },
+		func(h vetchtrail.Host) bool { return h.Region == region },
+		func(h vetchtrail.Host) bool { return slices.Contains(homes, h.Region) },
+	} {
+		if found := filter(all, near); len(found) > 0 {
+			return found
+		}
+	}
+	if len(homes) > 0 {
+		return nil // a recently started host knows few hosts: another one answers the caller better
+	}
+	return all
+}
+
+// filter returns the hosts for which keep is true.
+func filter(hosts []vetchtrail.Host, keep func(vetchtrail.Host) bool) []vetchtrail.Host {
+	var out []vetchtrail.Host
+	for _, h := range hosts {
+		if keep(h) {
+			out = append(out, h)
+		}
+	}
+	return out
+}
+
+// Elsewhere returns the ready hosts of other data centres that can be reached, sorted
+// by name.
+func (m *Membership) Elsewhere(now time.Time) []vetchtrail.Host {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var out []vetchtrail.Host
+	for _, d := range m.remotes {
+		if now.Sub(d.digestTime) >= reachableFor {
+			continue
+		}
+		for _, entry := range readyEntries(d.digest.GetMembers()) {
+			out = append(out, d.hostOf(entry))
+		}
+	}
+	slices.SortFunc(out, func(a, b vetchtrail.Host) int { return strings.Compare(a.Name, b.Name) })
+	return out
+}
+
+// SetListed replaces the hosts that the platform lists. Their peer addresses become
+// seeds, beside those of the settings.
+func (m *Membership) SetListed(hosts []vetchtrail.Host) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.listedHosts, m.haveListing = hosts, true
+	m.seeds = slices.Clone(m.cfg.Seeds)
+	for _, h := range hosts {
+		m.seeds = append(m.seeds, h.Peers)
+	}
+}
+
+// Before returns this host's rank for a task, by rendezvous hashing: the number of
+// hosts of its region that go before it. It is for tasks that at most n hosts may do
+// at any moment, those with a rank below n.
+//
+// For that it ranks the hosts that the platform lists, though some of them may be
+// dead: all hosts hold the same listing, while each knows other hosts by heartbeats
+// and digests. A host that is not listed ranks behind all. Only while no other host
+// of the region is listed, the known ones are ranked.
+func (m *Membership) Before(task string, now time.Time) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	names, self := m.othersListedInRegion()
+	if len(names) == 0 {
+		names, self = m.othersKnownInRegion(now), true
+	}
+	if !self {
+		return math.MaxInt
+	}
+	own, before := hashPair(task, m.self.Name), 0
+	for name := range names {
+		if hashPair(task, name) > own {
+			before++
+		}
+	}
+	return before
+}
+
+// othersListedInRegion returns the names of the region's other hosts on the platform's
+// listing, and whether this host is on it. The caller holds the lock.
+func (m *Membership) othersListedInRegion() (names map[string]bool, self bool) {
+	names = map[string]bool{}
+	for _, h := range m.listedHosts {
+		switch {
+		case h.Name == m.self.Name:
+			self = true
+		case h.Region == m.self.Region:
+			names[h.Name] = true
+		}
+	}
+	return names, self
+}
+
+// othersKnownInRegion returns the names of the region's other hosts that are known by
+// heartbeats or digests, but for dead ones of this data centre. The caller holds the
+// lock.
+func (m *Membership) othersKnownInRegion(now time.Time) map[string]bool {
+	names := map[string]bool{}
+	for _, b := range m.members {
+		if b.state(now) != vetchtrail.HostDead {
+			names[b.Name] = true
+		}
+	}
+	for _, d := range m.remotes {
+		if d.digest.GetRegion() != m.self.Region {
+			continue
+		}
+		for _, entry := range d.digest.GetMembers() {
+			names[entry.GetName()] = true
+		}
+	}
+	return names
+}
+
+// Count returns the number of hosts that are known or listed, whichever is more. This
+// host and dead ones that are not forgotten yet count too. Limits for all hosts
+// together are divided by it.
+func (m *Membership) Count() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	n := 1 + len(m.members)
+	for _, d := range m.remotes {
+		n += len(d.digest.GetMembers())
+	}
+	return max(n, len(m.listedHosts))
+}
+
+// readyEntries returns the entries of hosts that are ready.
+func readyEntries(entries []*schema.Member) []*schema.Member {
+	var ready []*schema.Member
+	for _, entry := range entries {
+		if entry.GetState() == uint32(vetchtrail.HostReady) {
+			ready = append(ready, entry)
+		}
+	}
+	return ready
+}
--- /dev/null
+++ b/process/membership/hosts_test.go
@@ -0,0 +1,132 @@
+package membership
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"pgregory.net/rapid"
+
+	"vetchtrail"
+	"vetchtrail/process/load"
+	"vetchtrail/schema"
+	_ "vetchtrail/standin/seeded"
+)
+
+// TestUnknownDataCentres guards against a recently started host that refuses requests
+// because it does not know the data centre they must run in. It must swap often with a
+// listed host of each data centre that it has no digest of, or only one without services.
+func TestUnknownDataCentres(t *testing.T) {
+	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
+	a.startedAt = now
+	assert.Equal(t, a.swapDelay(now), SwapTick, "no platform that lists hosts")
+	a.cfg.WholeRegion = true
+	assert.Equal(t, a.swapDelay(now), discoveryInterval, "no listing yet")
+	host := func(name, dataCentre string, last byte) vetchtrail.Host {
+		return vetchtrail.Host{Name: name, DataCentre: dataCentre, Peers: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, last}), 1)}
+	}
+	a.SetListed([]vetchtrail.Host{host("a", "dc", 1), host("b", "dc", 2), host("x", "other", 9), host("y", "other", 10), host("z", "third", 11)})
+	targets := func() map[string]bool {
+		out := map[string]bool{}
+		for _, g := range a.swapTargets(now) {
+			out[g.addr.String()] = true
+		}
+		return out
+	}
+	got := targets()
+	assert.Assert(t, got["10.0.0.11:1"] && (got["10.0.0.9:1"] || got["10.0.0.10:1"]) && len(got) == 2, "%v", got)
+	assert.Equal(t, a.swapDelay(now), discoveryInterval)
+	assert.Equal(t, a.swapDelay(now.Add(discoveryTime)), SwapTick, "discovery ends")
+	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
+	assert.DeepEqual(t, slices.Sorted(maps.Keys(a.unknownDataCentres())), []string{"other", "third"}) // the digest has no services
+	x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
+	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(time.Second), now.Add(time.Second))
+	assert.DeepEqual(t, slices.Sorted(maps.Keys(a.unknownDataCentres())), []string{"third"})
+}
+
+// TestNearestReadyHosts guards against callers that are sent to a host outside the
+// regions where their requests may run, or to none where a nearer host can take them.
+// The only ready host is in data centre a of region ra.
+func TestNearestReadyHosts(t *testing.T) {
+	ready := []string{"a1"}
+	cases := map[string]struct {
+		region, dataCentre string // of the caller
+		homes              []string
+		want               []string
+	}{
+		"host in the caller's data centre":            {"ra", "a", nil, ready},
+		"host in the caller's region":                 {"ra", "a2", nil, ready},
+		"host in another region":                      {"rb", "b", nil, ready},
+		"host in the caller's region, but not a home": {"ra", "a", []string{"rb"}, ready},
+		"host in a home region":                       {"rb", "b", []string{"ra"}, ready},
+		"host neither near nor in a home region":      {"rb", "b", []string{"rc"}, nil},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			m := New(Config{
+				Self: vetchtrail.Host{Name: "a1", Region: "ra", DataCentre: "a", State: vetchtrail.HostReady}, Load: load.New(),
+				Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			})
+			var got []string
+			for _, h := range m.Serving(c.region, c.dataCentre, c.homes, time.Now()) {
+				got = append(got, h.Name)
+			}
+			assert.DeepEqual(t, got, c.want)
+		})
+	}
+}
+
+// TestListedHostsHaveDistinctRanks guards against recently started hosts that all rank
+// first, as none knows another yet: the rank must count the hosts on the listing.
+func TestListedHostsHaveDistinctRanks(t *testing.T) {
+	var listed []vetchtrail.Host
+	for i := range 9 {
+		listed = append(listed, vetchtrail.Host{Name: fmt.Sprintf("h%d", i), Region: "r"})
+	}
+	listed = append(listed, vetchtrail.Host{Name: "far", Region: "other"})
+	seen := map[int]bool{}
+	for _, self := range listed[:9] {
+		m := New(Config{Self: self, Load: load.New(), Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		m.SetListed(listed)
+		seen[m.Before("task", time.Now())] = true
+	}
+	assert.Equal(t, len(seen), 9, "two hosts have the same rank: %v", seen)
+}
+
+// TestAtMostNHostsRankBelowN guards against a task that is done by too many hosts at once,
+// as hosts with different views rank themselves differently. At most n hosts may have a
+// rank below n, whichever hosts know each other and however few of them are listed.
+func TestAtMostNHostsRankBelowN(t *testing.T) {
+	const n = 4
+	rapid.Check(t, func(t *rapid.T) {
+		var hosts, listed []vetchtrail.Host
+		for i := range rapid.IntRange(1, 30).Draw(t, "hosts") {
+			hosts = append(hosts, vetchtrail.Host{Name: fmt.Sprintf("h%d", i), Region: "r", DataCentre: fmt.Sprintf("d%d", i%3)})
+		}
+		listed = hosts[:rapid.IntRange(1, len(hosts)).Draw(t, "listed")]
+		below := 0
+		for _, self := range hosts {
+			m := New(Config{Self: self, Load: load.New(), Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+			m.SetListed(listed)
+			for _, other := range hosts {
+				if other.DataCentre == self.DataCentre && rapid.Bool().Draw(t, "known") {
+					m.Exchanged(&schema.Heartbeat{From: other.Name, DataCentre: self.DataCentre, Members: []*schema.Member{
+						{Name: other.Name, Incarnation: 1, Counter: 1, State: uint32(vetchtrail.HostReady), Peers: "10.0.0.1:1", Callers: "10.0.0.1:2"},
+					}})
+				}
+			}
+			if m.Before("cold e", time.Now()) < n {
+				below++
+			}
+		}
+		if below > n {
+			t.Fatalf("%d hosts have a rank below n", below)
+		}
+	})
+}
--- /dev/null
+++ b/process/membership/introductions.go
@@ -0,0 +1,65 @@
+package membership
+
+import (
+	"net/netip"
+
+	"vetchtrail/schema"
+)
+
+const (
+	// maxIntroductions is the number of hosts of its own data centre that a host is
+	// introduced to in one swap. Each of them knows others.
+	maxIntroductions = 3
+	// maxPendingIntroduced bounds the introduced addresses at which no host is known yet.
+	maxPendingIntroduced = 16
+)
+
+// introductionsFor returns peer addresses of the sender's own data centre, if the
+// sender knows other members of it than this host does.
+//
+// Hosts of one data centre may have no other way to find each other: the platform
+// lists only some hosts, and the seeds in the settings are in a few data centres. The
+// caller holds the lock.
+func (m *Membership) introductionsFor(in *schema.Digests) []string {
+	held, ok := m.remotes[in.GetDigest().GetDataCentre()]
+	if !ok || in.GetDigest().GetMembersHash() == held.digest.GetMembersHash() {
+		return nil
+	}
+	entries := held.digest.GetMembers()
+	var out []string
+	for _, i := range m.rng.Perm(len(entries)) {
+		if entries[i].GetName() != in.GetFrom() && len(out) < maxIntroductions {
+			out = append(out, entries[i].GetPeers())
+		}
+	}
+	return out
+}
+
+// noteIntroduced records the peer addresses that a reply to a swap introduces. They are
+// sent heartbeats until their hosts are known. The caller holds the lock.
+func (m *Membership) noteIntroduced(addresses []string) {
+	for _, text := range addresses {
+		addr, err := netip.ParseAddrPort(text)
+		if err != nil {
+			m.cfg.Log.Error("address of an introduced host cannot be parsed", "address", text, "error", err)
+			continue
+		}
+		if len(m.introduced) < maxPendingIntroduced {
+			m.introduced[addr] = true
+		}
+	}
+}
+
+// pendingIntroduced returns the introduced addresses at which no host is known yet, and
+// forgets the others. The caller holds the lock.
+func (m *Membership) pendingIntroduced() []netip.AddrPort {
+	for _, b := range m.members {
+		delete(m.introduced, b.Peers)
+	}
+	delete(m.introduced, m.self.Peers)
+	out := make([]netip.AddrPort, 0, len(m.introduced))
+	for addr := range m.introduced {
+		out = append(out, addr)
+	}
+	return out
+}
--- /dev/null
+++ b/process/membership/leaving_test.go
@@ -0,0 +1,115 @@
+package membership
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"vetchtrail"
+	"vetchtrail/process/load"
+	"vetchtrail/schema"
+)
+
+// leavingRecorder writes the leaving endpoints that other hosts report to a host's load
+// table, and counts them.
+type leavingRecorder struct {
+	table    *load.Table
+	at       time.Time // when the reports are received
+	received int
+}
+
+// Learn implements Notices.
+func (l *leavingRecorder) Learn(_ string, m *schema.EndpointLeaves) {
+	l.received++
+	notice, startedAt := schema.ToLeaves(m, l.at)
+	l.table.HearNoticeShort(m.GetEndpoint(), startedAt, notice, l.at)
+}
+
+// TestLeavingEndpointSentOnce guards against a host that is sent a leaving endpoint with
+// each heartbeat, or never: a heartbeat with it may be lost, or the host may come to be
+// known only later. A host must also learn it of an endpoint that its own listing does not
+// hold yet.
+func TestLeavingEndpointSentOnce(t *testing.T) {
+	startedAt := now.Add(-time.Hour)
+	listed := []load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: startedAt}}}
+	second := func(n int) time.Time { return now.Add(time.Duration(n) * time.Second) }
+	a, b, c := newMembership("a", "dc", 1), newMembership("b", "dc", 2), newMembership("c", "dc", 3)
+	recorders := map[*Membership]*leavingRecorder{}
+	for _, m := range []*Membership{a, b, c} {
+		recorders[m] = &leavingRecorder{table: m.cfg.Load, at: now}
+		m.cfg.Notices = recorders[m]
+	}
+	a.cfg.Load.Configure(listed)
+	b.cfg.Load.Configure(listed)
+	exchangeAt := func(x, y *Membership, n int) {
+		recorders[x].at, recorders[y].at = second(n), second(n)
+		exchange(x, y, second(n))
+	}
+	usable := func(m *Membership, n int) bool { why, _ := m.cfg.Load.Bars("e", second(n)); return why == "" }
+	exchangeAt(a, b, 0)
+	exchangeAt(a, b, 1)
+	assert.Equal(t, recorders[b].received, 0)
+	a.cfg.Load.HearNotice("e", startedAt, vetchtrail.Notice{Leaving: true, Asked: second(1), Heard: second(2)})
+	assert.Assert(t, usable(b, 2))
+	a.heartbeatTo(b.self.Peers, second(3)) // not delivered
+	a.sendInFull(b.self.Peers)
+	exchangeAt(a, b, 4)
+	assert.Assert(t, !usable(b, 4), "not sent again after a lost heartbeat")
+	exchangeAt(a, b, 5)
+	assert.Equal(t, recorders[b].received, 1, "sent twice")
+
+	exchangeAt(b, c, 60)
+	exchangeAt(b, c, 61)
+	assert.Equal(t, recorders[c].received, 1, "sent to a host that became known later")
+	c.cfg.Load.Configure(listed)
+	assert.Assert(t, !usable(c, 62), "received before the endpoint was listed")
+}
+
+// TestLeavingEndpointStaysInRegion guards against swaps that send leaving endpoints to other
+// regions, whose hosts never call them, or that do not send them to other data centres of
+// the same region, whose hosts do.
+func TestLeavingEndpointStaysInRegion(t *testing.T) {
+	a := newMembership("a", "dc", 1)
+	a.cfg.WholeRegion = true
+	a.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
+	at := time.Now()
+	a.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: at, Heard: at})
+	cases := map[string]struct {
+		region   string
+		received int
+	}{"same region": {a.self.Region, 1}, "another region": {"elsewhere", 0}, "unknown region": {"", 0}}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			reply := a.Swapped(&schema.Digests{From: "b", Digest: &schema.Digest{DataCentre: "dc-2", Region: c.region}})
+			assert.Equal(t, len(reply.GetLeaves()), c.received)
+			b := newMembership("b", "dc-2", 2)
+			l := &leavingRecorder{table: b.cfg.Load, at: at}
+			b.cfg.Notices = l
+			b.mergeSwapReply(reply, at, at)
+			assert.Equal(t, l.received, c.received)
+		})
+	}
+	assert.Equal(t, len(a.leavingForRegion(a.self.Region, at.Add(2*leavingRelayTime))), 0, "still sent")
+}
+
+// TestRestartReported guards against hosts that no longer use an endpoint because it
+// announced that it is leaving, although it has restarted since. The host that fetched the
+// endpoint's load report must pass on its start time.
+func TestRestartReported(t *testing.T) {
+	listed := []load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}}
+	second := func(n int) time.Time { return now.Add(time.Duration(n) * time.Second) }
+	a, b := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
+	for _, m := range []*Membership{a, b} {
+		m.cfg.Load.Configure(listed)
+		m.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+	}
+	exchange(a, b, second(1))
+	exchange(a, b, second(2))
+	a.cfg.Load.Report("e", vetchtrail.LoadReport{At: second(3), Started: second(3)}, time.Time{})
+	why, _ := b.cfg.Load.Bars("e", second(3))
+	assert.Equal(t, why, vetchtrail.ReasonDraining)
+	exchange(a, b, second(4))
+	why, _ = b.cfg.Load.Bars("e", second(4))
+	assert.Equal(t, why, vetchtrail.Reason(""))
+}
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -1,6 +1,18 @@
-// Package membership knows the hosts: those of this data centre by gossiped
-// heartbeat counters, those of the others by digests. It lives for the
-// process.
+// Package membership tracks the hosts of the system and what they report to
+// each other.
+//
+// Hosts of one data centre exchange heartbeats by gossip. A host whose
+// heartbeat counter stops growing is suspected, then taken for dead. Hosts of
+// different data centres swap digests: one call in which each side sends the
+// members of its data centre and the free capacity of its services. Digests
+// are then relayed within the data centre on the heartbeats. Heartbeats also
+// carry load reports, rate limits and leaving endpoints of the data centre, and
+// swaps within a region carry leaving endpoints.
+//
+// From this view the package assigns tasks to hosts by rendezvous hashing, and
+// picks hosts for callers and for forwards. It neither decides where a request
+// runs nor stores anything: the view starts empty with each process. There is
+// no consensus, so two hosts may hold different views for a while.
 package membership
 
 import (
@@ -19,139 +31,145 @@
 	"vetchtrail/schema"
 )
 
-// Intervals and numbers that the traffic between hosts follows from.
+// Intervals, ages and sizes that set the traffic between hosts.
 const (
 	Tick         = 500 * time.Millisecond // between heartbeats
-	Fanout       = 2                      // hosts asked at a tick
-	suspectAfter = 2 * time.Second
-	deadAfter    = 4 * time.Second
-	forgetAfter  = time.Minute
-	SwapTick     = time.Second // between digests to another data centre
-	// RelayEvery is how often a host of this data centre is handed on a digest of
-	// another that tells of nothing urgent.
-	RelayEvery = 2 * time.Second
-	// standby is the age of a digest at which the second host for its data centre
-	// swaps for it: the first may be slow or cut off from it.
-	standby       = 5 * SwapTick / 2
-	reachableFor  = 3 * time.Second
-	leavingFor    = 10 * time.Minute
-	unreachedTime = 2 * time.Second // for which a host is passed nothing after a forward to it was lost
+	Fanout       = 2                      // gossip peers that a host sends heartbeats to at each Tick
+	suspectAfter = 2 * time.Second        // without a newer heartbeat
+	deadAfter    = 4 * time.Second        // without a newer heartbeat
+	forgetAfter  = time.Minute            // without a newer heartbeat
+	SwapTick     = time.Second            // between digest swaps with another data centre
+	// RelayInterval is the least time between two relays of one data centre's
+	// digest to the same host, unless the digest reports a newer configuration.
+	RelayInterval = 2 * time.Second
+	// standbyAfter is the age of a data centre's digest from which a second host
+	// swaps with that data centre too: the first may be slow or cut off from it.
+	standbyAfter     = 5 * SwapTick / 2
+	reachableFor     = 3 * time.Second  // age of its digest from which a data centre counts as unreachable
+	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after a host sent a load report that says so
+	avoidTime        = 2 * time.Second  // without forwards to a host after one to it was lost
 )
 
 // Config is what a Membership needs.
 type Config struct {
 	Self  vetchtrail.Host
-	Seeds []netip.AddrPort // peers of any data centre
-	Load  *load.Table
-	// Rates takes what other hosts know of the rates that endpoints name; nil: nobody does.
+	Seeds []netip.AddrPort // peer addresses of hosts in any data centre, contacted until they are known
+	Load  *load.Table      // where received load reports go, and those to send come from
+	// Rates receives the rate limits of endpoints that other hosts report; nil ignores them.
 	Rates Rates
-	// Notices takes what other hosts know of endpoints that leave; nil: nobody does.
+	// Notices receives the leaving endpoints that other hosts report; nil ignores them.
 	Notices  Notices
-	Revision func() uint64
+	Revision func() uint64 // newest configuration that this host holds
 	Log      *slog.Logger
 	Seed     uint64 // of the random choice of peers
-	// WholeRegion says that hosts call the endpoints of their whole region, so that
-	// nothing is passed on within it.
+	// WholeRegion says that hosts call the endpoints of their whole region
+	// directly, so that no request is forwarded within the region.
 	WholeRegion bool
 }
 
-// Rates takes what another host knows of an endpoint's rate.
+// Rates receives the rate limit of an endpoint as another host knows it.
 type Rates interface {
 	Learn(m *schema.EndpointRate)
 }
 
-// Notices takes what another host knows of an endpoint that leaves.
+// Notices receives a leaving endpoint that the host named from reports.
 type Notices interface {
 	Learn(from string, m *schema.EndpointLeaves)
 }
 
-// Membership is a host's view of the others.
+// Membership is one host's view of the other hosts. It is safe for concurrent
+// use; mu guards all fields but cfg.
 type Membership struct {
 	cfg Config
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	self    vetchtrail.Host
-	short   uint32 // form of this host's incarnation
-	shortAt uint64 // the incarnation that it is of
-	born    time.Time
-	counter uint64
-	members map[string]*member
-	shorts  map[uint32]string // names by their short forms
-	remotes map[string]*remote
-	seeds   []netip.AddrPort
-	listed  []vetchtrail.Host       // by the platform
-	lists   bool                    // the platform's lists were told at all
-	met     map[netip.AddrPort]bool // hosts of this data centre that others told of, not known yet
-	avoid   map[string]time.Time    // until when a host of another data centre is passed nothing, by name
+	mu                 sync.Mutex
+	rng                *rand.Rand
+	self               vetchtrail.Host
+	shortID            uint32 // cached short ID of this host
+	shortIDIncarnation uint64 // incarnation that shortID was computed for
+	startedAt          time.Time
+	counter            uint64             // of this host's heartbeats
+	members            map[string]*member // other hosts of this data centre, by name
+	namesByShortID     map[uint32]string
+	remotes            map[string]*remote // other data centres, by name
+	seeds              []netip.AddrPort   // those of the settings and of the listed hosts
+	listedHosts        []vetchtrail.Host  // on the platform's listing
+	haveListing        bool               // whether a listing was set, even an empty one
+	// introduced holds peer addresses in this data centre that another host
+	// sent and whose hosts are not known yet.
+	introduced map[netip.AddrPort]bool
+	avoidUntil map[string]time.Time // when forwards to a remote host resume, by its name
 }
 
-// member is a host of this data centre.
+// member is another host of this data centre.
 type member struct {
 	vetchtrail.Host
-	counter uint64
-	short   uint32               // form of its incarnation
-	said    vetchtrail.HostState // by the host itself
-	digests map[string]relayed   // newest digest sent to it, by data centre
-	told    told
-	missing bool     // it told less of something than we hold
-	lacks   []string // data centres whose members it said to lack
+	counter        uint64                // of its newest heartbeat
+	shortID        uint32                // see shortIDOf
+	reported       vetchtrail.HostState  // by the host itself
+	relayed        map[string]relayState // what was last relayed to it, by data centre
+	sentState      sentState
+	wantFull       bool     // whether to ask it for a full heartbeat: it sent a short ID that is not known here
+	lacksMembersOf []string // data centres whose members it requested in its last heartbeat
 }
 
-// told is what another host was told in full, so that it is told less again.
-// It is told in full again when it asks, when a message failed, and now and then.
-type told struct {
-	hosts    map[uint32]bool            // by the short forms of their incarnations
-	loads    uint64                     // how many reports this host had taken
-	rates    map[string]load.NamedLimit // that endpoints named
-	leaves   time.Time                  // until when what this host had learned of endpoints that leave
-	messages int
+// sentState records what another host was already sent, so that the next
+// heartbeat can leave it out. It starts anew when the other host asks for a full
+// heartbeat, when a heartbeat to it failed, and every fullEvery heartbeats.
+type sentState struct {
+	shortIDs    map[uint32]bool            // hosts whose full entry it has
+	loadsUpTo   uint64                     // number of load reports that this host had taken at the last heartbeat
+	rateLimits  map[string]load.NamedLimit // by endpoint
+	leavingUpTo time.Time                  // of the last heartbeat, which had the endpoints that were known to be leaving
+	messages    int                        // heartbeats sent since the last reset
 }
 
-// fullEvery is after how many messages all is told in full again.
+// fullEvery is the number of heartbeats after which one is sent in full again.
 const fullEvery = 32
 
-// next counts a message and forgets now and then.
-func (t *told) next() {
+// startMessage counts a heartbeat. It clears the state if this one is to be full.
+func (t *sentState) startMessage() {
 	if t.messages%fullEvery == 0 {
-		*t = told{hosts: map[uint32]bool{}, rates: map[string]load.NamedLimit{}, messages: t.messages}
+		*t = sentState{shortIDs: map[uint32]bool{}, rateLimits: map[string]load.NamedLimit{}, messages: t.messages}
 	}
 	t.messages++
 }
 
-// forget makes the next message a full one.
-func (t *told) forget() { t.messages = 0 }
+// reset makes the next heartbeat a full one.
+func (t *sentState) reset() { t.messages = 0 }
 
-// forgetTold makes the next message to a host a full one, with other data centres' members.
-func (b *member) forgetTold() {
-	b.told.forget()
-	clear(b.digests)
+// resetSent makes the next heartbeat to a host a full one. It also forgets which
+// digests were relayed to the host, so that they may be relayed again.
+func (b *member) resetSent() {
+	b.sentState.reset()
+	clear(b.relayed)
 }
 
-// New returns a membership that knows this host only.
+// New returns a membership that knows only this host.
 func New(c Config) *Membership {
 	m := &Membership{
-		cfg:     c,
-		rnd:     rand.New(rand.NewPCG(c.Seed, c.Seed>>1)),
-		self:    c.Self,
-		born:    time.Now(),
-		members: map[string]*member{},
-		shorts:  map[uint32]string{},
-		remotes: map[string]*remote{},
-		avoid:   map[string]time.Time{},
-		met:     map[netip.AddrPort]bool{},
-		seeds:   c.Seeds,
+		cfg:            c,
+		rng:            rand.New(rand.NewPCG(c.Seed, c.Seed>>1)),
+		self:           c.Self,
+		startedAt:      time.Now(),
+		members:        map[string]*member{},
+		namesByShortID: map[uint32]string{},
+		remotes:        map[string]*remote{},
+		avoidUntil:     map[string]time.Time{},
+		introduced:     map[netip.AddrPort]bool{},
+		seeds:          c.Seeds,
 	}
 	return m
 }
 
-// Self returns this host as it tells others.
+// Self returns this host as it reports itself to others.
 func (m *Membership) Self() vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selfNow()
 }
 
+// selfNow returns this host with its present revision. The caller holds the lock.
 func (m *Membership) selfNow() vetchtrail.Host {
 	h := m.self
 	h.Revision = m.cfg.Revision()
@@ -159,15 +177,16 @@
 	return h
 }
 
-// selfShort is the short form of this host's incarnation. The caller holds the lock.
-func (m *Membership) selfShort() uint32 {
-	if m.shortAt != m.self.Incarnation {
-		m.short, m.shortAt = shortOf(m.self.Name, m.self.Incarnation), m.self.Incarnation
+// selfShortID returns the short ID of this host. The caller holds the lock.
+func (m *Membership) selfShortID() uint32 {
+	if m.shortIDIncarnation != m.self.Incarnation {
+		m.shortID, m.shortIDIncarnation = shortIDOf(m.self.Name, m.self.Incarnation), m.self.Incarnation
 	}
-	return m.short
+	return m.shortID
 }
 
-// SetState sets what this host says of itself.
+// SetState sets the state that this host reports, and counts a heartbeat so that
+// other hosts take it as newer.
 func (m *Membership) SetState(s vetchtrail.HostState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,14 +194,15 @@
 	m.counter++
 }
 
-// Hosts returns the hosts of this data centre, this one first, the others by
-// name; those long dead are forgotten.
+// Hosts returns the hosts of this data centre: this one first, then the others
+// by name. Dead hosts are among them until they are forgotten.
 func (m *Membership) Hosts(now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hosts(now)
 }
 
+// hosts is Hosts for a caller that holds the lock.
 func (m *Membership) hosts(now time.Time) []vetchtrail.Host {
 	out := []vetchtrail.Host{m.selfNow()}
 	for _, b := range m.members {
@@ -194,7 +214,8 @@
 	return out
 }
 
-// state is what a member said, unless its heartbeats stopped.
+// state is the state that a member reported, or suspect or dead if its
+// heartbeats stopped.
 func (b *member) state(now time.Time) vetchtrail.HostState {
 	switch silent := now.Sub(b.Heard); {
 	case silent > deadAfter:
@@ -202,10 +223,11 @@
 	case silent > suspectAfter:
 		return vetchtrail.HostSuspect
 	}
-	return b.said
+	return b.reported
 }
 
-// Find returns a host of any data centre by its name.
+// Find returns a host of any data centre by its name. The state and the time of
+// a remote host are those of its data centre's newest digest.
 func (m *Membership) Find(name string, now time.Time) (vetchtrail.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -218,62 +240,70 @@
 		return h, true
 	}
 	for _, d := range m.remotes {
-		for _, line := range d.digest.GetMembers() {
-			if line.GetName() == name {
-				return d.host(line), true
+		for _, entry := range d.digest.GetMembers() {
+			if entry.GetName() == name {
+				return d.hostOf(entry), true
 			}
 		}
 	}
 	return vetchtrail.Host{}, false
 }
 
-func (d *remote) host(line *schema.Member) vetchtrail.Host {
-	h := hostOf(line)
-	h.Region, h.DataCentre, h.Heard = d.digest.GetRegion(), d.digest.GetDataCentre(), d.at
+// hostOf returns the host that an entry of the data centre's digest describes.
+func (d *remote) hostOf(entry *schema.Member) vetchtrail.Host {
+	h := hostFromEntry(entry)
+	h.Region, h.DataCentre, h.Heard = d.digest.GetRegion(), d.digest.GetDataCentre(), d.digestTime
 	return h
 }
 
-func hostOf(line *schema.Member) vetchtrail.Host {
-	callers, _ := netip.ParseAddrPort(line.GetCallers())
-	peers, _ := netip.ParseAddrPort(line.GetPeers())
+// hostFromEntry reads a full entry. The entry does not say the host's region
+// and data centre.
+func hostFromEntry(entry *schema.Member) vetchtrail.Host {
+	callers, _ := netip.ParseAddrPort(entry.GetCallers())
+	peers, _ := netip.ParseAddrPort(entry.GetPeers())
 	return vetchtrail.Host{
-		Name: line.GetName(), Callers: callers, Peers: peers, Incarnation: line.GetIncarnation(),
-		Revision: line.GetRevision(), State: vetchtrail.HostState(line.GetState()), Capacity: line.GetCapacity(),
+		Name: entry.GetName(), Callers: callers, Peers: peers, Incarnation: entry.GetIncarnation(),
+		Revision: entry.GetRevision(), State: vetchtrail.HostState(entry.GetState()), Capacity: entry.GetCapacity(),
 	}
 }
 
-// OnDuty says whether this host is among the first n of its data centre's live
-// hosts for a duty, by rendezvous hashing. Hosts with different views may
-// both think so for a while: a duty must bear being done twice.
-func (m *Membership) OnDuty(duty string, n int, now time.Time) bool {
+// OnDuty reports whether this host is among the first n live hosts of its data
+// centre for a task, by rendezvous hashing. Hosts with different views may both
+// be for a while, so a task must tolerate being done twice.
+func (m *Membership) OnDuty(task string, n int, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mine := weigh(duty, m.self.Name)
+	own := hashPair(task, m.self.Name)
 	before := 0
 	for _, b := range m.members {
-		if b.works(now) && weigh(duty, b.Name) > mine {
+		if b.takesTasks(now) && hashPair(task, b.Name) > own {
 			before++
 		}
 	}
 	return before < n
 }
 
-// works says whether a member does duties.
-func (b *member) works(now time.Time) bool {
+// takesTasks reports whether tasks may be assigned to a member.
+func (b *member) takesTasks(now time.Time) bool {
 	s := b.state(now)
 	return s == vetchtrail.HostReady || s == vetchtrail.HostStarting
 }
 
-func weigh(duty, host string) uint64 {
+// hashPair hashes two texts, with a zero byte between them. For a task and a
+// host's name it is the host's weight in rendezvous hashing: all hosts must
+// compute the same.
+func hashPair(first, second string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(duty)
+	_, _ = d.WriteString(first)
 	_, _ = d.WriteString("\x00")
-	_, _ = d.WriteString(host)
+	_, _ = d.WriteString(second)
 	return d.Sum64()
 }
 
-// Ahead returns a host that said to hold a newer revision than ours.
+// Ahead returns the host that reported the newest revision, if that is newer
+// than this host's. Dead and suspect hosts are left out, and those of data
+// centres that are out of reach.
 func (m *Membership) Ahead(now time.Time) (vetchtrail.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -284,9 +314,9 @@
 		}
 	}
 	for _, d := range m.remotes {
-		for _, line := range d.digest.GetMembers() {
-			if d.digest.GetNewest() > best.Revision && line.GetName() == d.digest.GetNewestHost() && now.Sub(d.at) < reachableFor {
-				best = d.host(line)
+		for _, entry := range d.digest.GetMembers() {
+			if d.digest.GetNewest() > best.Revision && entry.GetName() == d.digest.GetNewestHost() && now.Sub(d.digestTime) < reachableFor {
+				best = d.hostOf(entry)
 				best.Revision = d.digest.GetNewest()
 			}
 		}
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -18,9 +18,11 @@
 	"vetchtrail/schema"
 )
 
+// now is the time at which tests with virtual time start.
 var now = time.Unix(1_800_000_000, 0)
 
-func newMember(name, dataCentre string, last byte) *Membership {
+// newMembership returns a ready host whose addresses end with last.
+func newMembership(name, dataCentre string, last byte) *Membership {
 	addr := func(port uint16) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, last}), port)
 	}
@@ -33,12 +35,13 @@
 	})
 }
 
-// swap is one exchange of heartbeats.
-func swap(a, b *Membership, at time.Time) {
-	b.merge(a.heartbeat(b.self.Peers, at), at)
-	a.merge(b.heartbeat(a.self.Peers, at), at)
+// exchange has each of two hosts send the other a heartbeat.
+func exchange(a, b *Membership, at time.Time) {
+	b.merge(a.heartbeatTo(b.self.Peers, at), at)
+	a.merge(b.heartbeatTo(a.self.Peers, at), at)
 }
 
+// stateOfC returns the state of host c as another host sees it, dead if it is not known.
 func stateOfC(m *Membership, at time.Time) vetchtrail.HostState {
 	h, ok := m.Find("c", at)
 	if !ok {
@@ -47,71 +50,76 @@
 	return h.State
 }
 
-// TestStates: a host that goes silent is suspected, then given up; hearing of
-// it through another keeps it; its next incarnation replaces it.
-func TestStates(t *testing.T) {
-	a, b, c := newMember("a", "dc", 1), newMember("b", "dc", 2), newMember("c", "dc", 3)
-	swap(a, b, now)
-	swap(b, c, now)
-	swap(a, b, now)
-	assert.Equal(t, stateOfC(a, now), vetchtrail.HostReady, "heard of through b")
+// TestHostStates guards against a host that is taken for dead while it still runs, or for
+// alive after it stopped. A host without newer heartbeats must become suspect, then dead.
+// Its heartbeats also count when they come through another host. An older heartbeat must
+// change nothing, and a new incarnation must replace the old one.
+func TestHostStates(t *testing.T) {
+	a, b, c := newMembership("a", "dc", 1), newMembership("b", "dc", 2), newMembership("c", "dc", 3)
+	exchange(a, b, now)
+	exchange(b, c, now)
+	exchange(a, b, now)
+	assert.Equal(t, stateOfC(a, now), vetchtrail.HostReady, "known through b")
 	assert.Equal(t, stateOfC(a, now.Add(suspectAfter+1)), vetchtrail.HostSuspect)
-	// c can't reach a, but b can, and its counter grows.
+	// c reaches only b, and its counter grows.
 	c.counter++
-	swap(b, c, now.Add(time.Second))
-	swap(a, b, now.Add(time.Second))
+	exchange(b, c, now.Add(time.Second))
+	exchange(a, b, now.Add(time.Second))
 	assert.Equal(t, stateOfC(a, now.Add(suspectAfter+1)), vetchtrail.HostReady)
 	assert.Equal(t, stateOfC(a, now.Add(time.Second+deadAfter+1)), vetchtrail.HostDead)
-	// An old word can't bring it back, a new incarnation can.
+	// An old heartbeat does not bring it back, a new incarnation does.
 	later := now.Add(time.Minute / 2)
-	b.merge(a.heartbeat(b.self.Peers, later), later)
+	b.merge(a.heartbeatTo(b.self.Peers, later), later)
 	assert.Equal(t, stateOfC(a, later), vetchtrail.HostDead)
-	c2 := newMember("c", "dc", 3)
+	c2 := newMembership("c", "dc", 3)
 	c2.self.Incarnation = 101
 	c2.SetState(vetchtrail.HostLeaving)
-	swap(a, c2, later)
+	exchange(a, c2, later)
 	assert.Equal(t, stateOfC(a, later), vetchtrail.HostLeaving)
-	swap(a, c, later)
+	exchange(a, c, later)
 	h, _ := a.Find("c", later)
 	assert.Equal(t, h.Incarnation, uint64(101), "a delayed heartbeat of the old process")
 }
 
-// TestDuties: each duty has as many hosts as asked while all see each other,
-// and passes on when its host is gone.
-func TestDuties(t *testing.T) {
+// TestTaskAssignment guards against tasks that no host does, or more hosts than intended.
+// While all hosts know each other, exactly n must be assigned to each task, and Ranked must
+// name one of them. A host that no longer sees the others must take all tasks.
+func TestTaskAssignment(t *testing.T) {
 	var all []*Membership
 	for i := range 5 {
-		all = append(all, newMember(fmt.Sprint("h", i), "dc", byte(i+1)))
+		all = append(all, newMembership(fmt.Sprint("h", i), "dc", byte(i+1)))
 	}
 	for _, a := range all {
 		for _, b := range all {
 			if a != b {
-				swap(a, b, now)
+				exchange(a, b, now)
 			}
 		}
 	}
-	for d := range 40 {
-		duty := fmt.Sprint("duty ", d)
-		on := map[string]bool{}
+	for n := range 40 {
+		task := fmt.Sprint("task ", n)
+		assigned := map[string]bool{}
 		for _, m := range all {
-			if m.OnDuty(duty, 2, now) {
-				on[m.self.Name] = true
+			if m.OnDuty(task, 2, now) {
+				assigned[m.self.Name] = true
 			}
 		}
-		assert.Equal(t, len(on), 2, duty)
+		assert.Equal(t, len(assigned), 2, task)
 		for _, m := range all {
-			first := m.Ranked(duty, 1, now)
-			assert.Assert(t, len(first) == 1 && (on[first[0].Name] || on[m.self.Name]), "%s takes %v for one that does %s", m.self.Name, first, duty)
+			first := m.Ranked(task, 1, now)
+			assert.Assert(t, len(first) == 1 && (assigned[first[0].Name] || assigned[m.self.Name]), "%s ranks %v first, which is not assigned to %s", m.self.Name, first, task)
 		}
 	}
-	assert.Equal(t, len(all[0].Ranked("any", 1, now.Add(deadAfter+1))), 0, "none is known to live")
-	assert.Assert(t, all[0].OnDuty("any", 1, now.Add(deadAfter+1)), "alone, a host has all duties")
+	assert.Equal(t, len(all[0].Ranked("any", 1, now.Add(deadAfter+1))), 0, "no other host is alive")
+	assert.Assert(t, all[0].OnDuty("any", 1, now.Add(deadAfter+1)), "a host that is alone has all tasks")
 }
 
-// TestRegionReturns: another data centre is unreachable when its digests stop,
-// and cold when they come back.
-func TestRegionReturns(t *testing.T) {
-	a, x := newMember("a", "dc", 1), newMember("x", "other", 9)
+// TestDataCentreReturns guards against forwards to a data centre that is out of reach, and
+// against a full load on one that has just come back, as the caches of its endpoints may be
+// cold. It must be unreachable when its digests stop, and return with a warm-up share that
+// grows with each answered forward.
+func TestDataCentreReturns(t *testing.T) {
+	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
 	x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
 	place := func(string) (vetchtrail.RegionID, bool) { return 2, true }
 	view := func(at time.Time) vetchtrail.RemoteView {
@@ -120,27 +128,29 @@
 		assert.Equal(t, len(v.Remotes), 1)
 		return v.Remotes[0]
 	}
-	a.swapped(&schema.Digests{Digest: x.ownDigest(now)}, now.Add(-20*time.Millisecond), now)
+	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(-20*time.Millisecond), now)
 	assert.Equal(t, view(now).Reachable, true)
 	assert.Equal(t, view(now).Delay, 10*time.Millisecond)
 	assert.Equal(t, view(now).Free, 10)
-	gone := now.Add(reachableFor + 1)
-	assert.Equal(t, view(gone).Reachable, false)
+	tooOld := now.Add(reachableFor + 1)
+	assert.Equal(t, view(tooOld).Reachable, false)
 	back := now.Add(time.Minute)
-	a.swapped(&schema.Digests{Digest: x.ownDigest(back)}, back, back)
-	assert.Equal(t, view(back).Warmth, coldRegion)
+	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(back)}, back, back)
+	assert.Equal(t, view(back).Warmth, warmUpStart)
 	for range 9 {
 		a.Returned("other", "s", vetchtrail.Outcome{Kind: vetchtrail.Answered}, back)
 	}
 	assert.Equal(t, view(back).Warmth, 1.0)
 	a.Returned("other", "s", vetchtrail.Outcome{Kind: vetchtrail.NotRun, Peer: "x", Reason: vetchtrail.ReasonUnreachable, HostLost: true}, back)
 	assert.Equal(t, view(back).Reachable, false)
-	assert.Equal(t, view(back.Add(unreachedTime)).Reachable, true)
+	assert.Equal(t, view(back.Add(avoidTime)).Reachable, true)
 }
 
-// TestForwardLost: the loss of a host takes that host out of use, and its data centre
-// only with the last one; the loss of an endpoint behind a host takes nothing.
-func TestForwardLost(t *testing.T) {
+// TestLostHostAvoided guards against a lost host that keeps getting forwards, and against a
+// data centre taken out of use because of a lost endpoint. A forward that was lost with its
+// host must take only this host out of use for avoidTime, and the data centre only with its
+// last host. A lost endpoint behind a host must take neither.
+func TestLostHostAvoided(t *testing.T) {
 	hostLost := func(name string) vetchtrail.Outcome {
 		return vetchtrail.Outcome{Peer: name, Step: vetchtrail.StepForward, Reason: vetchtrail.ReasonLost, HostLost: true}
 	}
@@ -151,19 +161,19 @@
 		after    time.Duration
 		picked   string // names that may be picked
 	}{
-		"nothing":                         {nil, 0, "xy"},
-		"an endpoint's answer lost":       {[]vetchtrail.Outcome{endpointLost}, 0, "xy"},
-		"an endpoint that doesn't listen": {[]vetchtrail.Outcome{endpointDown}, 0, "xy"},
-		"one host":                        {[]vetchtrail.Outcome{hostLost("x")}, 0, "y"},
-		"both hosts":                      {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, 0, ""},
-		"both hosts, a while ago":         {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, unreachedTime, "xy"},
+		"nothing lost":                      {nil, 0, "xy"},
+		"an endpoint lost while it answers": {[]vetchtrail.Outcome{endpointLost}, 0, "xy"},
+		"an endpoint that does not listen":  {[]vetchtrail.Outcome{endpointDown}, 0, "xy"},
+		"one host lost":                     {[]vetchtrail.Outcome{hostLost("x")}, 0, "y"},
+		"both hosts lost":                   {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, 0, ""},
+		"both hosts lost a while ago":       {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, avoidTime, "xy"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			a, x, y := newMember("a", "dc", 1), newMember("x", "other", 9), newMember("y", "other", 8)
+			a, x, y := newMembership("a", "dc", 1), newMembership("x", "other", 9), newMembership("y", "other", 8)
 			x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
-			swap(x, y, now)
-			a.swapped(&schema.Digests{Digest: x.ownDigest(now)}, now, now)
+			exchange(x, y, now)
+			a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 			for _, o := range c.returned {
 				a.Returned("other", "s", o, now)
 			}
@@ -185,37 +195,39 @@
 	}
 }
 
-// TestGossip: whatever hosts meet, fail to, restart or fall silent, no view of a
-// host goes back to an older process, and once all have met, all agree.
-func TestGossip(t *testing.T) {
+// TestGossipConverges guards against views that go back to an older process of a host, and
+// against hosts that stay unknown or keep a wrong state. Hosts exchange heartbeats at
+// random, lose some, restart and fall silent. After a few exchanges of all with all, each
+// host must know the newest incarnation of every other and see it as ready.
+func TestGossipConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const hosts = 4
 		name := func(i int) string { return fmt.Sprint("h", i) }
 		var all [hosts]*Membership
 		for i := range all {
-			all[i] = newMember(name(i), "dc", byte(i+1))
+			all[i] = newMembership(name(i), "dc", byte(i+1))
 		}
 		at, incarnation := now, uint64(100)
-		newest := map[string]uint64{} // by viewer and viewed
+		newest := map[string]uint64{} // incarnation seen last, by the names of the seeing and the seen host
 		pick := func() int { return rapid.IntRange(0, hosts-1).Draw(rt, "host") }
 		rt.Repeat(map[string]func(*rapid.T){
-			"meet": func(rt *rapid.T) {
+			"exchange": func(rt *rapid.T) {
 				a, b := pick(), pick()
 				if a == b {
-					rt.Skip("itself")
+					rt.Skip("same host")
 				}
 				all[a].counter++
-				h := all[a].heartbeat(all[b].self.Peers, at)
+				h := all[a].heartbeatTo(all[b].self.Peers, at)
 				if rapid.Bool().Draw(rt, "lost") {
 					return
 				}
 				all[b].merge(h, at)
-				all[a].merge(all[b].heartbeat(all[a].self.Peers, at), at)
+				all[a].merge(all[b].heartbeatTo(all[a].self.Peers, at), at)
 			},
 			"restart": func(*rapid.T) {
 				i := pick()
 				incarnation++
-				all[i] = newMember(name(i), "dc", byte(i+1))
+				all[i] = newMembership(name(i), "dc", byte(i+1))
 				all[i].self.Incarnation = incarnation
 				for k := range all {
 					delete(newest, name(i)+name(k))
@@ -226,18 +238,18 @@
 				for _, m := range all {
 					for seen, b := range m.members {
 						key := m.self.Name + seen
-						assert.Assert(rt, b.Incarnation >= newest[key], "%s went back", key)
+						assert.Assert(rt, b.Incarnation >= newest[key], "%s went back to an older incarnation", key)
 						newest[key] = b.Incarnation
 					}
 				}
 			},
 		})
-		for range 3 { // a short line may have to be asked for in full
+		for range 3 { // a full entry may have to be requested
 			for _, a := range all {
 				for _, b := range all {
 					if a != b {
 						a.counter++
-						swap(a, b, at)
+						exchange(a, b, at)
 					}
 				}
 			}
@@ -253,9 +265,10 @@
 	})
 }
 
-// pair is a sender and a receiver that know all there is.
-func pair(hosts, endpoints, dataCentres int) (a, b *Membership) {
-	a, b = newMember("dc-host-001", "dc", 1), newMember("dc-host-002", "dc", 2)
+// connectedPair returns a sender and a receiver of heartbeats that know the given numbers
+// of hosts, endpoints and other data centres.
+func connectedPair(hosts, endpoints, dataCentres int) (a, b *Membership) {
+	a, b = newMembership("dc-host-001", "dc", 1), newMembership("dc-host-002", "dc", 2)
 	var placed []load.Placed
 	for i := range endpoints {
 		placed = append(placed, load.Placed{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("dc-engine-%03d", i), Service: "model", Slots: 8}})
@@ -263,23 +276,23 @@
 	a.cfg.Load.Configure(placed)
 	b.cfg.Load.Configure(placed)
 	for i := range hosts - 2 {
-		swap(a, newMember(fmt.Sprintf("dc-host-%03d", i+3), "dc", byte(i+3)), now)
+		exchange(a, newMembership(fmt.Sprintf("dc-host-%03d", i+3), "dc", byte(i+3)), now)
 	}
-	swap(a, b, now)
+	exchange(a, b, now)
 	for i := range dataCentres {
-		x := newMember(fmt.Sprintf("other-%02d-host-001", i), fmt.Sprintf("other-%02d", i), 1)
+		x := newMembership(fmt.Sprintf("other-%02d-host-001", i), fmt.Sprintf("other-%02d", i), 1)
 		x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "model", Slots: 8}}})
 		for k := range hosts - 1 {
-			y := newMember(fmt.Sprintf("other-%02d-host-%03d", i, k+2), fmt.Sprintf("other-%02d", i), byte(k+2))
-			x.merge(y.heartbeat(x.self.Peers, now), now)
+			y := newMembership(fmt.Sprintf("other-%02d-host-%03d", i, k+2), fmt.Sprintf("other-%02d", i), byte(k+2))
+			x.merge(y.heartbeatTo(x.self.Peers, now), now)
 		}
-		a.swapped(&schema.Digests{Digest: x.ownDigest(now)}, now, now)
+		a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 	}
 	return a, b
 }
 
-// BenchmarkHeartbeat: one heartbeat made, encoded, decoded and merged, with
-// everything in it new since the last, by hosts, endpoints and data centres.
+// BenchmarkHeartbeat makes, encodes, decodes and merges a heartbeat, by the numbers of
+// hosts, endpoints and data centres. All in it is newer than what was sent before.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, s := range []struct{ hosts, endpoints, dataCentres int }{
 		{5, 0, 0}, {10, 0, 0}, {20, 0, 0}, {40, 0, 0},
@@ -287,13 +300,13 @@
 		{20, 0, 11}, {20, 0, 22}, {20, 0, 44},
 	} {
 		b.Run(fmt.Sprintf("hosts=%d/endpoints=%d/datacentres=%d", s.hosts, s.endpoints, s.dataCentres), func(b *testing.B) {
-			from, to := pair(s.hosts, s.endpoints, s.dataCentres)
+			from, to := connectedPair(s.hosts, s.endpoints, s.dataCentres)
 			at, size, n := now, 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
 				at = at.Add(time.Millisecond)
-				renew(from, at)
-				wire, _ := proto.Marshal(from.heartbeat(to.self.Peers, at))
+				refreshAll(from, at)
+				wire, _ := proto.Marshal(from.heartbeatTo(to.self.Peers, at))
 				var h schema.Heartbeat
 				_ = proto.Unmarshal(wire, &h)
 				to.merge(&h, at)
@@ -305,30 +318,30 @@
 	}
 }
 
-// renew makes all that a host holds newer.
-func renew(m *Membership, at time.Time) {
+// refreshAll makes all that a host would send newer.
+func refreshAll(m *Membership, at time.Time) {
 	m.counter++
 	for _, x := range m.members {
 		x.counter++
 		x.Heard = at
 	}
 	for _, d := range m.remotes {
-		d.digest.Newest++ // so that it is handed on
-		d.at = at
+		d.digest.Newest++ // so that it is relayed
+		d.digestTime = at
 	}
 	for _, row := range m.cfg.Load.Endpoints() {
 		m.cfg.Load.Report(row.Name, vetchtrail.LoadReport{At: at, Running: 5, Queued: 2}, at)
 	}
 }
 
-// BenchmarkDigest: one digest made and encoded, by the data centre's hosts.
+// BenchmarkDigest makes and encodes a digest, by the number of hosts in the data centre.
 func BenchmarkDigest(b *testing.B) {
 	for _, hosts := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
-			m, _ := pair(hosts, 267, 0)
+			m, _ := connectedPair(hosts, 267, 0)
 			size, n := 0, 0
 			for b.Loop() {
-				wire, _ := proto.Marshal(m.ownDigest(now))
+				wire, _ := proto.Marshal(m.localDigest(now))
 				size += len(wire)
 				n++
 			}
@@ -337,27 +350,28 @@
 	}
 }
 
-// TestOlderDigest: a digest that another host hands on and that is older than
-// the one held tells its members at most, never what was true before.
+// TestOlderDigest guards against a relayed digest that is older than the one held and
+// replaces it. At most, its members may be taken: if the held digest came without members,
+// and the hash shows that they are the same.
 func TestOlderDigest(t *testing.T) {
-	far := []*schema.Member{{Name: "far", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}}
+	farMembers := []*schema.Member{{Name: "far", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}}
 	services := []*schema.ServiceDigest{{Service: "s", Free: 4, Slots: 4}}
-	newer := func() *schema.Digest {
-		return &schema.Digest{DataCentre: "b", Region: "rb", Revision: 2, Services: services, MembersHash: hashOf(far)}
+	heldWithoutMembers := func() *schema.Digest {
+		return &schema.Digest{DataCentre: "b", Region: "rb", Revision: 2, Services: services, MembersHash: hashMembers(farMembers)}
 	}
 	cases := map[string]struct {
-		first    *schema.Digest // the newer one
+		held     *schema.Digest
 		older    *schema.Digest
-		services int
-		members  int
+		services int // wanted
+		members  int // wanted
 	}{
 		"with members that are held": {
-			&schema.Digest{DataCentre: "b", Region: "rb", Revision: 2, Services: services, MembersHash: hashOf(far), Members: far},
-			&schema.Digest{DataCentre: "b", Region: "rb", MembersHash: hashOf(far), Members: far}, 1, 1,
+			&schema.Digest{DataCentre: "b", Region: "rb", Revision: 2, Services: services, MembersHash: hashMembers(farMembers), Members: farMembers},
+			&schema.Digest{DataCentre: "b", Region: "rb", MembersHash: hashMembers(farMembers), Members: farMembers}, 1, 1,
 		},
-		"with members that are missing": {newer(), &schema.Digest{DataCentre: "b", Region: "rb", MembersHash: hashOf(far), Members: far}, 1, 1},
-		"with other members":            {newer(), &schema.Digest{DataCentre: "b", Region: "rb", Members: []*schema.Member{{Name: "gone"}}}, 1, 0},
-		"without members":               {newer(), &schema.Digest{DataCentre: "b", Region: "rb"}, 1, 0},
+		"with members that are missing": {heldWithoutMembers(), &schema.Digest{DataCentre: "b", Region: "rb", MembersHash: hashMembers(farMembers), Members: farMembers}, 1, 1},
+		"with other members":            {heldWithoutMembers(), &schema.Digest{DataCentre: "b", Region: "rb", Members: []*schema.Member{{Name: "gone"}}}, 1, 0},
+		"without members":               {heldWithoutMembers(), &schema.Digest{DataCentre: "b", Region: "rb"}, 1, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -366,12 +380,12 @@
 				Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			})
 			now := time.Now()
-			m.mergeDigest(c.first, now, now)
+			m.mergeDigest(c.held, now, now)
 			m.mergeDigest(c.older, now.Add(-time.Second), now)
-			held := m.remotes["b"].digest
-			assert.Equal(t, len(held.GetServices()), c.services)
-			assert.Equal(t, held.GetRevision(), uint64(2))
-			assert.Equal(t, len(held.GetMembers()), c.members)
+			got := m.remotes["b"].digest
+			assert.Equal(t, len(got.GetServices()), c.services)
+			assert.Equal(t, got.GetRevision(), uint64(2))
+			assert.Equal(t, len(got.GetMembers()), c.members)
 		})
 	}
 }
--- a/process/membership/rank.go
+++ b/process/membership/rank.go
@@ -8,15 +8,16 @@
 	"vetchtrail"
 )
 
-// Rank returns how many live hosts of this host's region, and of its data centre, go
-// before it for a duty, by rendezvous hashing. Hosts with different views may have the
-// same rank for a while: a duty must bear being done twice.
-func (m *Membership) Rank(duty string, now time.Time) (region, dataCentre int) {
+// Rank returns this host's rank for a task among the live hosts of its region and of its
+// data centre, by weighted rendezvous hashing: the number of hosts that go before it.
+// Hosts with different views may have the same rank for a while, so a task must
+// tolerate being done twice.
+func (m *Membership) Rank(task string, now time.Time) (region, dataCentre int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mine := lateness(duty, &m.self)
-	m.eachInRegion(now, func(h *vetchtrail.Host) {
-		if lateness(duty, h) >= mine {
+	own := rankKey(task, &m.self)
+	m.eachOtherInRegion(now, func(h *vetchtrail.Host) {
+		if rankKey(task, h) >= own {
 			return
 		}
 		region++
@@ -27,48 +28,51 @@
 	return region, dataCentre
 }
 
-// Ranked returns the first n of the other live hosts of this host's region for a duty.
-func (m *Membership) Ranked(duty string, n int, now time.Time) []vetchtrail.Host {
+// Ranked returns the first n of the other live hosts of this host's region for a task.
+func (m *Membership) Ranked(task string, n int, now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := ranking{duty: duty}
-	m.eachInRegion(now, r.add)
+	r := ranking{task: task}
+	m.eachOtherInRegion(now, r.add)
 	return r.first(n)
 }
 
-// RankedIn returns the first n live hosts of a region for a duty, this one too if it is in
-// the region.
-func (m *Membership) RankedIn(region, duty string, n int, now time.Time) []vetchtrail.Host {
+// RankedIn returns the first n live hosts of a region for a task. This host is among the
+// candidates if it is in the region.
+func (m *Membership) RankedIn(region, task string, n int, now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := ranking{duty: duty}
+	r := ranking{task: task}
 	if region == m.self.Region {
 		self := m.selfNow()
 		r.add(&self)
-		m.eachInRegion(now, r.add)
+		m.eachOtherInRegion(now, r.add)
 	} else {
 		m.eachRemote(region, now, r.add)
 	}
 	return r.first(n)
 }
 
-// ranking orders hosts for a duty. It holds no copies of them, and works each one's place out once: duties
-// are looked at several times a second among all hosts of a region.
+// ranking sorts hosts for a task. It points to the hosts instead of copying them, and
+// computes each key once, as tasks are ranked several times a second over all hosts of
+// a region.
 type ranking struct {
-	duty  string
-	hosts []placed
+	task  string
+	hosts []ranked
 }
 
-type placed struct {
-	late float64
+// ranked is a host with its rankKey.
+type ranked struct {
+	key  float64
 	host *vetchtrail.Host
 }
 
-func (r *ranking) add(h *vetchtrail.Host) { r.hosts = append(r.hosts, placed{lateness(r.duty, h), h}) }
+// add adds a host to the ranking. The host must not change before first is called.
+func (r *ranking) add(h *vetchtrail.Host) { r.hosts = append(r.hosts, ranked{rankKey(r.task, h), h}) }
 
-// first returns copies of the first n.
+// first returns copies of the first n hosts.
 func (r *ranking) first(n int) []vetchtrail.Host {
-	slices.SortFunc(r.hosts, func(a, b placed) int { return cmp.Compare(a.late, b.late) })
+	slices.SortFunc(r.hosts, func(a, b ranked) int { return cmp.Compare(a.key, b.key) })
 	out := make([]vetchtrail.Host, 0, min(n, len(r.hosts)))
 	for _, p := range r.hosts[:min(n, len(r.hosts))] {
 		out = append(out, *p.host)
@@ -76,25 +80,25 @@
 	return out
 }
 
-// eachInRegion calls f for the other hosts of the region that do duties, as far as they can be
-// reached. The caller holds the lock.
-func (m *Membership) eachInRegion(now time.Time, f func(h *vetchtrail.Host)) {
+// eachOtherInRegion calls f for the other hosts of this host's region that tasks may be
+// assigned to and that can be reached. The caller holds the lock.
+func (m *Membership) eachOtherInRegion(now time.Time, f func(h *vetchtrail.Host)) {
 	for _, b := range m.members {
-		if b.works(now) {
+		if b.takesTasks(now) {
 			f(&b.Host)
 		}
 	}
 	m.eachRemote(m.self.Region, now, f)
 }
 
-// eachRemote calls f for the hosts of other data centres in a region that do duties, as far as
-// they can be reached. The caller holds the lock.
+// eachRemote calls f for the hosts of other data centres in a region that tasks may be
+// assigned to and that can be reached. The caller holds the lock.
 func (m *Membership) eachRemote(region string, now time.Time, f func(h *vetchtrail.Host)) {
 	for _, d := range m.remotes {
-		if d.digest.GetRegion() != region || now.Sub(d.at) >= reachableFor {
+		if d.digest.GetRegion() != region || now.Sub(d.digestTime) >= reachableFor {
 			continue
 		}
-		hosts := d.all()
+		hosts := d.allHosts()
 		for i := range hosts {
 			if s := hosts[i].State; s == vetchtrail.HostReady || s == vetchtrail.HostStarting {
 				f(&hosts[i])
@@ -103,8 +107,9 @@
 	}
 }
 
-// HeardPart returns the part of the hosts of this host's region, itself among them, that it
-// hears of. The others may have ended, or be cut off and live.
+// HeardPart returns the share of the known hosts of this host's region, itself included,
+// from which heartbeats or digests still arrive. The others have stopped, or are cut off
+// and still run.
 func (m *Membership) HeardPart(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,7 +125,7 @@
 			continue
 		}
 		all += len(d.digest.GetMembers())
-		if now.Sub(d.at) < reachableFor {
+		if now.Sub(d.digestTime) < reachableFor {
 			heard += len(d.digest.GetMembers())
 		}
 	}
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -12,103 +12,106 @@
 	"vetchtrail/schema"
 )
 
-// TestRank: the hosts of a region, over its data centres, have ranks of their own for a
-// duty, and those that can't be reached none.
+// TestRank guards against two hosts of a region with the same rank for a task, while all
+// know each other by heartbeats and digests, and against a host that counts hosts of a data
+// centre that is out of reach.
 func TestRank(t *testing.T) {
 	var all []*Membership
 	for i := range 6 {
-		m := newMember(fmt.Sprint("h", i), fmt.Sprint("dc", i%2), byte(i+1))
+		m := newMembership(fmt.Sprint("h", i), fmt.Sprint("dc", i%2), byte(i+1))
 		m.self.Region = "r"
 		all = append(all, m)
 	}
 	for _, a := range all {
 		for _, b := range all {
 			if a != b && a.self.DataCentre == b.self.DataCentre {
-				swap(a, b, now)
+				exchange(a, b, now)
 			}
 		}
 	}
 	for _, a := range all {
 		for _, b := range all {
 			if a.self.DataCentre != b.self.DataCentre {
-				a.swapped(&schema.Digests{Digest: b.ownDigest(now)}, now, now)
+				a.mergeSwapReply(&schema.Digests{Digest: b.localDigest(now)}, now, now)
 			}
 		}
 	}
 	ranks := map[int]string{}
 	for _, m := range all {
-		region, centre := m.Rank("duty", now)
+		region, dataCentre := m.Rank("task", now)
 		ranks[region] = m.self.Name
-		assert.Assert(t, centre <= region && centre < 3)
+		assert.Assert(t, dataCentre <= region && dataCentre < 3)
 	}
 	assert.Equal(t, len(ranks), 6, "%v", ranks)
 	for _, m := range all {
-		first := m.Ranked("duty", 1, now)[0].Name
+		first := m.Ranked("task", 1, now)[0].Name
 		if m.self.Name != ranks[0] {
 			assert.Equal(t, first, ranks[0])
 		} else {
 			assert.Equal(t, first, ranks[1])
 		}
 	}
-	region, centre := all[0].Rank("duty", now.Add(reachableFor))
-	assert.Equal(t, region, centre, "the other data centre is out of reach")
+	region, dataCentre := all[0].Rank("task", now.Add(reachableFor))
+	assert.Equal(t, region, dataCentre, "the other data centre is out of reach")
 }
 
-// TestIntroduced: a host whose settings name peers of another data centre only finds
-// those of its own through them.
+// TestIntroduced guards against hosts of one data centre that never find each other, as
+// their only seed is in another data centre. The seed must introduce them.
 func TestIntroduced(t *testing.T) {
-	seed := newMember("seed", "other", 9)
-	first, second := newMember("a", "dc", 1), newMember("b", "dc", 2)
-	meet := func(m *Membership, at time.Time) {
-		first := seed.Swapped(&schema.Digests{From: m.self.Name, Digest: withoutMembers(m.ownDigest(at))})
-		m.swapped(first, at, at)
-		if first.GetWantMembers() { // as a host does that is asked for them
-			seed.Swapped(&schema.Digests{From: m.self.Name, Digest: m.ownDigest(at)})
+	seed := newMembership("seed", "other", 9)
+	first, second := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
+	swapWithSeed := func(m *Membership, at time.Time) {
+		reply := seed.Swapped(&schema.Digests{From: m.self.Name, Digest: withoutMembers(m.localDigest(at))})
+		m.mergeSwapReply(reply, at, at)
+		if reply.GetWantMembers() { // as swapWith does
+			seed.Swapped(&schema.Digests{From: m.self.Name, Digest: m.localDigest(at)})
 		}
 	}
-	meet(first, now)
-	assert.Equal(t, len(first.targets(now)), 0, "nobody else is known yet")
-	meet(second, now.Add(time.Second))
-	assert.DeepEqual(t, fmt.Sprint(second.targets(now)), fmt.Sprintf("[%s]", first.self.Peers))
-	swap(second, first, now.Add(time.Second))
-	assert.Equal(t, len(second.toMeet()), 0, "it is known now")
+	swapWithSeed(first, now)
+	assert.Equal(t, len(first.heartbeatTargets(now)), 0, "no other host is known yet")
+	swapWithSeed(second, now.Add(time.Second))
+	assert.DeepEqual(t, fmt.Sprint(second.heartbeatTargets(now)), fmt.Sprintf("[%s]", first.self.Peers))
+	exchange(second, first, now.Add(time.Second))
+	assert.Equal(t, len(second.pendingIntroduced()), 0, "the introduced host is known now")
 	second.mu.Lock()
-	second.meet([]string{"not an address"})
+	second.noteIntroduced([]string{"not an address"})
 	second.mu.Unlock()
-	assert.Equal(t, len(second.toMeet()), 0)
+	assert.Equal(t, len(second.pendingIntroduced()), 0)
 }
 
-// TestUnlistedGoBehind: a host that the platform does not list has no part in what only
-// the listed may do.
-func TestUnlistedGoBehind(t *testing.T) {
-	m := newMember("a", "dc", 1)
-	assert.Equal(t, m.Before("duty", now), 0, "nobody is listed")
+// TestUnlistedHostRanksLast guards against a host that the platform does not list and that
+// does a task of the listed ones as well, so that too many hosts do it.
+func TestUnlistedHostRanksLast(t *testing.T) {
+	m := newMembership("a", "dc", 1)
+	assert.Equal(t, m.Before("task", now), 0, "no host is listed")
 	m.SetListed([]vetchtrail.Host{{Name: "b", Region: "elsewhere"}})
-	assert.Equal(t, m.Before("duty", now), 0, "nobody of its region is listed")
+	assert.Equal(t, m.Before("task", now), 0, "no host of the region is listed")
 	m.SetListed([]vetchtrail.Host{{Name: "b", Region: m.self.Region}})
-	assert.Assert(t, m.Before("duty", now) > 100)
+	assert.Assert(t, m.Before("task", now) > 100)
 }
 
-// TestRelayedLoads: where answers alone tell of loads, a host passes on what others told
-// it while that is new, once to each host; else only what it fetched itself.
+// TestRelayedLoads guards against load reports that are relayed without need, or not at all.
+// Where reports come with responses alone, a host must relay those of other hosts too, while
+// they are new. Where hosts poll endpoints, it must send only those that it fetched itself.
+// Either way a report must be sent once to each host.
 func TestRelayedLoads(t *testing.T) {
 	cases := map[string]struct {
-		whole   bool
-		age     time.Duration
-		fetched bool // by this host
-		want    int
+		wholeRegion bool
+		age         time.Duration
+		fetched     bool // by this host; else received from another
+		want        int
 	}{
-		"told by another":             {true, time.Second, false, 1},
-		"told long ago":               {true, relayedFor, false, 0},
-		"fetched":                     {true, time.Second, true, 1},
-		"another's duty":              {false, time.Second, false, 0},
-		"this host's duty":            {false, time.Second, true, 1},
-		"this host's duty, long past": {false, relayedFor, true, 1},
+		"whole region, new report of another host": {true, time.Second, false, 1},
+		"whole region, old report of another host": {true, maxRelayedReportAge, false, 0},
+		"whole region, new fetched report":         {true, time.Second, true, 1},
+		"polling, new report of another host":      {false, time.Second, false, 0},
+		"polling, new fetched report":              {false, time.Second, true, 1},
+		"polling, old fetched report":              {false, maxRelayedReportAge, true, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			m := newMember("a", "dc", 1)
-			m.cfg.WholeRegion = c.whole
+			m := newMembership("a", "dc", 1)
+			m.cfg.WholeRegion = c.wholeRegion
 			m.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
 			r := vetchtrail.LoadReport{At: now.Add(-c.age), Running: 3}
 			if c.fetched {
@@ -116,9 +119,9 @@
 			} else {
 				m.cfg.Load.ReportShort(load.Short("e"), r, time.Time{})
 			}
-			to := &told{}
+			to := &sentState{}
 			assert.Equal(t, len(m.loadsFor(to, now)), c.want)
-			assert.Equal(t, len(m.loadsFor(to, now)), 0, "it was told")
+			assert.Equal(t, len(m.loadsFor(to, now)), 0, "sent twice")
 		})
 	}
 }
--- /dev/null
+++ b/process/membership/rate_limits_test.go
@@ -0,0 +1,80 @@
+package membership
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"vetchtrail"
+	"vetchtrail/process/load"
+	"vetchtrail/schema"
+)
+
+// rateLimitRecorder writes the rate limits that heartbeats report to a host's load table,
+// and counts them.
+type rateLimitRecorder struct {
+	t        *testing.T
+	table    *load.Table
+	at       time.Time // when the heartbeats are received
+	received int
+}
+
+// Learn implements Rates.
+func (l *rateLimitRecorder) Learn(m *schema.EndpointRate) {
+	l.received++
+	limit, startedAt, err := schema.ToRateLimit(m, l.at)
+	assert.NilError(l.t, err)
+	l.table.HearLimit(m.GetEndpoint(), startedAt, limit)
+}
+
+// TestRateLimitsSentOnce guards against heartbeats that carry each rate limit every time,
+// and against a host that misses one: that an endpoint advertises, changes or lifts its
+// limit must be sent once, and again after a heartbeat was lost.
+func TestRateLimitsSentOnce(t *testing.T) {
+	startedAt := now.Add(-time.Hour)
+	a, b := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
+	l := &rateLimitRecorder{t: t, table: b.cfg.Load, at: now}
+	b.cfg.Rates = l
+	for _, m := range []*Membership{a, b} {
+		m.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: startedAt}}})
+	}
+	advertise := func(rate float64, second int) { // to a; 0 lifts the limit
+		at := now.Add(time.Duration(second) * time.Second)
+		a.cfg.Load.HearLimit("e", startedAt, vetchtrail.RateLimit{Named: rate > 0, Rate: rate, Asked: at, Heard: at.Add(100 * time.Millisecond)})
+	}
+	known := func() (rate float64, limited bool) { // to b
+		limit, _ := b.cfg.Load.Limit("e")
+		return limit.Rate, limit.Named
+	}
+	exchangeAt := func(second int) {
+		l.at = now.Add(time.Duration(second) * time.Second)
+		exchange(a, b, l.at)
+	}
+	exchangeAt(0)
+	exchangeAt(1)
+	assert.Equal(t, l.received, 0, "sent without a limit")
+	advertise(2, 2)
+	exchangeAt(3)
+	rate, limited := known()
+	assert.Assert(t, limited && rate == 2)
+	exchangeAt(4)
+	assert.Equal(t, l.received, 1, "sent twice")
+	advertise(5, 5)
+	exchangeAt(6)
+	rate, _ = known()
+	assert.Equal(t, rate, 5.0)
+	advertise(0, 7)
+	a.heartbeatTo(b.self.Peers, now.Add(8*time.Second)) // not delivered
+	a.sendInFull(b.self.Peers)
+	_, limited = known()
+	assert.Assert(t, limited)
+	advertise(3, 9)
+	exchangeAt(10)
+	rate, limited = known()
+	assert.Assert(t, limited && rate == 3, "not sent again after a lost heartbeat")
+	advertise(0, 11)
+	exchangeAt(12)
+	_, limited = known()
+	assert.Assert(t, !limited, "limit not lifted")
+}
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -7,64 +7,71 @@
 	"vetchtrail/schema"
 )
 
-// relayed is a digest as it was handed on.
-type relayed struct {
-	at     time.Time
-	made   time.Time // when the digest was
-	newest uint64
-	told   uint32 // hash of the members that were handed on
+// relayState records the digest of a data centre that was last relayed to a member.
+type relayState struct {
+	sentAt      time.Time
+	digestTime  time.Time // when the digest was made
+	newest      uint64    // highest revision in the digest
+	membersHash uint32    // hash of the members that were last relayed
 }
 
-// fewMembers is how many members go with a digest whenever they are others than were handed on: some hundred bytes.
-// More are told to who lacks them.
-const fewMembers = 16
+// maxInlineMembers is the greatest number of members that are relayed with a digest as
+// soon as they change: some hundred bytes. Of a larger data centre, members are relayed
+// only to hosts that request them.
+const maxInlineMembers = 16
 
-// PassEach is to how many hosts each one passes a digest on: three digests are new enough at a time, and all
-// but a few of a hundred hosts are told of each.
+// PassEach is the number of hosts that each host relays a digest to. Of a data centre,
+// the digests of three swaps are new enough at a time, and each of them reaches all but
+// a few of a hundred hosts.
 const PassEach = 4
 
-// due says whether a digest is to be handed on that is newer than what was: after a while, as long as few were
-// told of it, or when it tells of a newer configuration.
-func (r relayed) due(d *remote, now time.Time) bool {
-	if !d.at.After(r.made) {
+// due reports whether the newest digest of a data centre is to be relayed to a member.
+// A digest with a newer configuration is relayed at once. Another is relayed
+// RelayInterval after the last one, and to at most PassEach hosts.
+func (r relayState) due(d *remote, now time.Time) bool {
+	if !d.digestTime.After(r.digestTime) {
 		return false
 	}
-	return now.Sub(r.at) >= RelayEvery && d.passed < PassEach || d.digest.GetNewest() > r.newest
+	return now.Sub(r.sentAt) >= RelayInterval && d.relayCount < PassEach || d.digest.GetNewest() > r.newest
 }
 
-// digestsFor are the newest digests of other data centres, whoever swapped for them: told by that host alone, they
-// reach those that it meets, which in a data centre of hundreds are few in the time in which a digest is of use. The caller holds the lock.
-func (m *Membership) digestsFor(to *member, now time.Time) []*schema.Digest {
+// relaysFor returns the digests of other data centres to send to a member. A host relays
+// every digest that it holds, not only those that it swapped for itself. From the host
+// that swapped alone, a digest would reach only that host's gossip peers before it is
+// too old, and in a data centre of hundreds these are few. The caller holds the lock.
+func (m *Membership) relaysFor(to *member, now time.Time) []*schema.Digest {
 	var out []*schema.Digest
 	for name, d := range m.remotes {
-		sent := to.digests[name]
-		others := len(d.digest.GetMembers()) <= fewMembers && sent.told != d.digest.GetMembersHash()
-		wanted := d.whole && (others || slices.Contains(to.lacks, name))
-		if !wanted && !sent.due(d, now) {
+		sent := to.relayed[name]
+		changed := len(d.digest.GetMembers()) <= maxInlineMembers && sent.membersHash != d.digest.GetMembersHash()
+		withMembers := d.complete && (changed || slices.Contains(to.lacksMembersOf, name))
+		if !withMembers && !sent.due(d, now) {
 			continue
 		}
-		next := withoutMembers(d.digest)
-		next.AgeMillis = millis(now.Sub(d.at))
-		if wanted {
-			next.Members, sent.told = d.digest.GetMembers(), d.digest.GetMembersHash()
+		relay := withoutMembers(d.digest)
+		relay.AgeMillis = millis(now.Sub(d.digestTime))
+		if withMembers {
+			relay.Members, sent.membersHash = d.digest.GetMembers(), d.digest.GetMembersHash()
 		}
-		to.digests[name] = relayed{at: now, made: d.at, newest: d.digest.GetNewest(), told: sent.told}
-		d.passed++
-		out = append(out, next)
+		to.relayed[name] = relayState{sentAt: now, digestTime: d.digestTime, newest: d.digest.GetNewest(), membersHash: sent.membersHash}
+		d.relayCount++
+		out = append(out, relay)
 	}
-	to.lacks = nil
+	to.lacksMembersOf = nil
 	return out
 }
 
-// lacksNow are the data centres whose members this host asks for, of one host at a time: those that it has none of, and
-// those that have had others for a while. They are as long as all the hosts of a data centre, and change all the time
-// while a fleet starts. The caller holds the lock.
-func (m *Membership) lacksNow(now time.Time) []string {
+// membersToRequest returns the data centres whose members this host requests in its next
+// heartbeat: those of which it holds none, and those of which it has lacked the newest
+// for RelayInterval. It waits, and requests them from one host at each Tick only, as a
+// list of members grows with the data centre and changes all the time while its hosts
+// start. The caller holds the lock.
+func (m *Membership) membersToRequest(now time.Time) []string {
 	var out []string
 	for name, d := range m.remotes {
-		lacks := !d.whole && (len(d.digest.GetMembers()) == 0 || now.Sub(d.since) >= RelayEvery)
-		if lacks && now.Sub(d.asked) >= Tick {
-			d.asked = now
+		missing := !d.complete && (len(d.digest.GetMembers()) == 0 || now.Sub(d.incompleteSince) >= RelayInterval)
+		if missing && now.Sub(d.membersRequested) >= Tick {
+			d.membersRequested = now
 			out = append(out, name)
 		}
 	}
--- a/process/membership/remote.go
+++ b/process/membership/remote.go
@@ -11,45 +11,46 @@
 
 // remote is another data centre.
 type remote struct {
-	digest *schema.Digest
-	hosts  []vetchtrail.Host // its members as last read
-	read   []*schema.Member  // from which they were
-	at     time.Time         // when the digest was made, by this host's clock
-	whole  bool              // its members are those of the digest
-	passed int               // to how many hosts it was passed on
-	since  time.Time         // when it had not all the digest's members first
-	asked  time.Time         // when a host was asked for them last
-	delay  time.Duration
-	own    map[string]int // this host's forwards in flight, by service
-	warmth float64
+	digest           *schema.Digest    // the newest, with the newest members that are held
+	hosts            []vetchtrail.Host // cached by allHosts
+	hostsFrom        []*schema.Member  // entries that hosts was read from
+	digestTime       time.Time         // when the digest was made, by this host's clock
+	complete         bool              // whether the held members are those of the newest digest
+	relayCount       int               // number of hosts that the digest was relayed to
+	incompleteSince  time.Time         // when complete last became false; before that, when the first digest came
+	membersRequested time.Time         // when this host last requested the members
+	delay            time.Duration     // one way
+	inFlight         map[string]int    // forwards in flight from this host, by service
+	warmUpShare      float64           // share of the free slots that this host uses
 }
 
-// all returns the data centre's hosts. They are read from its digest once for each digest with other
-// members, as most digests have the members of the one before.
-func (d *remote) all() []vetchtrail.Host {
-	lines := d.digest.GetMembers()
-	if len(lines) == 0 {
+// allHosts returns the data centre's hosts. It reads the digest's entries only when
+// they have changed, as most digests have the members of the one before. The caller
+// holds the lock and does not change the hosts.
+func (d *remote) allHosts() []vetchtrail.Host {
+	entries := d.digest.GetMembers()
+	if len(entries) == 0 {
 		return nil
 	}
-	if len(d.read) != len(lines) || &d.read[0] != &lines[0] {
-		d.hosts, d.read = make([]vetchtrail.Host, 0, len(lines)), lines
-		for _, line := range lines {
-			d.hosts = append(d.hosts, d.host(line))
+	if len(d.hostsFrom) != len(entries) || &d.hostsFrom[0] != &entries[0] {
+		d.hosts, d.hostsFrom = make([]vetchtrail.Host, 0, len(entries)), entries
+		for _, entry := range entries {
+			d.hosts = append(d.hosts, d.hostOf(entry))
 		}
 	}
 	return d.hosts
 }
 
-// DataCentre is another data centre for operators and decisions.
+// DataCentre is the state of another data centre, as operators see it.
 type DataCentre struct {
 	Name      string
 	Region    string
-	Revision  uint64 // lowest among its hosts
-	Heard     time.Time
-	Reachable bool
+	Revision  uint64    // lowest among its hosts
+	Heard     time.Time // when its newest digest was made
+	Reachable bool      // whether the digest is new enough and some of its hosts are known
 }
 
-// DataCentres returns the other data centres by name.
+// DataCentres returns the other data centres, sorted by name.
 func (m *Membership) DataCentres(now time.Time) []DataCentre {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +58,7 @@
 	for name, d := range m.remotes {
 		out = append(out, DataCentre{
 			Name: name, Region: d.digest.GetRegion(), Revision: d.digest.GetRevision(),
-			Heard: d.at, Reachable: now.Sub(d.at) < reachableFor && len(d.digest.GetMembers()) > 0,
+			Heard: d.digestTime, Reachable: now.Sub(d.digestTime) < reachableFor && len(d.digest.GetMembers()) > 0,
 		})
 	}
 	slices.SortFunc(out, func(a, b DataCentre) int { return strings.Compare(a.Name, b.Name) })
@@ -65,40 +66,42 @@
 }
 
 const (
-	coldRegion = 0.2 // share of a returned data centre's free slots used first
-	warmRegion = 0.1 // gained by an answer
+	warmUpStart = 0.2 // warm-up share of a data centre that has just become reachable again
+	warmUpStep  = 0.1 // added to the share for each answered forward
 )
 
-// Fill implements vetchtrail.Hosts.
+// Fill implements vetchtrail.Hosts. It leaves out data centres that do not run the
+// service, and those of this host's region if hosts call its endpoints directly.
 func (m *Membership) Fill(v *vetchtrail.View, service string, place func(region string) (vetchtrail.RegionID, bool), now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, d := range m.remotes {
 		region, ok := place(d.digest.GetRegion())
-		line := d.service(service)
-		if !ok || line == nil || (m.cfg.WholeRegion && d.digest.GetRegion() == m.self.Region) {
+		summary := d.service(service)
+		if !ok || summary == nil || (m.cfg.WholeRegion && d.digest.GetRegion() == m.self.Region) {
 			continue
 		}
 		v.Remotes = append(v.Remotes, vetchtrail.RemoteView{
 			DataCentre: name, Region: region, Delay: d.delay,
-			Wait: float64(line.GetWaitMillis()) / 1e3, Free: int(line.GetFree()), Slots: int(line.GetSlots()), Own: d.own[service],
-			Age: now.Sub(d.at), Reachable: now.Sub(d.at) < reachableFor && len(m.takers(d, now)) > 0, Warmth: d.warmth,
-			Gap: float64(line.GetGapMillis()) / 1e3,
+			Wait: float64(summary.GetWaitMillis()) / 1e3, Free: int(summary.GetFree()), Slots: int(summary.GetSlots()), Own: d.inFlight[service],
+			Age: now.Sub(d.digestTime), Reachable: now.Sub(d.digestTime) < reachableFor && len(m.forwardTargets(d, now)) > 0, Warmth: d.warmUpShare,
+			Gap: float64(summary.GetGapMillis()) / 1e3,
 		})
 	}
 }
 
+// service returns the digest's summary of a service, or nil.
 func (d *remote) service(name string) *schema.ServiceDigest {
-	for _, line := range d.digest.GetServices() {
-		if line.GetService() == name {
-			return line
+	for _, summary := range d.digest.GetServices() {
+		if summary.GetService() == name {
+			return summary
 		}
 	}
 	return nil
 }
 
-// Pick returns a ready host of another data centre, each as often as its capacity is of all,
-// and counts a forward to it.
+// Pick implements vetchtrail.Hosts. It draws the host among the data centre's ready
+// ones, with probabilities in proportion to their capacities.
 func (m *Membership) Pick(dataCentre, service string, now time.Time) (vetchtrail.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,25 +109,25 @@
 	if !ok {
 		return vetchtrail.Host{}, false
 	}
-	ready := m.takers(d, now)
+	ready := m.forwardTargets(d, now)
 	if len(ready) == 0 {
 		return vetchtrail.Host{}, false
 	}
-	d.own[service]++
-	return d.host(drawMember(ready, m.rnd.Float64())), true
+	d.inFlight[service]++
+	return d.hostOf(drawMember(ready, m.rng.Float64())), true
 }
 
-// takers returns the hosts of a data centre that may be passed requests: the ready
-// ones but for those that this host lately failed to reach. The caller holds the lock.
-func (m *Membership) takers(d *remote, now time.Time) []*schema.Member {
-	return slices.DeleteFunc(readyOf(d.digest.GetMembers()), func(line *schema.Member) bool {
-		return now.Before(m.avoid[line.GetName()])
+// forwardTargets returns the hosts of a data centre that requests may be forwarded to:
+// the ready ones, but for those that this host is avoiding. The caller holds the lock.
+func (m *Membership) forwardTargets(d *remote, now time.Time) []*schema.Member {
+	return slices.DeleteFunc(readyEntries(d.digest.GetMembers()), func(entry *schema.Member) bool {
+		return now.Before(m.avoidUntil[entry.GetName()])
 	})
 }
 
-// Returned counts a forward's end and learns from it. Only the loss of the host that
-// it was passed to says anything of the way there: an endpoint that is lost behind it
-// must not take its whole data centre out of use.
+// Returned implements vetchtrail.Hosts. Only the loss of the host that the request was
+// forwarded to counts against the data centre. A lost endpoint behind that host must
+// not take the whole data centre out of use.
 func (m *Membership) Returned(dataCentre, service string, o vetchtrail.Outcome, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,28 +135,28 @@
 	if !ok {
 		return
 	}
-	d.own[service]--
+	d.inFlight[service]--
 	switch {
 	case o.Kind == vetchtrail.Answered:
-		d.warmth = min(1, d.warmth+warmRegion)
+		d.warmUpShare = min(1, d.warmUpShare+warmUpStep)
 	case o.HostLost:
-		m.hostLost(d, o.Peer, now)
+		m.avoidHost(d, o.Peer, now)
 	}
 }
 
-// hostLost passes nothing to a host for a while. A data centre of which none is left
-// comes back with a part of its load, as its endpoints may be as new. The caller
-// holds the lock.
-func (m *Membership) hostLost(d *remote, name string, now time.Time) {
-	for old, until := range m.avoid {
+// avoidHost forwards nothing to a host for avoidTime. If the data centre has no other
+// host left, its warm-up share starts anew, as its endpoints may have restarted
+// too. The caller holds the lock.
+func (m *Membership) avoidHost(d *remote, name string, now time.Time) {
+	for avoided, until := range m.avoidUntil {
 		if !now.Before(until) {
-			delete(m.avoid, old)
+			delete(m.avoidUntil, avoided)
 		}
 	}
-	m.avoid[name] = now.Add(unreachedTime)
-	left := len(m.takers(d, now))
+	m.avoidUntil[name] = now.Add(avoidTime)
+	left := len(m.forwardTargets(d, now))
 	if left == 0 {
-		d.warmth = coldRegion
+		d.warmUpShare = warmUpStart
 	}
-	m.cfg.Log.Info("host not reached", "peer", name, "data_centre", d.digest.GetDataCentre(), "until", m.avoid[name], "hosts_left", left)
+	m.cfg.Log.Info("host not reached", "peer", name, "data_centre", d.digest.GetDataCentre(), "until", m.avoidUntil[name], "hosts_left", left)
 }
