--- a/process/journal/history.go
+++ b/process/journal/history.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// believedBefore and believedAfter are how long before a request's first line and
-	// after its last what its hosts came to believe is told with it: lists are some
-	// seconds late.
-	believedBefore = 10 * time.Second
-	believedAfter  = 5 * time.Second
+	// contextBefore and contextAfter extend the time of a request's lines to that of its
+	// context. They allow for listings that are some seconds late.
+	contextBefore = 10 * time.Second
+	contextAfter  = 5 * time.Second
 )
 
-// History is what the logs of some hosts tell of one request, in the order of time.
+// History holds the log lines of one request from several hosts, in the order of time.
 type History struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
-	// Beliefs are the lines by which its hosts came to believe something of its
-	// endpoints, the platform or the configuration about that time.
+	// Beliefs holds the context: the lines of the same hosts about that time, on the request's
+	// endpoints, the platform or the configuration.
 	Beliefs []Line `json:"beliefs"`
-	// Unread is how many lines were no JSON, such as one cut off at a log's end.
+	// Unread is the number of lines that were not valid JSON, such as one cut off at the end
+	// of a log.
 	Unread int `json:"unread"`
 }
 
-// ReadHistory reads a request's history from logs.
+// ReadHistory reads the history of a request, given by its id, from the logs of several hosts.
 func ReadHistory(request string, logs ...io.Reader) (*History, error) {
 	h := &History{Request: request}
-	var others []Line
+	var hostLines []Line
 	for _, log := range logs {
-		if err := h.read(log, &others); err != nil {
+		if err := h.read(log, &hostLines); err != nil {
 			return nil, err
 		}
 	}
 	byTime := func(a, b Line) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Hops, b.Hops)) }
 	slices.SortStableFunc(h.Lines, byTime)
-	h.believe(others)
+	h.addContext(hostLines)
 	slices.SortStableFunc(h.Beliefs, byTime)
 	return h, nil
 }
 
-// read takes the lines of one log: those of the request, and those of none.
-func (h *History) read(log io.Reader, others *[]Line) error {
-	mine, any := []byte(`"`+h.Request+`"`), []byte(`"request":"`)
-	bears := func(text []byte) bool { return !bytes.Contains(text, any) || bytes.Contains(text, mine) }
-	unread, err := readLines(log, bears, func(l Line) {
+// read adds the lines of one log: those of the request to h, and those of no request to hostLines.
+func (h *History) read(log io.Reader, hostLines *[]Line) error {
+	thisRequest, anyRequest := []byte(`"`+h.Request+`"`), []byte(`"request":"`)
+	relevant := func(text []byte) bool { return !bytes.Contains(text, anyRequest) || bytes.Contains(text, thisRequest) }
+	unread, err := readLines(log, relevant, func(l Line) {
 		switch l.Request {
 		case h.Request:
 			h.Lines = append(h.Lines, l)
 		case "":
-			*others = append(*others, l)
+			*hostLines = append(*hostLines, l)
 		}
 	})
 	h.Unread += unread
@@ -64,54 +64,55 @@
 	return nil
 }
 
-// believe picks the lines that bear on the request.
-func (h *History) believe(lines []Line) {
+// addContext selects the request's context from lines of no request: lines of its hosts, about
+// its time, on one of its targets or on no endpoint.
+func (h *History) addContext(lines []Line) {
 	if len(h.Lines) == 0 {
 		return
 	}
-	hosts, places := map[string]bool{}, map[string]bool{}
+	hosts, targets := map[string]bool{}, map[string]bool{}
 	for _, l := range h.Lines {
 		hosts[l.Host] = true
 		for _, name := range []string{l.Target, l.Peer} {
-			places[name] = name != ""
+			targets[name] = name != ""
 		}
 	}
-	from := h.Lines[0].Time.Add(-believedBefore)
-	until := h.Lines[len(h.Lines)-1].Time.Add(believedAfter)
+	from := h.Lines[0].Time.Add(-contextBefore)
+	until := h.Lines[len(h.Lines)-1].Time.Add(contextAfter)
 	for _, l := range lines {
 		if !hosts[l.Host] || l.Time.Before(from) || l.Time.After(until) {
 			continue
 		}
-		if (l.Endpoint == "" && l.Msg != msgDirectory) || places[l.Endpoint] {
+		if (l.Endpoint == "" && l.Msg != msgDirectory) || targets[l.Endpoint] {
 			h.Beliefs = append(h.Beliefs, l)
 		}
 	}
 }
 
-// msgDirectory is the message of a directory's answer, which bears on no request.
+// msgDirectory is the message of an answer of the directory, which concerns no request.
 const msgDirectory = "directory answer"
 
-// Verdict says in a line how the request ended and where to look for the cause.
+// Verdict returns a line that says how the request ended and where to look for the cause.
 func (h *History) Verdict() string {
-	end, ok := h.end()
+	finalOutcome, ok := h.finalOutcome()
 	if !ok {
-		return "its end is in none of these logs: it may have passed through another host, or a line was dropped"
+		return "its outcome is in none of these logs: it may have been handled by another host, or a line was dropped"
 	}
-	run := h.run()
+	endpointOutcome := h.endpointOutcome()
 	switch {
-	case end.Outcome == "not-run":
-		return "refused: it ran nowhere, for " + end.Reason + " at " + end.Step
-	case end.Outcome == "unknown":
-		return "it may have run: " + end.Reason + " at " + end.Step + ", at " + cmp.Or(end.Peer, "no endpoint") + " after " + end.Took.Round(time.Millisecond).String()
-	case run.First > 0 && run.First > 2*h.predicted():
-		return "answered; it began after " + run.First.Round(time.Millisecond).String() + " where " +
-			h.predicted().Round(time.Millisecond).String() + " were predicted: what was believed of " + run.Peer + " was wrong"
+	case finalOutcome.Outcome == "not-run":
+		return "refused without being run: " + finalOutcome.Reason + " at " + finalOutcome.Step
+	case finalOutcome.Outcome == "unknown":
+		return "it may have run: " + finalOutcome.Reason + " at " + finalOutcome.Step + ", at " + cmp.Or(finalOutcome.Peer, "no endpoint") + " after " + finalOutcome.Took.Round(time.Millisecond).String()
+	case endpointOutcome.First > 0 && endpointOutcome.First > 2*h.predicted():
+		return "answered; it began after " + endpointOutcome.First.Round(time.Millisecond).String() + " where " +
+			h.predicted().Round(time.Millisecond).String() + " were predicted: the prediction for " + endpointOutcome.Peer + " was wrong"
 	}
 	return "answered as predicted"
 }
 
-// end is the outcome at the host that the caller asked.
-func (h *History) end() (Line, bool) {
+// finalOutcome returns the outcome at the host that the caller asked.
+func (h *History) finalOutcome() (Line, bool) {
 	for _, l := range slices.Backward(h.Lines) {
 		if l.Msg == MsgOutcome && l.Hops == 0 {
 			return l, true
@@ -120,8 +121,9 @@
 	return Line{}, false
 }
 
-// run is the outcome at the host that called the endpoint.
-func (h *History) run() Line {
+// endpointOutcome returns the outcome at the host that called the endpoint: the last one with a
+// first byte of an answer or, if there is none, the first one.
+func (h *History) endpointOutcome() Line {
 	var out Line
 	for _, l := range h.Lines {
 		if l.Msg == MsgOutcome && (l.First > 0 || out.Msg == "") {
@@ -131,8 +133,8 @@
 	return out
 }
 
-// predicted is the time to the first of the answer that the last decision to run
-// here expected.
+// predicted returns the time to the first byte of the answer that the last decision to run the
+// request at an endpoint predicted.
 func (h *History) predicted() time.Duration {
 	var out time.Duration
 	for _, l := range h.Lines {
--- a/process/journal/journal.go
+++ b/process/journal/journal.go
@@ -1,6 +1,10 @@
-// Package journal keeps a host's recent decisions and writes a log line for
-// each. Writing is a thread's duty of its own behind a bounded ring: a slow log
-// never holds up a request, and what the ring could not take is counted.
+// Package journal records what a host decides about requests and how they end: it writes a log
+// line for each decision, outcome and lost attempt, and keeps the newest records for operators.
+// A goroutine writes the lines from a bounded queue, so that a slow log never delays a request;
+// lines that don't fit are dropped and counted.
+//
+// The package also reads such logs back: ReadHistory collects the lines of one request from the
+// logs of several hosts, and ReadLosses counts how requests ended and why.
 package journal
 
 import (
@@ -14,113 +18,115 @@
 )
 
 const (
-	kept     = 2048 // decisions kept for operators
-	ringSize = 4096 // lines waiting to be written
+	maxRecent = 2048 // records kept for operators
+	maxQueued = 4096 // records waiting to be written to the log
 )
 
-// Config is what a Journal needs.
+// Config holds the dependencies of a Journal.
 type Config struct {
 	Log *slog.Logger
 }
 
-// Journal is safe for use by many.
+// Journal is a vetchtrail.Recorder that writes records to the log and keeps the newest. It is
+// safe for concurrent use.
 type Journal struct {
 	log     *slog.Logger
 	dropped atomic.Uint64
-	wake    chan struct{} // there are lines to write
+	wake    chan struct{} // signals Run that records are queued
 
-	// What follows grows with use: most of a fleet's hosts take few requests.
+	// The slices grow on demand, as most hosts of a fleet receive few requests.
 	mu     sync.Mutex
-	lines  []vetchtrail.Record // waiting to be written
-	recent []vetchtrail.Record // a ring once there are kept of them
-	count  int
+	queued []vetchtrail.Record // waiting to be written
+	recent []vetchtrail.Record // a ring buffer once it has maxRecent records
+	count  int                 // records that were ever added to recent
 }
 
-// New returns an empty journal. Run writes its lines.
+// New returns an empty journal. Run writes its records to the log.
 func New(c Config) *Journal {
 	return &Journal{log: c.Log, wake: make(chan struct{}, 1)}
 }
 
-// Note takes a record without waiting. A line that finds the ring full is not
-// written; it stays among the recent ones.
+// Note queues a record for the log and, unless it describes a lost attempt, adds it to the recent
+// ones. It doesn't block: if the queue is full, the record is not logged.
 func (j *Journal) Note(r vetchtrail.Record) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !r.Lost {
-		j.remember(r)
+		j.addRecent(r)
 	}
-	if len(j.lines) >= ringSize {
+	if len(j.queued) >= maxQueued {
 		j.dropped.Add(1)
 		return
 	}
-	j.lines = append(j.lines, r)
+	j.queued = append(j.queued, r)
 	select {
 	case j.wake <- struct{}{}:
 	default:
 	}
 }
 
-// remember keeps a record for operators. The caller holds the lock.
-func (j *Journal) remember(r vetchtrail.Record) {
-	if len(j.recent) < kept {
+// addRecent keeps a record for operators. The caller must hold mu.
+func (j *Journal) addRecent(r vetchtrail.Record) {
+	if len(j.recent) < maxRecent {
 		j.recent = append(j.recent, r)
 	} else {
-		j.recent[j.count%kept] = r
+		j.recent[j.count%maxRecent] = r
 	}
 	j.count++
 }
 
-// Dropped returns how many lines were not written.
+// Dropped returns the number of records that were not logged because the queue was full.
 func (j *Journal) Dropped() uint64 { return j.dropped.Load() }
 
-// Recent returns up to most records that match, newest first.
+// Recent returns up to most of the recent records that match, newest first.
 func (j *Journal) Recent(most int, match func(*vetchtrail.Record) bool) []vetchtrail.Record {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var out []vetchtrail.Record
-	for i := j.count - 1; i >= max(0, j.count-kept) && len(out) < most; i-- {
-		if r := &j.recent[i%kept]; match(r) {
+	for i := j.count - 1; i >= max(0, j.count-maxRecent) && len(out) < most; i-- {
+		if r := &j.recent[i%maxRecent]; match(r) {
 			out = append(out, *r)
 		}
 	}
 	return out
 }
 
-// Run writes lines until ctx ends, and then those that wait.
+// Run writes queued records to the log until ctx ends, and then those that are left.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		select {
 		case <-j.wake:
-			j.writeAll()
+			j.writeQueued()
 		case <-ctx.Done():
-			j.writeAll()
+			j.writeQueued()
 			return
 		}
 	}
 }
 
-// writeAll writes the lines that wait.
-func (j *Journal) writeAll() {
+// writeQueued writes all queued records to the log.
+func (j *Journal) writeQueued() {
 	j.mu.Lock()
-	lines := j.lines
-	j.lines = nil
+	queued := j.queued
+	j.queued = nil
 	j.mu.Unlock()
-	for i := range lines {
-		j.write(&lines[i])
+	for i := range queued {
+		j.write(&queued[i])
 	}
 }
 
+// write writes a record to the log as a line of its kind: lost attempt, outcome or decision.
 func (j *Journal) write(r *vetchtrail.Record) {
 	if r.Lost {
 		j.log.Info(MsgLost, "request", r.Request, "service", r.Service, "route", r.Route, "workspace", r.Workspace, "peer", r.Outcome.Peer,
 			"step", string(r.Outcome.Step), "reason", string(r.Outcome.Reason), "attempt", r.Attempt, "hops", r.Hops, "prompt", r.Prompt,
-			"events", r.Outcome.Events, "took", r.Took, "first", first(r), "digest", r.Digest.String(), "error", cause(r.Outcome.Err))
+			"events", r.Outcome.Events, "took", r.Took, "first", timeToFirst(r), "digest", r.Digest.String(), "error", errorText(r.Outcome.Err))
 		return
 	}
 	if r.Ended {
 		j.log.Info(MsgOutcome, "request", r.Request, "service", r.Service, "route", r.Route, "workspace", r.Workspace, "outcome", r.Outcome.Kind.String(),
 			"step", string(r.Outcome.Step), "peer", r.Outcome.Peer, "reason", string(r.Outcome.Reason),
-			"hops", r.Hops, "events", r.Outcome.Events, "took", r.Took, "first", first(r), "status", r.Outcome.Status, "begun", r.Outcome.Begun, "host_lost", r.Outcome.HostLost, "error", cause(r.Outcome.Err))
+			"hops", r.Hops, "events", r.Outcome.Events, "took", r.Took, "first", timeToFirst(r), "status", r.Outcome.Status, "begun", r.Outcome.Begun, "host_lost", r.Outcome.HostLost, "error", errorText(r.Outcome.Err))
 		return
 	}
 	j.log.Info(MsgDecision, "request", r.Request, "service", r.Service, "route", r.Route, "prompt", r.Prompt, "workspace", r.Workspace, "home", r.Home,
@@ -128,47 +134,48 @@
 		"cost", r.Decision.Cost, "wait", r.Decision.Wait,
 		"backlog", r.Decision.Backlog, "holds", r.Decision.Holds, "gap", r.Decision.Gap, "report_age", r.Decision.Age,
 		"running", r.Decision.Running, "queued", r.Decision.Queued, "own", r.Decision.Own, "limited", r.Decision.Limited, "rate", r.Decision.Rate, "rate_left", r.Decision.Left, "looked", r.Decision.Looked,
-		"candidates", candidates(&r.Decision), "revision", r.Revision, "hops", r.Hops, "attempt", r.Attempt,
-		"goal", until(r.Goal, r.At), "left", until(r.Deadline, r.At), "fresh", r.Fresh,
+		"candidates", loggedCandidates(&r.Decision), "revision", r.Revision, "hops", r.Hops, "attempt", r.Attempt,
+		"goal", timeUntil(r.Goal, r.At), "left", timeUntil(r.Deadline, r.At), "fresh", r.Fresh,
 		"charge", r.Charge, "quota_here", r.Quota.Left, "quota_region", r.Quota.Region, "quota_age", r.Quota.Age)
 }
 
-// cause is the text of an error; empty for none.
-func cause(err error) string {
+// errorText returns the text of an error; empty for nil.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// until is the time to a moment; 0 where there is none.
-func until(t, now time.Time) time.Duration {
+// timeUntil returns the time from now to t; 0 for the zero time.
+func timeUntil(t, now time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
 	return t.Sub(now)
 }
 
-// first is the time from a request's arrival to the first of its answer; 0 for
-// one that ran elsewhere or has no answer.
-func first(r *vetchtrail.Record) time.Duration {
+// timeToFirst returns the time from r.At, a request's arrival or an attempt's start, to the first
+// byte of the answer. It is 0 if there was no answer or the request ran elsewhere.
+func timeToFirst(r *vetchtrail.Record) time.Duration {
 	if r.Outcome.First.IsZero() {
 		return 0
 	}
 	return r.Outcome.First.Sub(r.At)
 }
 
-// candidate is a losing candidate as a log line shows it.
-type candidate struct {
+// loggedCandidate is a candidate that was not chosen, as it is written to the log.
+type loggedCandidate struct {
 	Name   string  `json:"name"`
 	Cost   float64 `json:"cost"`
 	Reason string  `json:"reason"`
 }
 
-func candidates(d *vetchtrail.Decision) []candidate {
-	out := make([]candidate, 0, d.Kept)
+// loggedCandidates returns the candidates that a decision kept for the log.
+func loggedCandidates(d *vetchtrail.Decision) []loggedCandidate {
+	out := make([]loggedCandidate, 0, d.Kept)
 	for _, c := range d.Candidates[:d.Kept] {
-		out = append(out, candidate{Name: c.Name, Cost: c.Cost, Reason: string(c.Reason)})
+		out = append(out, loggedCandidate{Name: c.Name, Cost: c.Cost, Reason: string(c.Reason)})
 	}
 	return out
 }
--- a/process/journal/lines.go
+++ b/process/journal/lines.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// longestLine bounds a line of a log that is read, in bytes: a decision's is some
-	// hundreds.
-	longestLine = 1 << 20
+	// maxLineBytes bounds the length of a log line that is read. A decision's line has some
+	// hundreds of bytes.
+	maxLineBytes = 1 << 20
 )
 
-// Messages of the lines that tell of a request.
+// Messages of the log lines about a request.
 const (
-	MsgDecision = "decision"
-	MsgOutcome  = "outcome"
-	// MsgLost is of each attempt that may have run and has no whole answer: an outcome tells
-	// of the last only.
+	MsgDecision = "decision" // where a request is to run, or why it is refused
+	MsgOutcome  = "outcome"  // how a request ended at a host
+	// MsgLost is logged for each attempt that may have run without a whole answer. The outcome
+	// describes only the last attempt.
 	MsgLost = "attempt lost"
 )
 
-// Line is a line of a host's log, as far as it serves to explain a request.
+// Line is a line of a host's log, with the fields that help to explain a request.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Level   string    `json:"level"`
@@ -32,33 +32,33 @@
 	Request string    `json:"request,omitempty"`
 	Service string    `json:"service,omitempty"`
 	Route   string    `json:"route,omitempty"`
-	// Workspace is whose caller it was.
+	// Workspace is the caller's workspace.
 	Workspace string `json:"workspace,omitempty"`
-	Hops      int    `json:"hops"`
+	Hops      int    `json:"hops"` // 0: at the host that the caller asked; 1: at a host that it was forwarded to
 	Reason    string `json:"reason,omitempty"`
 	Revision  uint64 `json:"revision,omitempty"`
 
 	// Of a decision.
-	Decision   string        `json:"decision,omitempty"`
-	Target     string        `json:"target,omitempty"`
-	Home       string        `json:"home,omitempty"`
-	Attempt    int           `json:"attempt,omitempty"`
-	Prompt     int           `json:"prompt,omitempty"`
-	Wait       time.Duration `json:"wait,omitempty"`
-	Backlog    time.Duration `json:"backlog,omitempty"`
-	Holds      int           `json:"holds,omitempty"`
-	Gap        time.Duration `json:"gap,omitempty"`
-	ReportAge  time.Duration `json:"report_age,omitempty"`
-	Running    int           `json:"running,omitempty"`
-	Queued     int           `json:"queued,omitempty"`
-	Looked     int           `json:"looked,omitempty"`
-	Candidates []candidate   `json:"candidates,omitempty"`
-	Goal       time.Duration `json:"goal,omitempty"`  // from the line to the request's goal
-	Left       time.Duration `json:"left,omitempty"`  // from the line to its deadline
-	Fresh      bool          `json:"fresh,omitempty"` // its caller's first try
+	Decision   string            `json:"decision,omitempty"`
+	Target     string            `json:"target,omitempty"` // endpoint, host or data centre that was chosen
+	Home       string            `json:"home,omitempty"`   // the workspace's home region, or the region in which the request arrived
+	Attempt    int               `json:"attempt,omitempty"`
+	Prompt     int               `json:"prompt,omitempty"`     // tokens
+	Wait       time.Duration     `json:"wait,omitempty"`       // predicted time to the first byte of the answer
+	Backlog    time.Duration     `json:"backlog,omitempty"`    // until the target has read the prompts that it got before
+	Holds      int               `json:"holds,omitempty"`      // prompt tokens that the target probably has cached
+	Gap        time.Duration     `json:"gap,omitempty"`        // interval between events of the target's streams
+	ReportAge  time.Duration     `json:"report_age,omitempty"` // age of the target's load report
+	Running    int               `json:"running,omitempty"`    // requests running at the target, as reported
+	Queued     int               `json:"queued,omitempty"`     // requests queued at the target, as reported
+	Looked     int               `json:"looked,omitempty"`     // candidates considered
+	Candidates []loggedCandidate `json:"candidates,omitempty"` // some of those that were not chosen
+	Goal       time.Duration     `json:"goal,omitempty"`       // from the decision to the request's latency goal
+	Left       time.Duration     `json:"left,omitempty"`       // from the decision to the request's deadline
+	Fresh      bool              `json:"fresh,omitempty"`      // the caller's first attempt
 
-	// What one run takes of its workspace's quota, and what was left of it at this host
-	// and in its region, as it knew then.
+	// Cost of one run in units of the workspace's quota, what was left of the quota at this
+	// host and in its region, and the age of that information.
 	Charge      float64       `json:"charge,omitempty"`
 	QuotaHere   float64       `json:"quota_here,omitempty"`
 	QuotaRegion float64       `json:"quota_region,omitempty"`
@@ -67,35 +67,36 @@
 	// Of an outcome.
 	Outcome string        `json:"outcome,omitempty"`
 	Step    string        `json:"step,omitempty"`
-	Peer    string        `json:"peer,omitempty"`
-	Took    time.Duration `json:"took,omitempty"`
-	First   time.Duration `json:"first,omitempty"`
-	Status  int           `json:"status,omitempty"`
-	Events  int           `json:"events,omitempty"`
-	Begun   bool          `json:"begun,omitempty"`
-	// HostLost says that the host which it was passed to was lost.
+	Peer    string        `json:"peer,omitempty"`   // endpoint or host where the request ended
+	Took    time.Duration `json:"took,omitempty"`   // from the request's arrival at this host
+	First   time.Duration `json:"first,omitempty"`  // from the arrival to the first byte of the answer
+	Status  int           `json:"status,omitempty"` // HTTP status
+	Events  int           `json:"events,omitempty"` // of a streamed answer
+	Begun   bool          `json:"begun,omitempty"`  // part of the answer was sent to the caller
+	// HostLost reports that the host to which the request was forwarded was lost.
 	HostLost bool   `json:"host_lost,omitempty"`
 	Error    string `json:"error,omitempty"`
 
-	// Of a lost attempt. Digest tells whether requests are one that came again.
+	// Digest is the content hash of the request of a lost attempt. Requests with the same one
+	// are repeats.
 	Digest string `json:"digest,omitempty"`
 
-	// Of what a host came to believe.
+	// Of a change that a host logs about an endpoint, a data centre or the platform.
 	Endpoint      string `json:"endpoint,omitempty"`
 	DataCentre    string `json:"data_centre,omitempty"`
 	State         string `json:"state,omitempty"`
 	StoreRevision uint64 `json:"store_revision,omitempty"`
 }
 
-// readLines gives each line of a log that may bear on what is asked to take. It returns
-// how many were no JSON, such as one cut off at the log's end.
-func readLines(log io.Reader, bears func(text []byte) bool, take func(Line)) (unread int, err error) {
+// readLines decodes the lines of a log that relevant accepts and passes them to add. It returns
+// the number of lines that were not valid JSON, such as one cut off at the end of the log.
+func readLines(log io.Reader, relevant func(text []byte) bool, add func(Line)) (unread int, err error) {
 	in := bufio.NewScanner(log)
-	in.Buffer(nil, longestLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		text := in.Bytes()
-		at := bytes.IndexByte(text, '{') // a collector may have put its own words before
-		if at < 0 || !bears(text) {
+		at := bytes.IndexByte(text, '{') // a log collector may have added a prefix
+		if at < 0 || !relevant(text) {
 			continue
 		}
 		var l Line
@@ -103,7 +104,7 @@
 			unread++
 			continue
 		}
-		take(l)
+		add(l)
 	}
 	return unread, in.Err()
 }
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -9,85 +9,87 @@
 	"github.com/go-faster/errors"
 )
 
-// Cause is why a request was answered late or not at all.
+// Cause is why a request was answered late or not at all. Its text is shown to operators.
 type Cause string
 
-// Causes.
+// Causes, with CauseNone for a request that was answered in time.
 const (
-	CauseNone          Cause = "in time"
-	CauseRefusedFirst  Cause = "refused at its first try"
-	CauseRefusedBack   Cause = "refused when its caller came back"
-	CauseOverQuota     Cause = "over its workspace's quota"
-	CauseHeldBack      Cause = "held back, as endpoints ended under it"
-	CauseLimited       Cause = "refused, as endpoints named a rate"
-	CauseLateForeseen  Cause = "late as foreseen"
-	CauseLateAtQueue   Cause = "late at the endpoint, foreseen in time"
-	CauseLateAgain     Cause = "late after another attempt"
-	CauseCut           Cause = "cut with its endpoint"
-	CauseLost          Cause = "lost with its endpoint before its answer"
-	CauseHostLost      Cause = "lost with the host it was passed to"
-	CauseOutOfTime     Cause = "out of time while it streamed"
-	CauseNeverBegan    Cause = "out of time before its answer"
-	CauseFailed        Cause = "failed at its endpoint"
-	CauseCallerGone    Cause = "left by its caller"
-	CauseHostGone      Cause = "no end in the logs: its host ended, or lines were dropped"
-	firstServerFailure       = 500
+	CauseNone                Cause = "in time"
+	CauseRefusedFirst        Cause = "refused at its first try"
+	CauseRefusedRetry        Cause = "refused when its caller came back"
+	CauseOverQuota           Cause = "over its workspace's quota"
+	CauseQuarantined         Cause = "held back, as endpoints ended under it"
+	CauseRateLimited         Cause = "refused, as endpoints named a rate"
+	CauseLatePredicted       Cause = "late as foreseen"
+	CauseLateUnpredicted     Cause = "late at the endpoint, foreseen in time"
+	CauseLateAfterRetry      Cause = "late after another attempt"
+	CauseCut                 Cause = "cut with its endpoint"
+	CauseLostBeforeAnswer    Cause = "lost with its endpoint before its answer"
+	CauseHostLost            Cause = "lost with the host it was passed to"
+	CauseTimeoutInAnswer     Cause = "out of time while it streamed"
+	CauseTimeoutBeforeAnswer Cause = "out of time before its answer"
+	CauseEndpointFailed      Cause = "failed at its endpoint"
+	CauseCallerGone          Cause = "left by its caller"
+	CauseNoOutcome           Cause = "no end in the logs: its host ended, or lines were dropped"
+	minServerErrorStatus           = 500 // HTTP status
 )
 
-// heldBack is the reason of requests that are held back.
-const heldBack = "held-back"
+// reasonHeldBack is the reason for refusing a quarantined request.
+const reasonHeldBack = "held-back"
 
-// limited is the reason of requests for which nothing was left of the rates that endpoints name.
-const limited = "endpoint-limited"
+// reasonLimited is the reason for refusing a request when nothing is left of the endpoints' rate
+// limits.
+const reasonLimited = "endpoint-limited"
 
-// Loss is how many requests had one end in one second.
+// Loss is the number of requests that ended with one cause in one second, by service, route,
+// home and workspace. The second is that of the request's first decision.
 type Loss struct {
-	Second  int    `json:"second"` // since the first line
+	Second  int    `json:"second"` // since Losses.From
 	Service string `json:"service"`
 	Route   string `json:"route"`
-	Home    string `json:"home"` // region in which they were handed in
-	// Workspace is whose callers asked; empty: nobody's.
+	Home    string `json:"home"` // the workspace's home region or, if it has none, the region in which the requests arrived
+	// Workspace is the callers' workspace; empty for callers without one.
 	Workspace string `json:"workspace"`
 	Cause     Cause  `json:"cause"`
 	Count     int    `json:"count"`
 }
 
-// Losses is what became of the requests that some logs tell of.
+// Losses counts the requests in the logs of several hosts by how they ended.
 type Losses struct {
-	From   time.Time `json:"from"` // of the first line
+	From   time.Time `json:"from"` // time of the first line
 	Rows   []Loss    `json:"rows"` // in the order of time
 	Unread int       `json:"unread"`
 }
 
-// story is what is kept of one request.
-type story struct {
-	first    Line // decision at the host that was asked
-	last     Line // newest decision to run somewhere
-	end      Line // outcome at the host that was asked
-	began    time.Time
-	attempts int
+// requestLog collects what the log lines say about one request.
+type requestLog struct {
+	firstDecision Line // first decision at the host that the caller asked
+	lastRun       Line // last decision to run the request at an endpoint
+	outcome       Line // outcome at the host that the caller asked
+	answerBegan   time.Time
+	attempts      int // decisions to run the request at an endpoint
 }
 
-// ReadLosses reads logs of all hosts and tells how each request ended, joined with
-// the decision that led there.
+// ReadLosses reads the logs of all hosts and counts the requests by how they ended. The cause
+// follows from a request's outcome and the decisions before it.
 func ReadLosses(logs ...io.Reader) (*Losses, error) {
-	stories, out := map[string]*story{}, &Losses{}
+	requests, out := map[string]*requestLog{}, &Losses{}
 	for _, log := range logs {
-		if err := out.read(log, stories); err != nil {
+		if err := out.read(log, requests); err != nil {
 			return nil, err
 		}
 	}
 	counts := map[Loss]int{}
-	for _, s := range stories {
-		if s.first.Msg == "" && s.end.Reason == heldBack {
-			s.first = s.end // refused before a decision was made
+	for _, r := range requests {
+		if r.firstDecision.Msg == "" && r.outcome.Reason == reasonHeldBack {
+			r.firstDecision = r.outcome // quarantined requests are refused before any decision
 		}
-		if s.first.Msg == "" {
-			continue // only the host that it was passed to is there
+		if r.firstDecision.Msg == "" {
+			continue // only the log of the host that it was forwarded to is there
 		}
 		counts[Loss{
-			Second: int(s.first.Time.Sub(out.From).Seconds()), Service: s.first.Service, Route: s.first.Route,
-			Home: s.first.Home, Workspace: s.first.Workspace, Cause: s.cause(),
+			Second: int(r.firstDecision.Time.Sub(out.From).Seconds()), Service: r.firstDecision.Service, Route: r.firstDecision.Route,
+			Home: r.firstDecision.Home, Workspace: r.firstDecision.Workspace, Cause: r.cause(),
 		}]++
 	}
 	for row, n := range counts {
@@ -101,8 +103,8 @@
 	return out, nil
 }
 
-// read takes the lines of one log.
-func (l *Losses) read(log io.Reader, stories map[string]*story) error {
+// read adds the decisions and outcomes of one log to requests.
+func (l *Losses) read(log io.Reader, requests map[string]*requestLog) error {
 	all := func([]byte) bool { return true }
 	unread, err := readLines(log, all, func(line Line) {
 		if line.Msg != MsgDecision && line.Msg != MsgOutcome {
@@ -111,12 +113,12 @@
 		if l.From.IsZero() || line.Time.Before(l.From) {
 			l.From = line.Time
 		}
-		s, ok := stories[line.Request]
+		r, ok := requests[line.Request]
 		if !ok {
-			s = &story{}
-			stories[line.Request] = s
+			r = &requestLog{}
+			requests[line.Request] = r
 		}
-		s.take(line)
+		r.add(line)
 	})
 	l.Unread += unread
 	if err != nil {
@@ -125,78 +127,78 @@
 	return nil
 }
 
-// take adds a line to a request's story, in any order.
-func (s *story) take(l Line) {
+// add adds a line. Lines may come in any order.
+func (r *requestLog) add(l Line) {
 	switch {
 	case l.Msg == MsgOutcome:
-		s.answered(l)
-	case l.Hops == 0 && (s.first.Msg == "" || l.Time.Before(s.first.Time)):
-		s.first = l
+		r.addOutcome(l)
+	case l.Hops == 0 && (r.firstDecision.Msg == "" || l.Time.Before(r.firstDecision.Time)):
+		r.firstDecision = l
 	}
 	if l.Msg == MsgDecision && l.Decision == "run-here" {
-		s.attempts++
-		if l.Time.After(s.last.Time) {
-			s.last = l
+		r.attempts++
+		if l.Time.After(r.lastRun.Time) {
+			r.lastRun = l
 		}
 	}
 }
 
-// answered takes an outcome. Its line is written at the end; First counts from the
-// request's arrival at that host.
-func (s *story) answered(l Line) {
+// addOutcome adds an outcome. Its line is written at the end of the request; its First and Took
+// count from the request's arrival at that host.
+func (r *requestLog) addOutcome(l Line) {
 	if l.First > 0 {
-		if at := l.Time.Add(l.First - l.Took); s.began.IsZero() || at.Before(s.began) {
-			s.began = at
+		if at := l.Time.Add(l.First - l.Took); r.answerBegan.IsZero() || at.Before(r.answerBegan) {
+			r.answerBegan = at
 		}
 	}
 	if l.Hops == 0 {
-		s.end = l
+		r.outcome = l
 	}
 }
 
-// cause says why the request ended as it did.
-func (s *story) cause() Cause {
-	switch e := &s.end; {
+// cause returns why the request ended as it did.
+func (r *requestLog) cause() Cause {
+	switch e := &r.outcome; {
 	case e.Msg == "":
-		return CauseHostGone
-	case e.Outcome == "answered" && (e.Status >= firstServerFailure || e.Reason == "endpoint-failed"):
-		return CauseFailed
+		return CauseNoOutcome
+	case e.Outcome == "answered" && (e.Status >= minServerErrorStatus || e.Reason == "endpoint-failed"):
+		return CauseEndpointFailed
 	case e.Outcome == "answered":
-		return s.late()
+		return r.lateCause()
 	case e.Reason == "caller-gone":
 		return CauseCallerGone
 	case e.Outcome == "not-run" && e.Reason == "over-quota":
 		return CauseOverQuota
-	case e.Reason == heldBack:
-		return CauseHeldBack
-	case e.Outcome == "not-run" && e.Reason == limited:
-		return CauseLimited
-	case e.Outcome == "not-run" && s.first.Fresh:
+	case e.Reason == reasonHeldBack:
+		return CauseQuarantined
+	case e.Outcome == "not-run" && e.Reason == reasonLimited:
+		return CauseRateLimited
+	case e.Outcome == "not-run" && r.firstDecision.Fresh:
 		return CauseRefusedFirst
 	case e.Outcome == "not-run":
-		return CauseRefusedBack
+		return CauseRefusedRetry
 	case e.HostLost:
 		return CauseHostLost
 	case e.Reason == "deadline" && e.Begun:
-		return CauseOutOfTime
+		return CauseTimeoutInAnswer
 	case e.Reason == "deadline":
-		return CauseNeverBegan
+		return CauseTimeoutBeforeAnswer
 	case e.Begun:
 		return CauseCut
 	}
-	return CauseLost
+	return CauseLostBeforeAnswer
 }
 
-// late says why an answer began after its goal, if it did.
-func (s *story) late() Cause {
-	goal := s.first.Time.Add(s.first.Goal)
+// lateCause returns why the answer began after the goal; CauseNone if it began in time.
+func (r *requestLog) lateCause() Cause {
+	goal := r.firstDecision.Time.Add(r.firstDecision.Goal)
 	switch {
-	case s.first.Goal == 0 || s.began.IsZero() || !s.began.After(goal):
+	case r.firstDecision.Goal == 0 || r.answerBegan.IsZero() || !r.answerBegan.After(goal):
 		return CauseNone
-	case s.attempts > 1:
-		return CauseLateAgain
-	case s.last.Time.Add(s.last.Wait).After(goal):
-		return CauseLateForeseen
+	case r.attempts > 1:
+		return CauseLateAfterRetry
+	case r.lastRun.Time.Add(r.lastRun.Wait).After(goal):
+		return CauseLatePredicted
 	}
-	return CauseLateAtQueue
+	return CauseLateUnpredicted
 }
