--- a/process/settings/capacity.go
+++ b/process/settings/capacity.go
@@ -3,25 +3,25 @@
 import "math"
 
 const (
-	// requestBits is what a request and its answer take of a host's link in the mean, each way, with
-	// prompts of some thousand tokens.
-	requestBits = 11 * 1024 * 8
-	// requestTime is what a request takes of a host's processor, in seconds.
-	requestTime = 0.0002
+	// requestLinkBits is the mean traffic of a request with its answer on a host's link, in bits
+	// in each direction, for prompts of some thousand tokens.
+	requestLinkBits = 11 * 1024 * 8
+	// requestCoreSeconds is the processor time of a request at a host, in seconds of one core.
+	requestCoreSeconds = 0.0002
 )
 
-// Capacity returns the requests a second that the host can take by its link and its
-// processor; 0: the settings tell neither.
+// Capacity returns the number of requests a second that the host's link and processor can
+// handle; 0 if the settings give neither.
 func (l Limits) Capacity() uint32 {
-	least := math.Inf(1)
+	capacity := math.Inf(1)
 	if l.Link > 0 {
-		least = min(least, l.Link*1e6/requestBits)
+		capacity = min(capacity, l.Link*1e6/requestLinkBits)
 	}
 	if l.Processor > 0 {
-		least = min(least, l.Processor/requestTime)
+		capacity = min(capacity, l.Processor/requestCoreSeconds)
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(capacity, 1) {
 		return 0
 	}
-	return uint32(max(1, min(least, math.MaxUint32)))
+	return uint32(max(1, min(capacity, math.MaxUint32)))
 }
--- a/process/settings/locate.go
+++ b/process/settings/position.go
@@ -13,10 +13,10 @@
 	"vetchtrail"
 )
 
-// located words an error of decoding with the line at fault. The library knows
-// the line of an unknown key or a wrong type, but not that of a text that its
-// type refused.
-func located(text []byte, err error) string {
+// withPosition returns the text of a decoding error with the line and column at fault. The YAML
+// library knows the position of an unknown key or of a value of the wrong kind, but not that of
+// a text that could not be parsed as its type.
+func withPosition(text []byte, err error) string {
 	formatted := yaml.FormatError(err, false, true)
 	if len(formatted) > 0 && formatted[0] == '[' {
 		return formatted
@@ -25,7 +25,7 @@
 	if parseErr != nil {
 		return formatted
 	}
-	f := &finder{message: err.Error()}
+	f := &valueFinder{message: err.Error()}
 	for _, d := range file.Docs {
 		ast.Walk(f, d)
 	}
@@ -35,33 +35,34 @@
 	return f.found
 }
 
-// finder finds the text that gives the same error as the library had.
-type finder struct {
-	message string
-	found   string
+// valueFinder visits the nodes of a YAML file and finds the first value whose parsing fails with
+// the library's error message.
+type valueFinder struct {
+	message string // the library's
+	found   string // the same with position and value; empty until found
 }
 
 // Visit implements ast.Visitor.
-func (f *finder) Visit(n ast.Node) ast.Visitor {
+func (f *valueFinder) Visit(n ast.Node) ast.Visitor {
 	s, ok := n.(ast.ScalarNode)
 	if !ok || f.found != "" {
 		return f
 	}
 	text := fmt.Sprint(s.GetValue())
-	if err := refusal(n.GetPath(), text); err != nil && err.Error() == f.message {
+	if err := parseError(n.GetPath(), text); err != nil && err.Error() == f.message {
 		token := n.GetToken()
 		f.found = fmt.Sprintf("[%d:%d] %q: %s", token.Position.Line, token.Position.Column, text, err)
 	}
 	return f
 }
 
-// refusal is the error of the type at a path on a text.
-func refusal(path, text string) (err error) {
+// parseError parses a text as the type of the setting at a path and returns the error, if any.
+func parseError(path, text string) (err error) {
 	if strings.HasSuffix(path, "."+text) {
-		return nil // a key
+		return nil // the node is a key, not a value
 	}
-	section, _, _ := strings.Cut(strings.TrimPrefix(path, "$."), ".")
-	switch name, _, _ := strings.Cut(section, "["); name {
+	topLevel, _, _ := strings.Cut(strings.TrimPrefix(path, "$."), ".")
+	switch name, _, _ := strings.Cut(topLevel, "["); name {
 	case "listen", "platform", "seeds":
 		_, err = netip.ParseAddrPort(text)
 	case "translate":
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads what one daemon is told of itself: its name, its
-// addresses, where the platform is, its limits. What the operators want of the
-// whole system is configuration and lives in the platform's service.
+// Package settings reads and checks the settings file of one daemon: its name, its addresses,
+// those of the platform, its limits. What holds for the whole system, such as services and
+// routes, is not here but in the configuration, which is persisted on the platform.
 package settings
 
 import (
@@ -22,56 +22,56 @@
 	"vetchtrail/version/document"
 )
 
-// Settings is a daemon's settings file.
+// Settings is the content of a daemon's settings file.
 type Settings struct {
-	Host       string           `yaml:"host"`        // name, unique in the system
-	Region     string           `yaml:"region"`      // where it stands
-	DataCentre string           `yaml:"data_centre"` // where it stands
+	Host       string           `yaml:"host"`        // name of the host, unique in the system
+	Region     string           `yaml:"region"`      // region of the host
+	DataCentre string           `yaml:"data_centre"` // data centre of the host
 	Listen     Listen           `yaml:"listen"`
 	Platform   Platform         `yaml:"platform"`
-	Seeds      []netip.AddrPort `yaml:"seeds"`     // peers of some hosts, of any data centre
-	Translate  []Translation    `yaml:"translate"` // networks reached under other addresses
-	Policy     string           `yaml:"policy"`    // how requests are placed
-	// SwitchedOff names mechanisms of the policy that are not used, to measure what
-	// they are worth.
+	Seeds      []netip.AddrPort `yaml:"seeds"`     // peer addresses of some hosts in any data centre, to find the others through
+	Translate  []Translation    `yaml:"translate"` // networks that this host reaches under other addresses
+	Policy     string           `yaml:"policy"`    // name of the policy that decides where requests run
+	// SwitchedOff names the mechanisms that are not used, in order to measure their effect.
 	SwitchedOff []vetchtrail.Mechanism `yaml:"switched_off"`
 	Limits      Limits                 `yaml:"limits"`
 	Timing      Timing                 `yaml:"timing"`
-	Explain     bool                   `yaml:"explain"` // say in answers where they were made
+	Explain     bool                   `yaml:"explain"` // name in responses the endpoint that made them
 	Log         Log                    `yaml:"log"`
 	TLS         TLS                    `yaml:"tls"`
 	Retries     Retries                `yaml:"retries"`
 	Quotas      Quotas                 `yaml:"quotas"`
 }
 
-// Listen holds the daemon's own addresses.
+// Listen holds the addresses that the daemon listens on. Callers and Peers are required.
 type Listen struct {
 	Callers netip.AddrPort `yaml:"callers"`
-	// Ready and Directory answer the hosted platform's own question and callers
-	// that ask where to go; Metrics serves this process's figures.
+	// Ready serves the readiness probe of a hosted platform, Directory tells callers of a
+	// hosted platform which hosts to use, and Metrics serves the process's metrics.
 	Ready     netip.AddrPort `yaml:"ready"`
 	Directory netip.AddrPort `yaml:"directory"`
 	Metrics   netip.AddrPort `yaml:"metrics"`
-	Peers     netip.AddrPort `yaml:"peers"` // of hosts and operators
+	Peers     netip.AddrPort `yaml:"peers"` // for other hosts and operators
 }
 
-// Platform holds the platform's addresses. Hosts may be left out.
+// Platform describes the platform and holds its addresses. Hosts is optional.
 type Platform struct {
-	// Kind is own, where the configuration and the endpoints are kept by the
-	// project's own log, or hosted, where the platform keeps both.
+	// Kind is own if the configuration, with the endpoints, is in this project's change log
+	// in the store. It is hosted if the platform has its own configuration and its own list
+	// of endpoints.
 	Kind  string         `yaml:"kind"`
-	Store netip.AddrPort `yaml:"store"`
-	Hosts netip.AddrPort `yaml:"hosts"` // the list of live and leaving endpoints
-	// DataCentres gives each data centre's region, on a hosted platform.
+	Store netip.AddrPort `yaml:"store"` // the key-value service
+	Hosts netip.AddrPort `yaml:"hosts"` // the service that lists live and leaving endpoints
+	// DataCentres maps each data centre of a hosted platform to its region.
 	DataCentres map[string]string `yaml:"data_centres"`
-	// Weights are those of a hosted platform's services, whose configuration has none.
+	// Weights holds the weights of services on a hosted platform, whose configuration has none.
 	Weights Weights `yaml:"weights"`
-	// KnownWithin is the time in which all hosts must know of an endpoint that leaves a
-	// hosted platform, and of a new configuration.
+	// KnownWithin is the time within which all hosts of a hosted platform must know of an
+	// endpoint that is leaving, and of a new configuration.
 	KnownWithin time.Duration `yaml:"known_within"`
 }
 
-// Weights are the weights of services by their kind.
+// Weights holds the weights of services by their kind.
 type Weights struct {
 	Model document.Weights `yaml:"model"`
 	Plain document.Weights `yaml:"plain"`
@@ -83,118 +83,123 @@
 	PlatformHosted = "hosted"
 )
 
-// Retries bound the attempts beyond the first of all hosts together.
+// Retries bounds the attempts after the first for a service: in any span of length Window, they
+// are at most Share of the requests plus Base. The bound holds for all hosts together on a hosted
+// platform, and for each host otherwise.
 type Retries struct {
-	Window time.Duration `yaml:"window"` // any span of this length counts
-	Share  float64       `yaml:"share"`  // of the requests for a service
-	Base   float64       `yaml:"base"`   // beside the share
+	Window time.Duration `yaml:"window"`
+	Share  float64       `yaml:"share"` // attempts for each request
+	Base   float64       `yaml:"base"`  // attempts in addition to the share
 }
 
-// Quotas say how the workspaces' quotas are kept, and by how much the hosts together may
-// exceed one: in any window, (rate x window + burst) x (1 + overage) + slack.
+// Quotas sets how the quotas of workspaces are enforced, and the tolerance by which all hosts
+// together may exceed one: in any window, they run at most
+// (rate x window + burst) x (1 + overage) + slack units.
 type Quotas struct {
-	Way     string        `yaml:"way"` // leased, told or equal
+	Way     string        `yaml:"way"` // one of quotas.Ways: leased, told or equal
 	Window  time.Duration `yaml:"window"`
 	Overage float64       `yaml:"overage"`
 	Slack   float64       `yaml:"slack"` // units
 }
 
-// Translation maps a network's addresses to those it is reached under.
+// Translation maps the addresses of a network to those under which this host reaches it.
 type Translation struct {
 	From netip.Prefix `yaml:"from"`
 	To   netip.Prefix `yaml:"to"`
 }
 
-// Limits bound what the daemon takes.
+// Limits holds the limits of the daemon and the capacity of its host.
 type Limits struct {
-	Body    int `yaml:"body"`    // bytes of a caller's request
-	Records int `yaml:"records"` // bytes of answers kept for repeats
-	Memory  int `yaml:"memory"`  // MB that the process may take; 0: not bounded
-	// Link and Processor are the host's, to weigh it against others; 0: not told.
+	Body    int `yaml:"body"`    // maximum size of a caller's request body, in bytes
+	Records int `yaml:"records"` // maximum size of the responses stored for repeated requests, in bytes
+	Memory  int `yaml:"memory"`  // memory for the process, in MB; 0: unbounded
+	// Link and Processor are the host's own, to weigh it against other hosts; 0: unknown.
 	Link      float64 `yaml:"link"`      // Mbit/s
 	Processor float64 `yaml:"processor"` // cores
 }
 
-// Timing holds the daemon's intervals.
+// Timing holds the daemon's intervals and timeouts.
 type Timing struct {
-	Poll    time.Duration `yaml:"poll"`     // between two reports of an endpoint
-	KeyTime time.Duration `yaml:"key_time"` // from a key's issue to its expiry
-	Leave   time.Duration `yaml:"leave"`    // between announcing a stop and closing
-	Grace   time.Duration `yaml:"grace"`    // between being told to stop and being killed; 0: no end
+	Poll    time.Duration `yaml:"poll"`     // interval between polls of an endpoint's load report
+	KeyTime time.Duration `yaml:"key_time"` // lifetime of an idempotency key
+	Leave   time.Duration `yaml:"leave"`    // from announcing a stop to closing the listener
+	Grace   time.Duration `yaml:"grace"`    // from being told to stop to being killed; 0: unlimited
 }
 
-// Log says how the daemon logs.
+// Log holds the format and level of the daemon's log.
 type Log struct {
 	Format string `yaml:"format"` // text or json
 	Level  string `yaml:"level"`  // debug, info, warn or error
 }
 
-// TLS names the files that protect what hosts and operators say. Without them
-// peers must be on loopback addresses.
+// TLS names the files for mutual TLS among hosts and operators. Without TLS, the listener for
+// peers must have a loopback address, unless PrivateNetwork is set.
 type TLS struct {
-	Certificate string `yaml:"certificate"` // PEM, of this host
-	Key         string `yaml:"key"`         // PEM
-	Authority   string `yaml:"authority"`   // PEM, that signed the others'
-	// PrivateNetwork says that nobody else reaches the hosts' network: peers are
-	// then spoken to without keys on any address.
+	Certificate string `yaml:"certificate"` // PEM file with this host's certificate
+	Key         string `yaml:"key"`         // PEM file with the key of Certificate
+	Authority   string `yaml:"authority"`   // PEM file with the authority that signs the certificates of hosts and operators
+	// PrivateNetwork confirms that nobody else can reach the hosts' network. Peers may then
+	// have any address without TLS.
 	PrivateNetwork bool `yaml:"private_network"`
 }
 
-// On says whether keys are set.
+// On reports whether any of the TLS files is set.
 func (t TLS) On() bool { return t.Certificate != "" || t.Key != "" || t.Authority != "" }
 
 const (
-	defaultBody    = 4 << 20
-	defaultRecords = 64 << 20
-	minPoll        = 50 * time.Millisecond
-	maxPoll        = 10 * time.Second
-	minKeyTime     = time.Minute
-	maxKeyTime     = 24 * time.Hour
-	maxLeave       = time.Minute
-	// defaultKnown is the shortest time that deployments ask for so far.
-	defaultKnown = 3 * time.Second
-	minKnown     = time.Second
-	maxKnown     = time.Minute
-	maxBody      = 64 << 20
+	defaultBodyBytes    = 4 << 20
+	defaultRecordsBytes = 64 << 20
+	minPoll             = 50 * time.Millisecond
+	maxPoll             = 10 * time.Second
+	minKeyTime          = time.Minute
+	maxKeyTime          = 24 * time.Hour
+	maxLeave            = time.Minute
+	// defaultKnownWithin is the shortest time that a deployment requires.
+	defaultKnownWithin = 3 * time.Second
+	minKnownWithin     = time.Second
+	maxKnownWithin     = time.Minute
+	maxBodyBytes       = 64 << 20
 )
 
-// Weights that stand where a hosted platform's settings say nothing, in seconds of
-// waiting for the first of an answer.
+// Default weights of services on a hosted platform. A cost of 1 is a second of waiting for the
+// first token.
 const (
+	// tailWeight is the cost of a second of predicted time to the first token.
 	tailWeight = 1
-	// awayWeight is what a request costs beside its way when it leaves its region: as
-	// little as tells apart what is alike, so that links carry nothing for nothing.
+	// awayWeight is the cost of leaving the caller's region, in addition to the network delay.
+	// It is just enough to prefer the region among equal candidates, so that links between
+	// regions carry no needless traffic.
 	awayWeight = 0.02
-	// costWeight is what a second of an endpoint's time costs: the more time requests
-	// take, the fewer are served at a peak.
+	// costWeight is the cost of a second of an endpoint's time: the more time requests take,
+	// the fewer are served at a peak.
 	costWeight = 0.2
-	// readWeight is what a second costs in which an endpoint reads parts of a prompt
-	// that another holds: all its streams pause meanwhile, some 20 at a peak.
+	// readWeight is the cost of a second in which an endpoint reads prompt tokens that it
+	// doesn't have cached: all its streams pause meanwhile, some 20 at a peak.
 	readWeight = 20
-	maxWeight  = 1000
+	// maxWeight bounds each weight.
+	maxWeight = 1000
 )
 
-// Default returns the settings that stand where a file says nothing.
+// Default returns the settings that apply where a file gives no value.
 func Default() Settings {
 	return Settings{
 		Policy: policy.NameWeighted,
-		Limits: Limits{Body: defaultBody, Records: defaultRecords},
+		Limits: Limits{Body: defaultBodyBytes, Records: defaultRecordsBytes},
 		Timing: Timing{Poll: 500 * time.Millisecond, KeyTime: 15 * time.Minute, Leave: 3 * time.Second},
 		Log:    Log{Format: "text", Level: "info"},
-		// A host's own bound where none is set for all: a tenth, and a few that a
-		// quiet service starts with.
+		// A tenth of the requests, and a few attempts for a service with little traffic.
 		Retries: Retries{Window: 10 * time.Second, Share: 0.1, Base: 5},
-		// Without an operator's word nothing beyond a quota is allowed.
+		// Without overage and slack, the hosts together may not exceed a quota.
 		Quotas: Quotas{Way: quotas.WayLeased, Window: 10 * time.Second},
-		Platform: Platform{Kind: PlatformOwn, KnownWithin: defaultKnown, Weights: Weights{
+		Platform: Platform{Kind: PlatformOwn, KnownWithin: defaultKnownWithin, Weights: Weights{
 			Model: document.Weights{Tail: tailWeight, Away: awayWeight, Cost: costWeight, Read: readWeight},
 			Plain: document.Weights{Tail: tailWeight, Away: awayWeight},
 		}},
 	}
 }
 
-// Load reads a settings file. Errors tell the file and, where one is at fault,
-// the line.
+// Load reads and checks a settings file. Its errors name the file and, where possible, the
+// position in it.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -207,26 +212,27 @@
 	return s, nil
 }
 
-// Parse reads settings. Unknown keys are errors.
+// Parse reads and checks settings. Unknown keys are errors.
 func Parse(text []byte) (Settings, error) {
 	s := Default()
 	d := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
 	if err := d.Decode(&s); err != nil {
-		return Settings{}, errors.New(located(text, err))
+		return Settings{}, errors.New(withPosition(text, err))
 	}
 	return s, s.check()
 }
 
-// problem is a setting with what is wrong with it.
-type problem struct {
-	bad  bool
-	name string
-	text string
+// rule is a condition that a setting must meet.
+type rule struct {
+	violated bool
+	name     string
+	text     string // what is wrong if it is violated
 }
 
+// check returns an error for the first rule that the settings violate.
 func (s *Settings) check() error {
 	_, known := policy.ByName(s.Policy, 0)
-	for _, p := range []problem{
+	for _, r := range []rule{
 		{s.Host == "", "host", "is missing"},
 		{s.Region == "", "region", "is missing"},
 		{s.DataCentre == "", "data_centre", "is missing"},
@@ -234,37 +240,38 @@
 		{!s.Listen.Peers.IsValid(), "listen.peers", "is missing"},
 		{!s.Platform.Store.IsValid(), "platform.store", "is missing"},
 		{!known, "policy", "is not one of weighted, round-robin, least-in-flight, two-choices"},
-		{s.Limits.Body < 1 || s.Limits.Body > maxBody, "limits.body", fmt.Sprintf("must be from 1 to %d bytes", maxBody)},
+		{s.Limits.Body < 1 || s.Limits.Body > maxBodyBytes, "limits.body", fmt.Sprintf("must be from 1 to %d bytes", maxBodyBytes)},
 		{s.Limits.Records < 1, "limits.records", "must be above 0 bytes"},
-		{outside(s.Timing.Poll, minPoll, maxPoll), "timing.poll", fmt.Sprintf("must be from %s to %s", minPoll, maxPoll)},
-		{outside(s.Timing.KeyTime, minKeyTime, maxKeyTime), "timing.key_time", fmt.Sprintf("must be from %s to %s", minKeyTime, maxKeyTime)},
-		{outside(s.Timing.Leave, 0, maxLeave), "timing.leave", fmt.Sprintf("must be from 0s to %s", maxLeave)},
+		{outOfRange(s.Timing.Poll, minPoll, maxPoll), "timing.poll", fmt.Sprintf("must be from %s to %s", minPoll, maxPoll)},
+		{outOfRange(s.Timing.KeyTime, minKeyTime, maxKeyTime), "timing.key_time", fmt.Sprintf("must be from %s to %s", minKeyTime, maxKeyTime)},
+		{outOfRange(s.Timing.Leave, 0, maxLeave), "timing.leave", fmt.Sprintf("must be from 0s to %s", maxLeave)},
 		{s.Log.Format != "text" && s.Log.Format != "json", "log.format", "is not text or json"},
 		{s.TLS.On() && (s.TLS.Certificate == "" || s.TLS.Key == "" || s.TLS.Authority == ""), "tls", "needs certificate, key and authority"},
 		{s.Platform.Kind != PlatformOwn && s.Platform.Kind != PlatformHosted, "platform.kind", "is not own or hosted"},
 		{s.Platform.Kind == PlatformHosted && s.Platform.DataCentres[s.DataCentre] != s.Region, "platform.data_centres",
-			"does not give this host's data centre its region"},
-		{outside(s.Platform.KnownWithin, minKnown, maxKnown), "platform.known_within", fmt.Sprintf("must be from %s to %s", minKnown, maxKnown)},
-		{badWeights(s.Platform.Weights.Model), "platform.weights.model", weightsText},
-		{badWeights(s.Platform.Weights.Plain), "platform.weights.plain", weightsText},
-		{s.Limits.Memory < 0, "limits.memory", "is below 0 MB"},
+			"does not map this host's data centre to its region"},
+		{outOfRange(s.Platform.KnownWithin, minKnownWithin, maxKnownWithin), "platform.known_within", fmt.Sprintf("must be from %s to %s", minKnownWithin, maxKnownWithin)},
+		{invalidWeights(s.Platform.Weights.Model), "platform.weights.model", weightsProblem},
+		{invalidWeights(s.Platform.Weights.Plain), "platform.weights.plain", weightsProblem},
+		{s.Limits.Memory < 0, "limits.memory", "must not be below 0 MB"},
 		{!(s.Limits.Link >= 0) || !(s.Limits.Processor >= 0), "limits", "must not be below 0"},
 		{s.Retries.Window < time.Second, "retries.window", "must be 1s or more"},
 		{s.Retries.Share < 0 || s.Retries.Base < 0, "retries", "must not be below 0"},
 		{!slices.Contains(quotas.Ways, s.Quotas.Way), "quotas.way", "is not one of " + strings.Join(quotas.Ways, ", ")},
 		{s.Quotas.Window < time.Second, "quotas.window", "must be 1s or more"},
 		{!(s.Quotas.Overage >= 0) || !(s.Quotas.Slack >= 0), "quotas", "must not be below 0"},
-		{s.TLS.On() && s.TLS.PrivateNetwork, "tls.private_network", "can't stand beside keys"},
+		{s.TLS.On() && s.TLS.PrivateNetwork, "tls.private_network", "can't be combined with certificate, key and authority"},
 		{!s.TLS.On() && !s.TLS.PrivateNetwork && s.Listen.Peers.IsValid() && !s.Listen.Peers.Addr().IsLoopback(), "listen.peers",
 			"must be a loopback address while tls is not set and tls.private_network is false: peers and operators would be unprotected"},
 	} {
-		if p.bad {
-			return errors.Errorf("%s %s", p.name, p.text)
+		if r.violated {
+			return errors.Errorf("%s %s", r.name, r.text)
 		}
 	}
 	return s.checkTranslations()
 }
 
+// checkTranslations checks that each translation is between IPv4 networks of the same size.
 func (s *Settings) checkTranslations() error {
 	for i, t := range s.Translate {
 		if !t.From.IsValid() || !t.To.IsValid() || t.From.Bits() != t.To.Bits() || !t.From.Addr().Is4() || !t.To.Addr().Is4() {
@@ -274,20 +281,22 @@
 	return nil
 }
 
-var weightsText = fmt.Sprintf("must be from 0 to %d each, and one of them above 0", maxWeight)
+var weightsProblem = fmt.Sprintf("must be from 0 to %d each, with at least one above 0", maxWeight)
 
-func badWeights(w document.Weights) bool {
+// invalidWeights reports whether a weight is out of range or all weights are 0.
+func invalidWeights(w document.Weights) bool {
 	for _, x := range []float64{w.Tail, w.Away, w.Cost, w.Read} {
-		if !(x >= 0 && x <= maxWeight) { // also what is no number
+		if !(x >= 0 && x <= maxWeight) { // negated to catch NaN, too
 			return true
 		}
 	}
 	return w == document.Weights{}
 }
 
-func outside(d, low, high time.Duration) bool { return d < low || d > high }
+// outOfRange reports whether d is below low or above high.
+func outOfRange(d, low, high time.Duration) bool { return d < low || d > high }
 
-// Translations returns them as the peers' client takes them.
+// Translations returns the settings of Translate for the client for peers.
 func (s *Settings) Translations() []peer.Translation {
 	out := make([]peer.Translation, 0, len(s.Translate))
 	for _, t := range s.Translate {
@@ -296,7 +305,7 @@
 	return out
 }
 
-// YAML returns the settings as a file.
+// YAML returns the settings as the text of a settings file.
 func (s *Settings) YAML() ([]byte, error) {
 	out, err := yaml.Marshal(s)
 	if err != nil {
