--- a/process/logs/logs.go
+++ b/process/logs/logs.go
@@ -1,6 +1,7 @@
-// Package logs writes a daemon's log without ever holding it up: lines go
-// through a bounded buffer to a thread that writes them, and those that find it
-// full are dropped, counted and told of.
+// Package logs keeps the output of the log from blocking the daemon, and the log from growing
+// without need. Writer buffers lines and writes them in a goroutine; lines that don't fit are
+// dropped, and their number is logged. Sparse bounds how often a line about the same subject is
+// logged. The package doesn't format lines; log/slog does.
 package logs
 
 import (
@@ -12,48 +13,50 @@
 )
 
 const (
-	// bufferSize bounds what waits to be written, in bytes: a second of a busy
-	// host's lines.
+	// bufferSize bounds the lines that wait to be written, in bytes. It holds about a second
+	// of a busy host's lines.
 	bufferSize = 1 << 20
-	// flushEvery is how long lines are gathered: each write is a system call.
-	flushEvery = 100 * time.Millisecond
-	// pieceSize bounds what is written at once, in bytes, where a line is no longer: a
-	// pipe takes so much in one piece (PIPE_BUF), and a collector that takes little at a
-	// time loses no part of a line. Written whole, one request in six of a busy host had
-	// no end in the collected log.
-	pieceSize = 4096
+	// flushInterval is the time for which lines are collected before they are written, since
+	// each write is a system call.
+	flushInterval = 100 * time.Millisecond
+	// maxChunk bounds a single write, in bytes, unless a line is longer. It is the size that a
+	// pipe takes in one piece (PIPE_BUF), so that a log collector that reads little at a time
+	// loses no part of a line. When the whole buffer was written at once, the collected log
+	// lacked the outcome of one request in six of a busy host.
+	maxChunk = 4096
 )
 
-// Writer is an io.Writer that never blocks. Each call of Write is a line.
+// Writer is an io.Writer whose Write doesn't wait for the output. Each call of Write must pass
+// whole lines. It is safe for concurrent use.
 type Writer struct {
-	to io.Writer
+	dst io.Writer
 
-	mu      sync.Mutex
-	waiting []byte
-	spare   []byte
-	dropped int
-	wake    chan struct{}
-	end     chan struct{}
-	ended   chan struct{}
-	once    sync.Once
+	mu        sync.Mutex
+	buffer    []byte        // lines waiting to be written
+	spare     []byte        // the buffer that was written last, for reuse
+	dropped   int           // lines dropped since the last flush
+	wake      chan struct{} // signals run that lines are buffered
+	closing   chan struct{} // closed by Close
+	closed    chan struct{} // closed when run has returned
+	closeOnce sync.Once
 }
 
-// New returns a writer whose thread writes to w until Close.
+// New returns a writer and starts the goroutine that writes to w until Close.
 func New(w io.Writer) *Writer {
-	l := &Writer{to: w, wake: make(chan struct{}, 1), end: make(chan struct{}), ended: make(chan struct{})}
+	l := &Writer{dst: w, wake: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{})}
 	go l.run()
 	return l
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It drops the line, without an error, if the buffer is full.
 func (l *Writer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting)+len(line) > bufferSize {
+	if len(l.buffer)+len(line) > bufferSize {
 		l.dropped++
 		return len(line), nil
 	}
-	l.waiting = append(l.waiting, line...)
+	l.buffer = append(l.buffer, line...)
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -61,41 +64,43 @@
 	return len(line), nil
 }
 
-// Close writes what waits.
+// Close writes the buffered lines and waits until they are written.
 func (l *Writer) Close() error {
-	l.once.Do(func() { close(l.end) })
-	<-l.ended
+	l.closeOnce.Do(func() { close(l.closing) })
+	<-l.closed
 	return nil
 }
 
+// run flushes the buffer, at most once in flushInterval, until Close is called.
 func (l *Writer) run() {
-	defer close(l.ended)
+	defer close(l.closed)
 	for {
 		select {
-		case <-l.end:
+		case <-l.closing:
 			l.flush()
 			return
 		case <-l.wake:
 		}
 		select {
-		case <-l.end:
-		case <-time.After(flushEvery):
+		case <-l.closing:
+		case <-time.After(flushInterval):
 		}
 		l.flush()
 	}
 }
 
+// flush writes the buffered lines, and a line with the number of dropped ones, in chunks.
 func (l *Writer) flush() {
 	l.mu.Lock()
-	out, dropped := l.waiting, l.dropped
-	l.waiting, l.dropped = l.spare[:0], 0
+	out, dropped := l.buffer, l.dropped
+	l.buffer, l.dropped = l.spare[:0], 0
 	l.mu.Unlock()
 	if dropped > 0 {
 		out = fmt.Appendf(out, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", dropped)
 	}
 	for rest := out; len(rest) > 0; {
-		n := piece(rest)
-		_, _ = l.to.Write(rest[:n]) // nobody is left to tell
+		n := chunkLength(rest)
+		_, _ = l.dst.Write(rest[:n]) // there is nowhere to report an error of the log itself
 		rest = rest[n:]
 	}
 	l.mu.Lock()
@@ -103,16 +108,17 @@
 	l.mu.Unlock()
 }
 
-// piece is the length of the whole lines that are written next.
-func piece(lines []byte) int {
-	if len(lines) <= pieceSize {
+// chunkLength returns the length of the next chunk of lines: as many whole lines as fit into
+// maxChunk, but at least one.
+func chunkLength(lines []byte) int {
+	if len(lines) <= maxChunk {
 		return len(lines)
 	}
-	if end := bytes.LastIndexByte(lines[:pieceSize], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(lines[:maxChunk], '\n'); end >= 0 {
 		return end + 1
 	}
 	if end := bytes.IndexByte(lines, '\n'); end >= 0 {
-		return end + 1 // one line, longer than a piece
+		return end + 1 // one line that is longer than maxChunk
 	}
 	return len(lines)
 }
--- a/process/logs/logs_test.go
+++ b/process/logs/logs_test.go
@@ -9,24 +9,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalled is a reader of the log that takes nothing until it is let.
-type stalled struct {
-	let chan struct{}
-	mu  sync.Mutex
-	got bytes.Buffer
+// stalledWriter is an output that blocks until release is closed.
+type stalledWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
-	<-s.let
+func (s *stalledWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-// TestStalledReader: a reader that takes nothing holds nobody up; what did not
-// fit is counted, and the lines written are whole.
-func TestStalledReader(t *testing.T) {
-	s := &stalled{let: make(chan struct{})}
+// TestStalledOutput guards against a stalled reader of the log that blocks the daemon: Write must
+// return at once, the lines that don't fit must be counted, and the others must be written whole.
+func TestStalledOutput(t *testing.T) {
+	s := &stalledWriter{release: make(chan struct{})}
 	l := New(s)
 	line := strings.Repeat("x", 1023) + "\n"
 	const lines = 4 * bufferSize / 1024
@@ -35,53 +35,54 @@
 		assert.NilError(t, err)
 		assert.Equal(t, n, len(line))
 	}
-	close(s.let)
+	close(s.release)
 	assert.NilError(t, l.Close())
-	text := s.got.String()
+	text := s.written.String()
 	assert.Assert(t, strings.Contains(text, `"log lines dropped"`))
-	for _, got := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
-		assert.Assert(t, got+"\n" == line || strings.HasPrefix(got, "{"), "a broken line: %.40q", got)
+	for _, written := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
+		assert.Assert(t, written+"\n" == line || strings.HasPrefix(written, "{"), "broken line: %.40q", written)
 	}
 	assert.Assert(t, strings.Count(text, line) < lines)
 }
 
-// pieces keeps what each write was given.
-type pieces struct{ got []string }
+// chunks is an output that records the bytes of each write.
+type chunks struct{ written []string }
 
-func (p *pieces) Write(b []byte) (int, error) {
-	p.got = append(p.got, string(b))
+func (p *chunks) Write(b []byte) (int, error) {
+	p.written = append(p.written, string(b))
 	return len(b), nil
 }
 
-// TestPieces: what is written at once is whole lines that a pipe takes in one piece.
-func TestPieces(t *testing.T) {
+// TestChunks guards against lines that are torn in a pipe: each write must have whole lines only,
+// and no more than the pipe takes in one piece, unless a single line is longer.
+func TestChunks(t *testing.T) {
 	line := func(n int) string { return strings.Repeat("x", n-1) + "\n" }
 	cases := map[string]struct {
 		lines  []string
-		pieces []int // lengths
+		chunks []int // lengths of the writes
 	}{
-		"one line":             {[]string{line(100)}, []int{100}},
-		"some that fit":        {[]string{line(2000), line(2000)}, []int{4000}},
-		"some that do not":     {[]string{line(2000), line(2000), line(2000)}, []int{4000, 2000}},
-		"just as long":         {[]string{line(4096), line(1)}, []int{4096, 1}},
-		"one that is too long": {[]string{line(10), line(9000), line(10)}, []int{10, 9000, 10}},
+		"one short line":         {[]string{line(100)}, []int{100}},
+		"lines that fit":         {[]string{line(2000), line(2000)}, []int{4000}},
+		"lines that don't fit":   {[]string{line(2000), line(2000), line(2000)}, []int{4000, 2000}},
+		"line of the maximum":    {[]string{line(4096), line(1)}, []int{4096, 1}},
+		"line above the maximum": {[]string{line(10), line(9000), line(10)}, []int{10, 9000, 10}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var p pieces
+			var p chunks
 			l := New(&p)
-			l.mu.Lock() // so that all are written together
+			l.mu.Lock() // makes one flush write all lines
 			for _, text := range c.lines {
-				l.waiting = append(l.waiting, text...)
+				l.buffer = append(l.buffer, text...)
 			}
 			l.mu.Unlock()
 			assert.NilError(t, l.Close())
 			var lengths []int
-			for _, g := range p.got {
+			for _, g := range p.written {
 				lengths = append(lengths, len(g))
 			}
-			assert.DeepEqual(t, lengths, c.pieces)
-			assert.Equal(t, strings.Join(p.got, ""), strings.Join(c.lines, ""))
+			assert.DeepEqual(t, lengths, c.chunks)
+			assert.Equal(t, strings.Join(p.written, ""), strings.Join(c.lines, ""))
 		})
 	}
 }
--- /dev/null
+++ b/process/logs/throttle.go
@@ -0,0 +1,36 @@
+package logs
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// throttleInterval is the minimum time between two lines about one subject. An endpoint may
+	// report something new in each response.
+	throttleInterval = time.Second
+	// maxSubjects bounds the subjects that are remembered.
+	maxSubjects = 1 << 14
+)
+
+// Sparse bounds the rate of log lines about each of many subjects, such as endpoints. Its zero
+// value is ready to use. It is safe for concurrent use.
+type Sparse struct {
+	mu       sync.Mutex
+	lastLine map[string]time.Time // by subject
+}
+
+// May reports whether a line about a subject may be logged now; if so, it counts as logged. If too
+// many subjects are remembered, all are forgotten first.
+func (s *Sparse) May(subject string, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if lastLine, ok := s.lastLine[subject]; ok && now.Sub(lastLine) < throttleInterval {
+		return false
+	}
+	if s.lastLine == nil || len(s.lastLine) >= maxSubjects {
+		s.lastLine = map[string]time.Time{}
+	}
+	s.lastLine[subject] = now
+	return true
+}
