--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock tells a time that no step of the time of day moves and that goes on while the
-// host is suspended. Deadlines and ages that outlast a request are kept by it. It lives for the
-// process.
+// Package clock reads the host's boot clock. Unlike the time of day, it is not set forward or back;
+// unlike the monotonic clock of package time, it goes on while the host is suspended. It serves
+// for deadlines and ages that outlast a request.
 package clock
 
 import (
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the host was booted, as a moment: only differences of such
-// moments say something. The clock by which timers run stands while a host is suspended, so
-// that what should have lapsed meanwhile would stand for as long again.
+// Boot returns the time since the host's boot as a time.Time. Only the difference of two such
+// times has a meaning. With the monotonic clock, by which timers run, a deadline that passes while
+// the host is suspended would be late by the time of the suspension.
 func Boot() time.Time {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return time.Now() // a kernel without the clock suspends no host either
+		return time.Now() // a kernel without this clock doesn't suspend either
 	}
 	return time.Unix(t.Unix())
 }
