--- a/answer.go
+++ b/answer.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// Answer takes an answer on its way to the caller. Begin is called once,
-// before any Write. An error of either means that the caller is gone.
+// Answer writes a response to the caller. Begin is called once, before any Write. An error
+// from either method means that the caller has disconnected.
 type Answer interface {
 	Begin(status int, header []HeaderField) error
 	Write(part []byte) error
 }
 
-// EndpointCaller runs a request on an endpoint of this data centre.
+// EndpointCaller sends a request to an endpoint and writes the endpoint's response to a.
 type EndpointCaller interface {
 	Call(ctx context.Context, e Endpoint, r *Request, a Answer) (Outcome, Timing)
 }
 
-// Forwarder passes a request to a host of another data centre, or to the host
-// that issued its key.
+// Forwarder sends a request to another host and writes that host's response to a. The
+// target is a host of another data centre, or the host that issued the request's
+// at-most-once key.
 type Forwarder interface {
 	Forward(ctx context.Context, h Host, r *Request, a Answer) Outcome
 }
 
-// Observer hears of an endpoint's load while requests run there.
+// Observer receives what responses show about an endpoint while requests run there.
 type Observer interface {
-	// Started tells that an endpoint began to answer a request.
+	// Started reports that the first byte of a response body arrived.
 	Started(e Endpoint, r *Request, now time.Time)
-	// Paced tells the time between two events of a stream from an endpoint.
-	Paced(e Endpoint, gap time.Duration, now time.Time)
-	// Silent says whether an endpoint has stopped talking though it runs streams.
+	// Paced reports the time between two events of a stream.
+	Paced(e Endpoint, interval time.Duration, now time.Time)
+	// Silent returns whether an endpoint runs streams of this host but has sent nothing on
+	// any of them for too long.
 	Silent(e Endpoint, now time.Time) bool
-	// Told tells what an endpoint said of its load in an answer.
+	// Told reports the load that an endpoint stated in a response.
 	Told(e Endpoint, l LoadReport)
-	// Limited tells what an endpoint said in an answer of the requests that it takes; err: it
-	// said what can't be read.
+	// Limited reports the rate limit that a response advertises. If err is not nil, the
+	// response contained a value that can't be parsed.
 	Limited(e Endpoint, l RateLimit, err error)
-	// Noticed tells what an endpoint said in an answer of whether it wants requests; err: it said
-	// what can't be read.
+	// Noticed reports the availability that a response announces. If err is not nil, the
+	// response contained a value that can't be parsed.
 	Noticed(e Endpoint, n Notice, err error)
-	// Unknown tells of a field of an answer that nobody reads.
+	// Unknown reports a header field of a response that the dialect doesn't know.
 	Unknown(e Endpoint, field string)
 }
 
-// Timing is when things happened to a request at an endpoint.
+// Timing is when the stages of a request at an endpoint took place.
 type Timing struct {
-	Sent  time.Time // the first byte was written
-	First time.Time // the first byte of the answer's body arrived
-	Done  time.Time
+	Sent  time.Time // when the first byte of the request was written
+	First time.Time // when the first byte of the response body arrived
+	Done  time.Time // when the response was complete
 }
--- /dev/null
+++ b/availability.go
@@ -0,0 +1,101 @@
+package vetchtrail
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+)
+
+// Notice is the availability that an endpoint announced in a response head: whether it is
+// leaving or paused. The endpoint wrote it at an unknown time between Asked and Heard.
+type Notice struct {
+	Leaving bool      // it will stop soon and accepts no new requests from any host
+	Until   time.Time // it is paused until then, and accepts no requests from this host; zero: not paused
+	Asked   time.Time // when the request with this response was sent
+	Heard   time.Time // when the response head was received
+}
+
+// NoticeReading is the parsed availability from one response head.
+type NoticeReading struct {
+	Leaving bool
+	Pause   time.Duration // for how long it accepts no requests from this host; 0: not paused
+	Err     error         // a field can't be parsed, and was ignored
+}
+
+// Errors of the header fields that announce availability.
+var (
+	ErrLeaving = errors.New("leaving field is neither 0 nor 1")
+	ErrPause   = errors.New("pause is not a number of seconds, 0 or more")
+)
+
+const (
+	// maxAvailabilityFieldBytes bounds the length of a field that is parsed. Usual values have
+	// about ten bytes.
+	maxAvailabilityFieldBytes = 64
+	// maxPause bounds the pause that an endpoint can ask for. After it, the host sends requests
+	// again even if the endpoint asked for a longer pause, for example in a wrong unit.
+	maxPause = time.Hour
+)
+
+// ReadNotice parses the fields leaving and pause of a response head. The pause is parsed
+// only if the response says that the endpoint is unavailable (503).
+func ReadNotice(leaving, pause string, unavailable bool) NoticeReading {
+	var out NoticeReading
+	var errPause error
+	out.Leaving, out.Err = ReadLeaving(leaving)
+	if unavailable {
+		out.Pause, errPause = ReadPause(pause)
+	}
+	out.Err = errors.Join(out.Err, errPause)
+	return out
+}
+
+// ReadLeaving parses the field by which an endpoint announces that it is leaving: 1 if it is,
+// 0 or empty if not. A field that occurs more than once arrives as a comma-separated list;
+// one value of 1 is enough.
+func ReadLeaving(text string) (leaving bool, err error) {
+	if text == "" {
+		return false, nil
+	}
+	if len(text) > maxAvailabilityFieldBytes {
+		return false, errors.Wrapf(ErrLeaving, "%d bytes", len(text))
+	}
+	for part := range strings.SplitSeq(text, ",") {
+		switch strings.TrimSpace(part) {
+		case "1":
+			leaving = true
+		case "0":
+		default:
+			return false, errors.Wrapf(ErrLeaving, "%q", text)
+		}
+	}
+	return leaving, nil
+}
+
+// ReadPause parses the seconds for which an endpoint that refused a request accepts no
+// requests from this host. Fractions are allowed; empty means no pause. A field that occurs
+// more than once arrives as a comma-separated list; the longest pause counts. A date is not
+// accepted, as the clocks of endpoints and hosts differ.
+func ReadPause(text string) (time.Duration, error) {
+	if text == "" {
+		return 0, nil
+	}
+	if len(text) > maxAvailabilityFieldBytes {
+		return 0, errors.Wrapf(ErrPause, "%d bytes", len(text))
+	}
+	longest := 0.0
+	for part := range strings.SplitSeq(text, ",") {
+		seconds, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
+		if err != nil || !(seconds >= 0) || seconds > maxReadableSeconds {
+			return 0, errors.Wrapf(ErrPause, "%q", text)
+		}
+		longest = max(longest, seconds)
+	}
+	return time.Duration(min(longest, maxPause.Seconds()) * float64(time.Second)), nil
+}
+
+// maxReadableSeconds is the largest pause that is accepted as a number of seconds: a century.
+// Larger values, also infinity, are errors.
+const maxReadableSeconds = 100 * 365 * 24 * 3600
--- /dev/null
+++ b/availability_test.go
@@ -0,0 +1,85 @@
+package vetchtrail
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestReadLeaving checks which values announce that an endpoint is leaving. A value that is
+// missed sends requests to an endpoint that stops; a malformed one that is accepted takes a
+// working endpoint out of use.
+func TestReadLeaving(t *testing.T) {
+	cases := map[string]struct {
+		text    string
+		leaving bool
+		err     error
+	}{
+		"empty":                        {"", false, nil},
+		"leaving":                      {"1", true, nil},
+		"not leaving":                  {"0", false, nil},
+		"two values that differ":       {"0, 1", true, nil},
+		"surrounded by blanks":         {" 1 ", true, nil},
+		"word":                         {"true", false, ErrLeaving},
+		"other number":                 {"2", false, ErrLeaving},
+		"list with an empty value":     {"1,", false, ErrLeaving},
+		"too long":                     {strings.Repeat("1,", 40) + "1", false, ErrLeaving},
+		"valid value and invalid word": {"1, soon", false, ErrLeaving},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			leaving, err := ReadLeaving(c.text)
+			assert.Equal(t, leaving, c.leaving)
+			assert.ErrorIs(t, err, c.err)
+		})
+	}
+}
+
+// TestReadPause checks for how long an endpoint that refused a request is paused. A malformed
+// or excessive value must not keep a working endpoint out of use.
+func TestReadPause(t *testing.T) {
+	cases := map[string]struct {
+		text  string
+		pause time.Duration
+		err   error
+	}{
+		"empty":             {"", 0, nil},
+		"seconds":           {"3", 3 * time.Second, nil},
+		"fraction":          {"0.25", 250 * time.Millisecond, nil},
+		"minutes":           {"600", 10 * time.Minute, nil},
+		"zero":              {"0", 0, nil},
+		"longest of two":    {"2, 7", 7 * time.Second, nil},
+		"above the maximum": {"86400", time.Hour, nil},
+		"negative":          {"-1", 0, ErrPause},
+		"not a number":      {"NaN", 0, ErrPause},
+		"infinite":          {"inf", 0, ErrPause},
+		"over a century":    {"1e300", 0, ErrPause},
+		"date":              {"Wed, 21 Oct 2026 07:28:00 GMT", 0, ErrPause},
+		"word":              {"later", 0, ErrPause},
+		"too long":          {strings.Repeat("1", 65), 0, ErrPause},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			pause, err := ReadPause(c.text)
+			assert.Equal(t, pause, c.pause)
+			assert.ErrorIs(t, err, c.err)
+		})
+	}
+}
+
+// FuzzReadNotice checks that for any text from an endpoint the pause is bounded, and that a
+// text with an error announces neither leaving nor a pause.
+func FuzzReadNotice(f *testing.F) {
+	for _, text := range []string{"", "1", "0", "1, 0", "0.5", "-1", "NaN", "+Inf", "1e9", "Wed, 21 Oct 2026 07:28:00 GMT", "1,,", "\x00"} {
+		f.Add(text)
+	}
+	f.Fuzz(func(t *testing.T, text string) {
+		leaving, err := ReadLeaving(text)
+		assert.Assert(t, err == nil || !leaving)
+		pause, err := ReadPause(text)
+		assert.Assert(t, pause >= 0 && pause <= maxPause)
+		assert.Assert(t, err == nil || pause == 0)
+	})
+}
--- a/change.go
+++ b/change.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Change is an operator's change of the configuration: one entry of the log.
+// Change is an operator's change to the configuration. Each accepted change is one entry of
+// the configuration log.
 type Change struct {
-	ID       string // chosen by the writer; settles lost answers
-	Revision uint64 // place in the log; 0 until accepted
+	ID       string // chosen by the writer; a repeated write of the same ID has no second effect
+	Revision uint64 // position in the log; 0 until the change is accepted
 	Author   string
 	Reason   string
 	At       time.Time
-	Expect   uint64 // revision it was written against; 0: any
+	Expect   uint64 // revision that the change was written against; 0: any
 	Edits    []Edit
 }
 
-// Edit is one typed part of a Change.
+// Edit is one part of a Change. The types that implement it are declared below.
 type Edit interface{ edit() }
 
 // PutRegion adds or replaces a region.
@@ -37,16 +38,16 @@
 	Draining bool
 }
 
-// Remove takes something out of the configuration.
+// Remove removes an item from the configuration.
 type Remove struct {
 	Kind ItemKind
 	Name string
 }
 
-// ItemKind is a kind of thing in the configuration.
+// ItemKind is a kind of item in the configuration.
 type ItemKind string
 
-// Kinds of things in the configuration.
+// Kinds of items in the configuration.
 const (
 	ItemRegion    ItemKind = "region"
 	ItemService   ItemKind = "service"
--- /dev/null
+++ b/contenthash.go
@@ -0,0 +1,66 @@
+package vetchtrail
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"io"
+
+	"github.com/go-faster/errors"
+)
+
+// Digest is the content hash of a request. Requests with the same hash are retries of one
+// request. It is the first half of a SHA-256 sum, so that nobody can construct a request
+// with the hash of another caller's request and have that one quarantined in its place.
+type Digest [sha256.Size / 2]byte
+
+// Digest returns the content hash of the request: of its workspace, method, Host field, path
+// with query, and body. Values that differ between retries, such as the request id and the
+// deadline, are not included. The hash is computed once and then cached.
+func (r *Request) Digest() Digest {
+	if r.contentHash != (Digest{}) {
+		return r.contentHash
+	}
+	h := sha256.New()
+	for _, part := range []string{r.Workspace, r.Method, r.hostHeader(), r.Path} {
+		// The length before each part keeps parts from running into each other: otherwise
+		// "ab", "c" and "a", "bc" would have the same hash.
+		var size [binary.MaxVarintLen64]byte
+		_, _ = h.Write(size[:binary.PutUvarint(size[:], uint64(len(part)))])
+		_, _ = io.WriteString(h, part)
+	}
+	_, _ = h.Write(r.Body)
+	var sum [sha256.Size]byte
+	r.contentHash = Digest(h.Sum(sum[:0])[:len(Digest{})])
+	return r.contentHash
+}
+
+// Digested sets the content hash that another host has computed.
+func (r *Request) Digested(d Digest) { r.contentHash = d }
+
+// KnownDigest returns the content hash if it has been computed before.
+func (r *Request) KnownDigest() (Digest, bool) { return r.contentHash, r.contentHash != Digest{} }
+
+func (r *Request) hostHeader() string {
+	for _, f := range r.Header {
+		if f.Name == "Host" {
+			return f.Value
+		}
+	}
+	return ""
+}
+
+// String returns the hash in hexadecimal.
+func (d Digest) String() string { return hex.EncodeToString(d[:]) }
+
+// ParseDigest parses the output of Digest.String.
+func ParseDigest(s string) (Digest, error) {
+	var d Digest
+	if hex.DecodedLen(len(s)) != len(d) || len(s)%2 != 0 {
+		return d, errors.Errorf("vetchtrail.ParseDigest: %q is not %d hexadecimal digits", s, hex.EncodedLen(len(d)))
+	}
+	if _, err := hex.Decode(d[:], []byte(s)); err != nil {
+		return d, errors.Wrap(err, "vetchtrail.ParseDigest")
+	}
+	return d, nil
+}
--- a/decision.go
+++ b/decision.go
@@ -5,57 +5,61 @@
 	"time"
 )
 
-// DecisionKind is what is to be done with a request.
+// DecisionKind is the action that a Policy chose for a request.
 type DecisionKind uint8
 
 // Kinds of decision.
 const (
-	Refuse DecisionKind = iota
-	RunHere
-	RunElsewhere
-	WaitHere // until an endpoint of this data centre has room
+	Refuse       DecisionKind = iota
+	RunHere                   // at an endpoint that this host calls itself
+	RunElsewhere              // forward to another data centre
+	WaitHere                  // queue until an endpoint that this host calls has capacity
 )
 
 var decisionNames = [...]string{"refuse", "run-here", "run-elsewhere", "wait-here"}
 
-// String returns the kind as it stands in logs.
-func (k DecisionKind) String() string { return nameOf(decisionNames[:], int(k)) }
+// String returns the name of the kind in logs.
+func (k DecisionKind) String() string { return nameAt(decisionNames[:], int(k)) }
 
-// MaxCandidates is how many candidates a Decision keeps for its log line.
+// MaxCandidates is how many candidates a Decision records for its log line.
 const MaxCandidates = 6
 
-// Candidate is a place a request could have gone to.
+// Candidate is an endpoint or a data centre that a policy considered for a request.
 type Candidate struct {
-	Name   string
-	Cost   float64 // weighted seconds
+	Name string
+	// Cost is in weighted seconds. With ReasonSlow it is the interval between events, and with
+	// ReasonFull the predicted wait of an endpoint, both in seconds; for other candidates that
+	// can't be used it is 0.
+	Cost   float64
 	Reason Reason
 }
 
-// Decision is what a Policy returns for one request.
+// Decision is the result of a Policy for one request. The fields from Backlog to Left
+// describe the chosen endpoint; they are set only with RunHere.
 type Decision struct {
 	Kind       DecisionKind
 	Target     int // index in View.Endpoints or View.Remotes
 	Name       string
 	Reason     Reason
 	Cost       float64
-	Wait       time.Duration // predicted time to the first token
-	Backlog    time.Duration // of the target: until it has read the prompts before this one
-	Gap        time.Duration // of the target: between two events of its streams
-	Holds      int           // tokens of the prompt that the target is likely to hold
-	Age        time.Duration // of what the target last told of its load; negative: nothing
-	Running    int           // requests that the target last said to run
-	Queued     int           // requests that the target last said to hold back
-	Own        int           // of this host, in flight at the target
-	Limited    bool          // the target names a rate
-	Rate       float64       // requests a second that the target takes from all hosts together
-	Left       float64       // requests of it that could be sent at once, as last told
-	RetryAt    time.Time     // with Refuse: when asking again may help
-	Looked     int           // candidates looked at
+	Wait       time.Duration // predicted time to the first token; with WaitHere: predicted wait for capacity
+	Backlog    time.Duration // time until the endpoint has processed the prompts that it received before
+	Gap        time.Duration // interval between two events of its streams
+	Holds      int           // tokens of the prompt that it has probably cached
+	Age        time.Duration // age of its newest load report; negative: it has sent none
+	Running    int           // requests that it runs, by that report
+	Queued     int           // requests in its queue, by that report
+	Own        int           // requests in flight there from this host
+	Limited    bool          // it advertises a rate limit
+	Rate       float64       // its rate limit for all hosts together, in requests per second
+	Left       float64       // requests that the rate limit still allowed at once, as last reported
+	RetryAt    time.Time     // with Refuse: when a retry may succeed
+	Looked     int           // number of candidates considered
 	Candidates [MaxCandidates]Candidate
-	Kept       int // candidates kept in Candidates
+	Kept       int // number of candidates recorded in Candidates
 }
 
-// Note keeps a candidate for the log line while there is room.
+// Note counts a candidate, and records it for the log line while Candidates has space.
 func (d *Decision) Note(name string, cost float64, why Reason) {
 	d.Looked++
 	if d.Kept < MaxCandidates {
@@ -64,72 +68,73 @@
 	}
 }
 
-// Policy decides where a request runs. It does no I/O and reads no clock:
-// time, randomness and the view come in as arguments. The view is read only.
+// Policy decides where a request runs. It does no I/O and reads no clock: time, randomness
+// and the view are arguments. It must not modify the view.
 type Policy interface {
 	Decide(now time.Time, r *Request, v *View, rnd *rand.Rand) Decision
 }
 
-// View is what a host believes of the places that could run a request for one
-// service, copied for one decision.
+// View is a snapshot, made for one decision, of what a host knows about the candidates for
+// a request.
 type View struct {
-	Region    RegionID
+	Region    RegionID // of this host
 	Weights   Weights
-	Endpoints []EndpointView // of this data centre
+	Endpoints []EndpointView // those that this host calls itself
 	Remotes   []RemoteView   // other data centres
-	Excluded  []string       // places tried before
-	Events    float64        // that the answer is expected to have; 0: not known, or not a stream
-	IdleRead  float64        // seconds in which an idle endpoint reads a prompt token, as observed
-	KeptShare float64        // part of the shared tokens of prompts that endpoints hold, as observed
-	// UrgentPace is the time between two events, in seconds, at which streams that are
-	// more urgent than the request's take all of their time; 0: there are none.
+	Excluded  []string       // endpoints and data centres that were tried before
+	Events    float64        // expected number of events in the response; 0: not known, or not a stream
+	IdleRead  float64        // observed seconds that an idle endpoint takes to process a prompt token
+	KeptShare float64        // observed fraction of the shared prompt tokens that endpoints had cached
+	// UrgentPace is the interval between two events, in seconds, at which streams that are
+	// more urgent than this request would use up all of their time; 0: there are no such
+	// streams.
 	UrgentPace float64
-	// Borne is the part of a predicted time to the first of a stream that usually passes,
-	// as observed; 0: not known.
+	// Borne is the observed ratio of the actual to the predicted time to the first event of
+	// a stream; 0: not known.
 	Borne   float64
-	Line    float64 // seconds that those who wait for room here take
-	Refused bool    // one of them, of this data centre, refused for its load
-	Waited  bool    // the request has waited for room here as long as it may
+	Line    float64 // estimated seconds that a request waits in this host's queue
+	Refused bool    // an endpoint in Endpoints refused the request because of its load
+	Waited  bool    // the request may not wait for capacity any longer
 }
 
-// EndpointView is what a host believes of one endpoint.
+// EndpointView is what a host knows about one endpoint.
 type EndpointView struct {
 	Name     string
 	Region   RegionID
 	Slots    int
-	Limit    int           // requests this host may have in flight there now
-	Running  int           // as last reported
-	Queued   int           // as last reported
-	Own      int           // this host's requests in flight there
+	Limit    int           // requests that this host may have in flight there now
+	Running  int           // requests that it runs, as last reported
+	Queued   int           // requests in its queue, as last reported
+	Own      int           // requests in flight from this host
 	OwnSince int           // change of Own since the report; may be negative
-	Age      time.Duration // of the report; negative: never reported
-	Prefill  float64       // seconds a prompt token takes where its prefix is not cached, as observed
-	Service  float64       // seconds a request occupies a slot, as observed
-	Warmth   float64       // share of full load it may take, 0 to 1
-	Away     bool          // draining, leaving or ejected
+	Age      time.Duration // age of the report; negative: there is none
+	Prefill  float64       // observed seconds to process a prompt token that is not cached
+	Service  float64       // observed seconds that a request occupies a slot
+	Warmth   float64       // warm-up share: the fraction of its full load that it may get, 0 to 1
+	Away     bool          // it can't be used now
 	Why      Reason        // with Away: the reason
-	Back     float64       // seconds until an endpoint that refused for its load may be asked again
-	Failing  float64       // how much more often than its service it answers with a failure, 0 to 1
-	Gap      float64       // seconds between two events of its streams, as observed; 0: not known
-	Backlog  float64       // seconds until it has read the prompts that it was sent before, as predicted
-	Base     float64       // seconds to the first of an answer beside the reading of its prompt
-	Kept     int           // tokens of the request's prompt that it is likely to hold
-	Limited  bool          // it names a rate
-	Rate     float64       // requests a second that it takes from all hosts together
-	Left     float64       // requests of it that could be sent at once, as last told
+	Back     float64       // with Away: seconds until it can be used again; 0: not known
+	Failing  float64       // how far its failure rate exceeds that of its service, 0 to 1
+	Gap      float64       // observed seconds between two events of its streams; 0: not known
+	Backlog  float64       // predicted seconds until it has processed the prompts that it received before
+	Base     float64       // seconds to the first byte of a response, in addition to prompt processing
+	Kept     int           // tokens of the request's prompt that it has probably cached
+	Limited  bool          // it advertises a rate limit
+	Rate     float64       // its rate limit for all hosts together, in requests per second
+	Left     float64       // requests that the rate limit still allowed at once, as last reported
 }
 
-// RemoteView is what a host believes of another data centre.
+// RemoteView is what a host knows about another data centre.
 type RemoteView struct {
 	DataCentre string
 	Region     RegionID
 	Delay      time.Duration // one way
 	Wait       float64       // predicted seconds to the first token there
-	Free       int           // free slots for the service
-	Slots      int           // of its endpoints
-	Own        int           // this host's requests in flight there
-	Age        time.Duration // of the digest
+	Free       int           // free slots of the service's endpoints
+	Slots      int           // all slots of the service's endpoints
+	Own        int           // requests in flight there from this host
+	Age        time.Duration // age of the data centre's digest
 	Reachable  bool
-	Warmth     float64
-	Gap        float64 // least seconds between two events of a stream there; 0: not known
+	Warmth     float64 // warm-up share: the fraction of Free that may be used, 0 to 1
+	Gap        float64 // shortest interval between two events of a stream there, in seconds; 0: not known
 }
--- a/dialect.go
+++ b/dialect.go
@@ -2,52 +2,51 @@
 
 import "time"
 
-// Fields reads a message's header fields by name; empty: there is none.
+// Fields returns the value of a header field by its name; empty: the field is absent.
 type Fields func(name string) string
 
-// Dialect is how the callers and endpoints of a deployment write in header
-// fields what the system has to know of requests and answers. It only
-// translates; what follows is decided elsewhere.
+// Dialect translates between the header fields of a deployment's callers and endpoints and
+// the system's own types. It only translates: what follows from a value is decided
+// elsewhere.
 type Dialect interface {
-	// Parse reads what a caller says of its request: its id, the time it has,
-	// the parts of its prompt, the event it has seen last.
+	// Parse reads the header of a caller's request into r: its id, its deadline, the parts of
+	// its prompt, and the id of the last event that the caller received.
 	Parse(get Fields, r *Request, now time.Time) error
-	// Key reads the key by which a caller shows its workspace, checked by CheckKey.
+	// Key returns the caller's workspace key after CheckKey has accepted it.
 	Key(get Fields) (string, error)
-	// Own says whether a field is for the system to set: what a caller writes
-	// there is not passed on.
+	// Own returns whether a request header field is reserved for the system. The values that
+	// callers send in such fields are not forwarded.
 	Own(name string) bool
-	// Tell sets the fields that tell an endpoint of a request.
+	// Tell sets the header fields that describe a request to an endpoint.
 	Tell(set func(name, value string), e Endpoint, r *Request, now time.Time)
-	// Read says what an answer of an endpoint is.
+	// Read interprets the head of an endpoint's response.
 	Read(status int, get Fields, r *Request) Reading
-	// Knows says whether a field of an answer is read, or known to say nothing of the endpoint.
+	// Knows returns whether a response header field is known: either it is read, or it is
+	// known to say nothing about the endpoint.
 	Knows(name string) bool
-	// Sign sets the fields of an answer that is the system's own.
+	// Sign sets the header fields of a response that the system creates itself.
 	Sign(set func(name, value string), r *Request)
 }
 
-// Reading is what the head of an endpoint's answer says.
+// Reading is the content of a response head.
 type Reading struct {
 	Kind ReadingKind
-	Load LoadReport // At is left zero
-	Told bool       // Load was told
-	// Cold is how much longer the endpoint is cold, as it tells; negative: it
-	// does not tell.
-	Cold time.Duration
-	Rate RateReading // what it says of the requests that the endpoint takes
-	// Notice is what it says of whether the endpoint wants requests at all.
-	Notice NoticeReading
+	Load LoadReport // valid if Told; At is not set
+	Told bool       // the response states the endpoint's load
+	// Cold is the remaining time of the endpoint's cold start; negative: not stated.
+	Cold   time.Duration
+	Rate   RateReading   // the endpoint's rate limit
+	Notice NoticeReading // the endpoint's availability
 }
 
-// ReadingKind says what an answer is worth.
+// ReadingKind classifies a response by whose it is and whether the request ran.
 type ReadingKind uint8
 
-// Kinds of reading.
+// Kinds of responses.
 const (
-	ReadingGenuine  ReadingKind = iota // the endpoint's answer to the request
-	ReadingRefused                     // the endpoint has not run it and will not
-	ReadingMisled                      // another process has the endpoint's address; not run
-	ReadingForeign                     // belongs to another request on the connection
-	ReadingDoubtful                    // can't be shown to be the endpoint's
+	ReadingGenuine  ReadingKind = iota // the endpoint's response to the request
+	ReadingRefused                     // the endpoint has not run the request and won't
+	ReadingMisled                      // another process has the endpoint's address; the request has not run
+	ReadingForeign                     // it belongs to another request on the connection
+	ReadingDoubtful                    // it can't be verified to be from the endpoint
 )
--- a/endpoint.go
+++ b/endpoint.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// Endpoint is a back end: a model engine or a plain service's process.
+// Endpoint is a back end: a model engine or a process of a plain service.
 type Endpoint struct {
 	Name       string
 	Service    string
 	Region     string
 	DataCentre string
 	Addr       netip.AddrPort
-	Slots      int  // requests it runs at once
-	Draining   bool // operators take it out of use
-	Fenced     bool // it checks the fencing token of orders
+	Slots      int  // number of requests that it runs at once
+	Draining   bool // operators or the platform are taking it out of use
+	Fenced     bool // it checks the fencing tokens of orders; nothing here depends on it
 
-	// Instance is the id of the endpoint's process, which it checks when it is
-	// named in a request; empty: it does not.
+	// Instance is the id of the endpoint's process instance. Requests name it, and the
+	// endpoint refuses those that name another; empty: it doesn't check.
 	Instance string
-	// Born is when the life of its process began: an endpoint may start again under its name,
-	// and then holds and knows nothing. Zero: not told.
+	// Born is the start time of the process instance. A new instance under the same name has
+	// nothing cached and knows no request of the previous one. Zero: not known.
 	Born time.Time
-	// ColdUntil is until when the endpoint is cold after its start and bears no
-	// more than ColdRate requests a second.
+	// ColdUntil is the end of the cold start. Until then the endpoint accepts no more than
+	// ColdRate requests per second from all hosts together.
 	ColdUntil time.Time
 	ColdRate  float64
-	// MoveToken is the seconds that taking over one token of a kept prompt from
-	// another endpoint takes; 0: the endpoint can't.
+	// MoveToken is the duration in seconds of a KV cache transfer from another endpoint, per
+	// prompt token; 0: the endpoint can't transfer.
 	MoveToken float64
 }
 
-// LoadReport is what an endpoint last said of itself.
+// LoadReport is what an endpoint last reported about itself.
 type LoadReport struct {
-	At      time.Time // when the report was fetched
-	Running int       // requests it runs
-	Queued  int       // requests it holds back
-	Leaving bool
-	Slots   int // as the endpoint tells them; 0: it doesn't
-	// Started is when the endpoint's process started, by the clock of the host that fetched the report;
-	// zero: not told.
+	At      time.Time // when the report was received from the endpoint
+	Running int       // requests that it runs
+	Queued  int       // requests in its queue
+	Leaving bool      // it will stop soon
+	Slots   int       // number of requests that it runs at once; 0: not reported
+	// Started is the start time of the process instance by the clock of the host that fetched
+	// the report; zero: not reported.
 	Started time.Time
 }
--- a/errors.go
+++ b/errors.go
@@ -6,21 +6,21 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of the platform's key-value service.
+// Errors of a Store.
 var (
-	ErrNotFound = errors.New("no such key")
-	ErrConflict = errors.New("changed by another writer")
-	ErrLimited  = errors.New("the store refuses for its rate limit")
+	ErrNotFound = errors.New("key not found")
+	ErrConflict = errors.New("key was changed by another writer")
+	ErrLimited  = errors.New("store's rate limit exceeded")
 )
 
-// PeerError is an error with the step at which it arose and the peer.
+// PeerError is a failed call to another host, an endpoint or the store.
 type PeerError struct {
-	Step Step
-	Peer string
+	Step Step   // what failed
+	Peer string // name or address of the other side
 	Err  error
 }
 
-// Error returns step, peer and cause.
+// Error returns the step, the peer and the cause.
 func (e *PeerError) Error() string {
 	return fmt.Sprintf("%s %s: %v", e.Step, e.Peer, e.Err)
 }
@@ -28,25 +28,26 @@
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Err }
 
-// ChangeError is a change of configuration that is not valid.
+// ChangeError says why a change of the configuration is not valid.
 type ChangeError struct {
-	Edit int    // its place in the change, from 0
-	Item string // the thing it is about
-	Text string
+	Edit int    // index of the invalid edit; the number of edits if only their combination is invalid
+	Item string // kind and name of the item
+	Text string // what is wrong with the item
 }
 
-// Error returns what is wrong with the change.
+// Error returns the position of the edit, counted from 1, the item and what is wrong with it.
 func (e *ChangeError) Error() string {
 	return fmt.Sprintf("edit %d: %s: %s", e.Edit+1, e.Item, e.Text)
 }
 
-// ConflictError is a change that lost a race.
+// ConflictError says that another change was accepted after the revision that the change was
+// written against.
 type ConflictError struct {
-	Expect uint64 // what the change was written against
-	Now    uint64 // what stands
+	Expect uint64 // revision that the change was written against
+	Now    uint64 // current revision
 }
 
-// Error says which revision stands.
+// Error returns both revisions.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("written against revision %d, but revision %d stands: read it and try again", e.Expect, e.Now)
+	return fmt.Sprintf("change was written against revision %d, but the current revision is %d: read it and try again", e.Expect, e.Now)
 }
--- a/feed.go
+++ b/feed.go
@@ -7,59 +7,64 @@
 	"time"
 )
 
-// Snapshot is the whole configuration at a revision, as the edits that make it
-// from nothing.
+// Snapshot is the whole configuration at a revision, as the edits that create it from an
+// empty one.
 type Snapshot struct {
 	Revision uint64
 	Edits    []Edit
 }
 
-// Feed tells a host what its platform knows: the configuration, the endpoints
-// and the other hosts. It runs until ctx ends and outlives any outage of the
-// platform.
+// Feed passes the platform's data to a Sink: the configuration, the endpoints and the hosts.
+// Run returns when ctx ends. It keeps running during outages of the platform.
 type Feed interface {
 	Run(ctx context.Context, s Sink)
 }
 
-// Following says what part a host has in following its platform, whose calls are limited
-// and priced.
+// Following decides which part a host takes in polling the platform. Calls to the platform
+// are rate-limited and billed, so few hosts poll it and the others fetch the listing from
+// them.
 type Following interface {
-	// Reads says whether the platform's lists are to be read now, at the pace.
+	// Reads returns whether this host polls the platform's listing now.
 	Reads() bool
+	// Pace returns the interval between two polls.
 	Pace() time.Duration
-	// WatchesConfiguration says whether configurations are to be waited for beside it.
+	// WatchesConfiguration returns whether this host watches the configuration, independently
+	// of polling the listing.
 	WatchesConfiguration() bool
-	// Asking tells that a call of the platform begins, and Answered whether it was answered:
-	// other hosts read the lists for one that the platform turns away.
+	// Asking is called when a call to the platform begins, and Answered when it has ended; ok
+	// says whether the platform answered. Other hosts poll in place of one that the platform
+	// rejects.
 	Asking(now time.Time)
 	Answered(ok bool)
-	// Listing returns the lists that the host holds, its own or a peer's; nil: none.
+	// Listing returns the newest listing that the host holds, read by itself or fetched from
+	// a peer; nil: none.
 	Listing() *Listing
 }
 
-// Sink takes what a Feed tells. Its methods don't block.
+// Sink receives the data of a Feed. Its methods don't block.
 type Sink interface {
-	// Configured offers a configuration. One older than what is held is passed
-	// over; one that is not valid is an error and leaves what is held in force.
+	// Configured offers a configuration. One that is older than the current one is ignored.
+	// For one that is not valid it returns an error and keeps the current one in force.
 	Configured(s Snapshot) error
-	// Listed replaces what is known of the platform's lists.
+	// Listed replaces the listing.
 	Listed(l Listing)
 }
 
-// Listing is the platform's lists.
+// Listing is a snapshot of the platform's service discovery data.
 type Listing struct {
-	Revision uint64    // of the platform at the last change of the lists
-	Seen     uint64    // of the platform up to which no other change was made
-	At       time.Time // when the platform was asked
-	// Endpoints are in the order of their names. Lists share those that did not change, so none is
-	// written to once a listing holds it.
+	Revision uint64    // platform revision of the newest change that the listing contains
+	Seen     uint64    // platform revision up to which there was no further change
+	At       time.Time // when the platform was read
+	// Endpoints are sorted by name. Listings share the endpoints that did not change between
+	// them, so an endpoint must not be modified once a listing contains it.
 	Endpoints []*Endpoint
-	Hosts     []Host // that have registered themselves, live or not long dead
-	// Holds are the requests held back that the platform keeps, by the clock of suspensions.
+	Hosts     []Host // registered hosts, including some that have ended lately
+	// Holds are the persisted quarantine entries, with times of the boot-time clock
+	// (process/clock).
 	Holds []Hold
 }
 
-// Endpoint returns a listed endpoint; nil: it is not listed.
+// Endpoint returns the endpoint with a name; nil: it is not listed.
 func (l *Listing) Endpoint(name string) *Endpoint {
 	at, ok := slices.BinarySearchFunc(l.Endpoints, name, func(e *Endpoint, name string) int { return strings.Compare(e.Name, name) })
 	if !ok {
@@ -68,13 +73,14 @@
 	return l.Endpoints[at]
 }
 
-// SortEndpoints brings endpoints into the order that a Listing has.
+// SortEndpoints sorts endpoints by name, as a Listing needs them.
 func SortEndpoints(endpoints []*Endpoint) {
 	slices.SortFunc(endpoints, func(a, b *Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Registry keeps a host in the platform's list of hosts while ctx lasts, from when it is
-// due.
+// Registry keeps a host registered in the platform's list of hosts until ctx ends. While the
+// host is not registered, Register waits for due to return true; then it writes the host's
+// entry and renews it.
 type Registry interface {
 	Register(ctx context.Context, h Host, due func() bool)
 }
--- a/host.go
+++ b/host.go
@@ -5,40 +5,43 @@
 	"time"
 )
 
-// Host is one entry host of the system, as its peers know it.
+// Host is a machine of the system that accepts requests from callers, as other hosts know
+// it.
 type Host struct {
 	Name        string
 	Region      string
 	DataCentre  string
-	Callers     netip.AddrPort // where callers connect
-	Peers       netip.AddrPort // where peers and operators connect
+	Callers     netip.AddrPort // address for callers
+	Peers       netip.AddrPort // address for other hosts and operators
 	Incarnation uint64         // random for each start of the process
-	Revision    uint64         // newest configuration the host holds
+	Revision    uint64         // newest configuration that the host holds
 	State       HostState
-	Heard       time.Time // when its heartbeat counter last grew here
-	// Capacity is the requests a second that the host can take, by its link and processor,
-	// to weigh it against others; 0: not told.
+	Heard       time.Time // when this host last saw its heartbeat counter increase
+	// Capacity is the number of requests per second that the host's network link and
+	// processor allow. It weighs the host against others; 0: not known.
 	Capacity uint32
 }
 
-// HostState is what a host says, or others believe, of itself.
+// HostState is the state of a host, as it reports itself or as other hosts infer it from its
+// heartbeats.
 type HostState uint8
 
 // States of a host.
 const (
-	HostStarting HostState = iota // holds no configuration yet
+	HostStarting HostState = iota // it holds no configuration yet
 	HostReady
-	HostLeaving // serves what it has, takes no new work
-	HostSuspect // its heartbeats stopped a short while ago
+	HostLeaving // it finishes the requests that it has and takes no new work
+	HostSuspect // its heartbeats stopped recently
 	HostDead
 )
 
 var hostStateNames = [...]string{"starting", "ready", "leaving", "suspect", "dead"}
 
 // String returns the state in lower case.
-func (s HostState) String() string { return nameOf(hostStateNames[:], int(s)) }
+func (s HostState) String() string { return nameAt(hostStateNames[:], int(s)) }
 
-func nameOf(names []string, i int) string {
+// nameAt returns the name with an index, or "unknown" if there is none.
+func nameAt(names []string, i int) string {
 	if i < 0 || i >= len(names) {
 		return "unknown"
 	}
--- a/mechanism.go
+++ b/mechanism.go
@@ -6,32 +6,32 @@
 	"github.com/go-faster/errors"
 )
 
-// Mechanism is a part of the way in which requests are placed that can be switched
-// off, to measure what it is worth. All are on unless the settings say otherwise.
+// Mechanism is a feature of request routing that can be switched off to measure its effect.
+// All are on unless the settings switch them off.
 type Mechanism uint8
 
 // Mechanisms.
 const (
-	Affinity       Mechanism = iota // requests prefer endpoints that hold their prompts
-	PromptMoves                     // endpoints take kept prompts from each other
-	FarMoves                        // also from other regions
-	LastSent                        // they take them from where this host sent the session last
-	KeptElsewhere                   // other regions are taken to hold prompts as this one does
-	PromptBacklog                   // prompts that an endpoint has still to read count
-	Pace                            // streams that would end late are told to come back
-	UrgentFirst                     // less urgent streams are told so earlier than more urgent ones
-	Shedding                        // first tries that would begin late are told to come back
-	Forwarding                      // requests are passed to other data centres
-	Waiting                         // requests wait here for room
-	LastChance                      // who has waited is passed on before it is refused
-	Retries                         // a request is tried again where that is safe
-	FailureCost                     // endpoints that fail more than others cost more
-	Ejection                        // endpoints that fail in a row are out of use
-	Silence                         // endpoints whose streams all stop are out of use
-	AdaptiveLimits                  // what an endpoint may have in flight follows its answers
-	WarmUp                          // endpoints that return take a share that grows
-	HoldingBack                     // requests under which endpoints end are held back
-	RateLimits                      // endpoints that name a rate get no more than that
+	Affinity       Mechanism = iota // prefer endpoints that have cached the request's prompt
+	PromptMoves                     // let endpoints transfer KV caches from each other
+	FarMoves                        // allow such transfers also from endpoints that this host doesn't call
+	LastSent                        // transfer from the endpoint to which this host sent the session last
+	KeptElsewhere                   // assume that other data centres have cached as much of a prompt as this one
+	PromptBacklog                   // count the prompts that an endpoint has not processed yet
+	Pace                            // refuse streams that would end too late, so that the caller retries
+	UrgentFirst                     // refuse less urgent streams earlier than more urgent ones
+	Shedding                        // refuse streams that would begin too late for their caller
+	Forwarding                      // forward requests to other data centres
+	Waiting                         // let requests queue on this host for capacity
+	LastChance                      // try to forward a request that has waited in vain before refusing it
+	Retries                         // retry requests where that is safe
+	FailureCost                     // raise the cost of endpoints that fail more often than others
+	Ejection                        // stop using endpoints that fail several times in a row
+	Silence                         // stop using endpoints whose streams have all stalled
+	AdaptiveLimits                  // adapt the limit of requests in flight to an endpoint's responses
+	WarmUp                          // increase the share of load gradually for endpoints that return
+	HoldingBack                     // quarantine requests that make endpoints crash
+	RateLimits                      // keep to the rate limits that endpoints advertise
 )
 
 var mechanismNames = [...]string{
@@ -41,13 +41,12 @@
 }
 
 // String returns the mechanism's name in the settings.
-func (m Mechanism) String() string { return nameOf(mechanismNames[:], int(m)) }
+func (m Mechanism) String() string { return nameAt(mechanismNames[:], int(m)) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (m Mechanism) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It fails for a name that no
-// mechanism has.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error for an unknown name.
 func (m *Mechanism) UnmarshalText(text []byte) error {
 	for i, name := range mechanismNames {
 		if name == string(text) {
@@ -58,7 +57,7 @@
 	return errors.Errorf("no such mechanism: they are %s", strings.Join(mechanismNames[:], ", "))
 }
 
-// Mechanisms is a set of mechanisms, one bit each.
+// Mechanisms is a set of mechanisms with one bit for each.
 type Mechanisms uint32
 
 // MechanismsOf returns the set of the given mechanisms.
@@ -70,5 +69,5 @@
 	return s
 }
 
-// Has says whether the set holds a mechanism.
+// Has returns whether the set contains a mechanism.
 func (s Mechanisms) Has(m Mechanism) bool { return s&(1<<m) != 0 }
--- a/observation.go
+++ b/observation.go
@@ -2,46 +2,52 @@
 
 import "time"
 
-// Observation is what one request showed of the endpoint that ran it.
+// Observation is what one attempt showed about the endpoint that it ran on.
 type Observation struct {
 	Request string // id
-	// Born is the start of the endpoint's life that ran it; zero: not told.
+	// Born is the start time of the process instance that the attempt was sent to; zero: not
+	// known.
 	Born    time.Time
 	Outcome Outcome
 	Timing  Timing
 	Route   string
 	Tokens  int // of the prompt
-	// Predicted is the time to the first of the answer that the decision was made by;
-	// 0: none was.
+	// Predicted is the time to the first byte of the response that the decision expected;
+	// 0: there was no prediction.
 	Predicted time.Duration
-	Cancel    bool // the caller left: says nothing of the endpoint
+	Cancel    bool // the caller disconnected, so the attempt says nothing about the endpoint
 }
 
-// Endpoints is what a host believes of the endpoints that it may call.
+// Endpoints is the state of the endpoints that a host may call.
 type Endpoints interface {
-	// Fill appends those of a request's service to a view.
+	// Fill appends the endpoints of a request's service to a view.
 	Fill(v *View, r *Request, now time.Time)
-	// Acquire takes room for a request; false: there is none.
+	// Acquire reserves capacity for a request at an endpoint. It returns false if the endpoint
+	// has none now.
 	Acquire(name string, r *Request, now time.Time) bool
-	// Release gives the room back and learns from what the request showed.
+	// Release frees the capacity and learns from the attempt.
 	Release(name string, o Observation, now time.Time)
-	// Known returns one that requests were placed on, whatever became of it.
+	// Known returns a listed endpoint by its name, whether or not it can be used now.
 	Known(name string) (Endpoint, bool)
-	// Bars says why nothing new may leave for one, and until when if that is known; empty: it may.
+	// Bars returns why no new request may be sent to an endpoint, as it is leaving, paused or
+	// not listed any more, and until when if that is known; an empty reason: it may be sent.
 	Bars(name string, now time.Time) (why Reason, until time.Time)
-	// Freed returns a channel that is closed when a service may have room.
+	// Freed returns a channel that is closed when an endpoint of a service may have capacity
+	// again.
 	Freed(service string) <-chan struct{}
 }
 
-// Hosts is what a host believes of the others.
+// Hosts is the state of the other hosts.
 type Hosts interface {
+	// Self returns this host.
 	Self() Host
+	// Find returns a host by its name.
 	Find(name string, now time.Time) (Host, bool)
-	// Fill appends the other data centres that serve a service to a view; place gives
-	// the id of a region.
-	Fill(v *View, service string, place func(region string) (RegionID, bool), now time.Time)
-	// Pick returns a host of a data centre and counts a forward to it.
+	// Fill appends the other data centres that run a service to a view; regionID returns the
+	// id of a region.
+	Fill(v *View, service string, regionID func(region string) (RegionID, bool), now time.Time)
+	// Pick chooses a host of a data centre and counts a request in flight there.
 	Pick(dataCentre, service string, now time.Time) (Host, bool)
-	// Returned counts the forward's end and learns from it.
+	// Returned counts the end of a forwarded request and learns from its outcome.
 	Returned(dataCentre, service string, o Outcome, now time.Time)
 }
--- a/outcome.go
+++ b/outcome.go
@@ -5,52 +5,51 @@
 	"time"
 )
 
-// OutcomeKind says what is known of a request's execution.
+// OutcomeKind is what is known about the execution of a request.
 type OutcomeKind uint8
 
-// Kinds of outcome. They are never blurred: NotRun is only said when no byte
-// of the request reached an endpoint, or the endpoint refused it before
-// starting.
+// Kinds of outcome. NotRun is a guarantee: no byte of the request reached an endpoint, or the
+// endpoint refused it before starting. Whenever that is not certain, the outcome is Unknown.
 const (
-	Unknown OutcomeKind = iota
-	NotRun
-	Answered
+	Unknown  OutcomeKind = iota // it may or may not have run
+	NotRun                      // it has not run
+	Answered                    // it has run, and its response was sent to the caller
 )
 
 var outcomeNames = [...]string{"unknown", "not-run", "answered"}
 
-// String returns the kind as it stands in problem documents and logs.
-func (k OutcomeKind) String() string { return nameOf(outcomeNames[:], int(k)) }
+// String returns the name of the kind in problem documents and logs.
+func (k OutcomeKind) String() string { return nameAt(outcomeNames[:], int(k)) }
 
-// Outcome is the end of a request, or of one attempt at it.
+// Outcome is the result of a request, or of one attempt at it.
 type Outcome struct {
 	Kind    OutcomeKind
-	Status  int // HTTP status for the caller
-	Step    Step
+	Status  int    // HTTP status for the caller
+	Step    Step   // step at which it ended
 	Peer    string // host or endpoint where it ended
 	Reason  Reason
-	RetryAt time.Time // when asking again may help; zero: it won't
+	RetryAt time.Time // when a retry may succeed; zero: no retry is suggested
 	Err     error
-	Begun   bool // part of an answer went to the caller
-	// HostLost says that the host which the request was passed to could not be reached
-	// or broke off: Peer is its name.
+	Begun   bool // part of a response was sent to the caller
+	// HostLost says that the host to which the request was forwarded could not be reached or
+	// broke the connection. Peer is the name of that host.
 	HostLost bool
-	Events   int       // of a stream, passed on whole
-	First    time.Time // when the first of an answer arrived here; zero: none did
-	// Failure is an endpoint's own answer of a failure that was kept back, as
-	// another attempt may do better.
+	Events   int       // number of whole events of a stream that were forwarded
+	First    time.Time // when the first byte of the response arrived here; zero: none did
+	// Failure is an endpoint's error response that was not forwarded, because another attempt
+	// may succeed. If none does, it is sent to the caller.
 	Failure *KeptAnswer
-	Cold    time.Duration // how much longer the endpoint said to be cold; 0: not
+	Cold    time.Duration // remaining cold start that the endpoint stated; 0: none
 }
 
-// KeptAnswer is a whole answer.
+// KeptAnswer is a buffered response.
 type KeptAnswer struct {
 	Status int
 	Header []HeaderField
 	Body   []byte
 }
 
-// Replay gives the answer to a.
+// Replay writes the response to a.
 func (k *KeptAnswer) Replay(a Answer) error {
 	if err := a.Begin(k.Status, k.Header); err != nil {
 		return err
@@ -58,7 +57,7 @@
 	return a.Write(k.Body)
 }
 
-// Error describes an outcome that is no answer.
+// Error describes an outcome without a response.
 func (o Outcome) Error() string {
 	text := fmt.Sprintf("%s: %s: %s", o.Step, o.Kind, o.Reason)
 	if o.Peer != "" {
@@ -70,71 +69,71 @@
 	return text
 }
 
-// Step is a part of a request's way, for errors and logs.
+// Step is the step at which a request ended or an error occurred.
 type Step string
 
 // Steps of a request.
 const (
-	StepParse     Step = "parse"
-	StepOnce      Step = "once"
-	StepDecide    Step = "decide"
-	StepQueue     Step = "queue"
-	StepResidency Step = "residency"
-	StepConnect   Step = "connect"
-	StepSend      Step = "send"
-	StepAnswer    Step = "answer"
-	StepForward   Step = "forward"
-	StepHold      Step = "hold"
+	StepParse     Step = "parse"     // reading the caller's request
+	StepOnce      Step = "once"      // handling its at-most-once key
+	StepDecide    Step = "decide"    // deciding where it runs
+	StepQueue     Step = "queue"     // waiting for capacity
+	StepResidency Step = "residency" // checking which regions may process it
+	StepConnect   Step = "connect"   // connecting to an endpoint or a host
+	StepSend      Step = "send"      // sending the request to an endpoint
+	StepAnswer    Step = "answer"    // receiving the response
+	StepForward   Step = "forward"   // forwarding to another host
+	StepHold      Step = "hold"      // checking the quarantine
 )
 
-// Reason says why a candidate lost or a request was refused.
+// Reason says why a candidate was not chosen, or why a request was refused or failed.
 type Reason string
 
 // Reasons.
 const (
-	ReasonChosen       Reason = "chosen"
-	ReasonCost         Reason = "cost"
-	ReasonResidency    Reason = "residency"
-	ReasonDraining     Reason = "draining"
-	ReasonEjected      Reason = "ejected"
-	ReasonExcluded     Reason = "tried-before"
-	ReasonFull         Reason = "full"
-	ReasonDeadline     Reason = "deadline"
-	ReasonHops         Reason = "hops"
-	ReasonNoEndpoint   Reason = "no-endpoint"
-	ReasonQueueFull    Reason = "queue-full"
-	ReasonBudget       Reason = "retry-budget"
-	ReasonUnreachable  Reason = "unreachable"
-	ReasonRefused      Reason = "endpoint-refused"
-	ReasonBroken       Reason = "answer-broken"
-	ReasonLost         Reason = "answer-lost"
-	ReasonCallerGone   Reason = "caller-gone"
+	ReasonChosen       Reason = "chosen"           // not refused: the candidate was chosen
+	ReasonCost         Reason = "cost"             // another candidate has a lower cost
+	ReasonResidency    Reason = "residency"        // the request may not run in the region
+	ReasonDraining     Reason = "draining"         // the endpoint is draining, leaving or not listed any more
+	ReasonEjected      Reason = "ejected"          // the endpoint failed repeatedly
+	ReasonExcluded     Reason = "tried-before"     // an earlier attempt went there
+	ReasonFull         Reason = "full"             // there is no capacity now
+	ReasonDeadline     Reason = "deadline"         // the deadline has passed, or would pass
+	ReasonHops         Reason = "hops"             // the request was already forwarded once
+	ReasonNoEndpoint   Reason = "no-endpoint"      // no endpoint of the service is known
+	ReasonQueueFull    Reason = "queue-full"       // the service's queue is full
+	ReasonBudget       Reason = "retry-budget"     // unused
+	ReasonUnreachable  Reason = "unreachable"      // the endpoint, host or data centre can't be reached
+	ReasonRefused      Reason = "endpoint-refused" // the endpoint refused the request, or recent ones, before starting
+	ReasonBroken       Reason = "answer-broken"    // the response broke off or can't be verified
+	ReasonLost         Reason = "answer-lost"      // no complete response arrived
+	ReasonCallerGone   Reason = "caller-gone"      // the caller disconnected
 	ReasonBadRequest   Reason = "bad-request"
 	ReasonNoService    Reason = "unknown-service"
-	ReasonKey          Reason = "key"
-	ReasonKeyExpired   Reason = "key-expired"
-	ReasonIssuerGone   Reason = "issuer-gone"
-	ReasonNotKept      Reason = "answer-not-kept"
-	ReasonStarting     Reason = "starting"
-	ReasonLeaving      Reason = "leaving"
-	ReasonStale        Reason = "report-stale"
-	ReasonStreamEnded  Reason = "stream-ended"
-	ReasonUnsupported  Reason = "unsupported"
-	ReasonTooLarge     Reason = "too-large"
-	ReasonOverCapacity Reason = "over-capacity"
-	ReasonFailed       Reason = "endpoint-failed"
-	ReasonMisled       Reason = "other-process"
-	ReasonCold         Reason = "cold"
-	ReasonLimited      Reason = "endpoint-limited" // it names a rate, of which nothing is left now
-	ReasonPaused       Reason = "endpoint-paused"  // it wants nothing from this host for a time
-	ReasonSilent       Reason = "endpoint-silent"
-	ReasonNoRoute      Reason = "no-route"
-	ReasonSlow         Reason = "slow"
+	ReasonKey          Reason = "key"              // the at-most-once key is malformed or was used for another request
+	ReasonKeyExpired   Reason = "key-expired"      // the at-most-once key has expired
+	ReasonIssuerGone   Reason = "issuer-gone"      // the process that issued the at-most-once key can't be found
+	ReasonNotKept      Reason = "answer-not-kept"  // the request ran, but its response was not stored for a repeat
+	ReasonStarting     Reason = "starting"         // the host holds no configuration yet
+	ReasonLeaving      Reason = "leaving"          // the host is stopping
+	ReasonStale        Reason = "report-stale"     // the digest of the data centre is too old
+	ReasonStreamEnded  Reason = "stream-ended"     // unused
+	ReasonUnsupported  Reason = "unsupported"      // unused
+	ReasonTooLarge     Reason = "too-large"        // the request body is too large
+	ReasonOverCapacity Reason = "over-capacity"    // there is too little capacity to serve it in time
+	ReasonFailed       Reason = "endpoint-failed"  // the endpoint sent an error response
+	ReasonMisled       Reason = "other-process"    // another process has the endpoint's address
+	ReasonCold         Reason = "cold"             // the endpoint's cold start allows no further request now
+	ReasonLimited      Reason = "endpoint-limited" // the endpoint's rate limit allows no further request now
+	ReasonPaused       Reason = "endpoint-paused"  // the endpoint asked this host to pause
+	ReasonSilent       Reason = "endpoint-silent"  // the streams of the endpoint have all stalled
+	ReasonNoRoute      Reason = "no-route"         // no route matches the request
+	ReasonSlow         Reason = "slow"             // a stream there would end too late
 	ReasonNoWorkspace  Reason = "unknown-workspace"
-	ReasonNoKey        Reason = "no-key"         // the route asks for one
-	ReasonBadKey       Reason = "bad-key"        // its text can't be a key
-	ReasonUnknownKey   Reason = "unknown-key"    // no workspace has it, or no longer
-	ReasonNoHome       Reason = "no-common-home" // route and workspace have homes, but no region is both's
-	ReasonQuota        Reason = "over-quota"
-	ReasonHeldBack     Reason = "held-back" // endpoints ended under it
+	ReasonNoKey        Reason = "no-key"         // the request has no workspace key but needs one
+	ReasonBadKey       Reason = "bad-key"        // the text can't be a workspace key
+	ReasonUnknownKey   Reason = "unknown-key"    // no workspace has the key, or not any more
+	ReasonNoHome       Reason = "no-common-home" // no region is allowed by both the route and the workspace
+	ReasonQuota        Reason = "over-quota"     // the workspace has used up its quota
+	ReasonHeldBack     Reason = "held-back"      // the request is quarantined
 )
--- a/quarantine.go
+++ b/quarantine.go
@@ -5,32 +5,35 @@
 	"time"
 )
 
-// Hold says that a request is held back: so many endpoints ended under it that it runs
-// nowhere until a moment.
+// Hold is a quarantine entry: the request with this content hash runs nowhere until the
+// entry ends, as several endpoints crashed while they ran it.
 type Hold struct {
 	Digest Digest
-	// Strike is how often the request was held back, this time with it: each time for longer.
+	// Strike is how many times the request has been quarantined, this time included. Each
+	// time lasts longer.
 	Strike uint32
-	Ends   int       // endpoints that ended under it before this hold
-	Since  time.Time // by the clock of suspensions, as Until
-	Until  time.Time // when it may run again
-	// Released says that an operator let it go.
+	Ends   int       // number of endpoints that crashed before this entry was made
+	Since  time.Time // by the boot-time clock (process/clock), as is Until
+	Until  time.Time // when the request may run again
+	// Released says that an operator ended the entry early.
 	Released bool
 }
 
-// Quarantine holds back the requests under which endpoints end, over all hosts.
+// Quarantine keeps requests that make endpoints crash (poison requests) from running on any
+// host.
 type Quarantine interface {
-	// Held says whether a request is held back, and for what.
+	// Held returns whether a request is quarantined, and its entry.
 	Held(r *Request) (Hold, bool)
-	// Lost tells of an attempt at an endpoint that has no whole answer: the endpoint may have
-	// ended.
+	// Lost reports an attempt without a complete response: the endpoint may have crashed.
 	Lost(e Endpoint, r *Request, o Outcome, t Timing)
-	// Answered tells that an endpoint has answered a request: nothing ends under that one.
+	// Answered reports a request that an endpoint has answered, so that earlier crashes no
+	// longer count against it.
 	Answered(r *Request)
 }
 
-// HoldKeeper keeps holds where they outlast all hosts.
+// HoldKeeper persists quarantine entries, so that they outlast a restart of all hosts.
 type HoldKeeper interface {
-	// Keep adds holds to those kept, in place of those of the same requests, and drops others.
+	// Keep stores the entries put, in place of earlier ones of the same requests, and deletes
+	// the entries drop.
 	Keep(ctx context.Context, put []Hold, drop []Digest) error
 }
--- a/quota.go
+++ b/quota.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Quota bounds what all hosts together run for a workspace.
+// Quota limits what all hosts together run for a workspace.
 type Quota struct {
-	Rate  float64 // units a second; 0: there is no bound
-	Burst float64 // units at once beside it
+	Rate  float64 // units per second; 0: no limit
+	Burst float64 // units allowed at once in addition to the rate
 	Unit  QuotaUnit
-	// Plain is what a request counts that names no tokens, where tokens are counted.
+	// Plain is the cost of a request without token counts when the unit is tokens.
 	Plain float64
 }
 
-// Bounded says whether there is a bound.
+// Bounded returns whether there is a limit.
 func (q Quota) Bounded() bool { return q.Rate > 0 }
 
-// Charge returns how many units a request counts.
+// Charge returns the cost of a request in quota units.
 func (q Quota) Charge(r *Request) float64 {
-	switch told := r.Tokens + r.MostTokens; {
+	switch tokens := r.Tokens + r.MostTokens; {
 	case q.Unit == UnitRequests:
 		return 1
-	case told > 0:
-		return float64(told)
+	case tokens > 0:
+		return float64(tokens)
 	}
 	return q.Plain
 }
 
-// QuotaUnit is what a quota counts.
+// QuotaUnit is the unit that a quota counts.
 type QuotaUnit uint8
 
 // Units of quotas.
 const (
 	UnitRequests QuotaUnit = iota
-	UnitTokens             // of the prompt, and the most that the answer may have
+	UnitTokens             // tokens of the prompt plus the maximum tokens of the response
 )
 
 var quotaUnitNames = [...]string{"requests", "tokens"}
 
 // String returns the unit in lower case.
-func (u QuotaUnit) String() string { return nameOf(quotaUnitNames[:], int(u)) }
+func (u QuotaUnit) String() string { return nameAt(quotaUnitNames[:], int(u)) }
 
-// ParseQuotaUnit reads the name of a unit.
+// ParseQuotaUnit parses the name of a unit.
 func ParseQuotaUnit(s string) (QuotaUnit, bool) {
 	for i, n := range quotaUnitNames {
 		if n == s {
@@ -52,20 +52,20 @@
 	return 0, false
 }
 
-// Quotas keep what all hosts together run for a workspace within its quota.
+// Quotas keeps what all hosts together run for a workspace within its quota.
 type Quotas interface {
-	// Take takes the charge of a request that is about to run. It waits for other hosts
-	// some milliseconds at most.
-	Take(ctx context.Context, workspace string, charge float64) QuotaVerdict
-	// Return gives back a charge whose request did not run.
-	Return(workspace string, charge float64)
+	// Take takes the cost of a request that is about to run from the workspace's quota. It
+	// waits at most some milliseconds for other hosts.
+	Take(ctx context.Context, workspace string, cost float64) QuotaVerdict
+	// Return gives back the cost of a request that did not run.
+	Return(workspace string, cost float64)
 }
 
-// QuotaVerdict is the answer to a charge.
+// QuotaVerdict is the result of Quotas.Take.
 type QuotaVerdict struct {
 	Granted bool
-	RetryAt time.Time     // not granted: when there is room
+	RetryAt time.Time     // when not granted: when the quota allows the request
 	Left    float64       // units left to this host
-	Region  float64       // units left in the region, as last told
-	Age     time.Duration // of what the region was last told of the others; negative: nothing
+	Region  float64       // units left in the region, as last reported
+	Age     time.Duration // age of the oldest report from another region; negative: none
 }
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -9,64 +9,67 @@
 	"github.com/go-faster/errors"
 )
 
-// RateLimit is what an endpoint said of the requests that it takes, from all hosts together. It
-// was true at some moment from Asked to Heard: when the endpoint wrote it is not known.
+// RateLimit is what an endpoint advertised about its rate limit, which holds for the requests
+// of all hosts together. The endpoint wrote it at an unknown time between Asked and Heard.
 type RateLimit struct {
-	Named bool      // it named a rate; false: it takes what comes
-	Rate  float64   // requests a second
-	Asked time.Time // when the request was sent whose answer said so
-	Heard time.Time // when the head of the answer was read; zero: nothing was ever heard
+	Named bool      // it advertised a rate limit; false: it has none
+	Rate  float64   // in requests per second
+	Asked time.Time // when the request with this response was sent
+	Heard time.Time // when the response head was received; zero: there was no response yet
 }
 
-// Update returns what is to be believed after some news. News that is surely older changes
-// nothing, and news that is surely newer stands. Of two words that may be as old as each other the
-// stricter stands: a head that was long on its way must not lift a limit that was named since.
-func (l RateLimit) Update(news RateLimit) RateLimit {
+// Update returns the rate limit that counts after a further response. A response that was
+// certainly written earlier than l changes nothing, and one that was certainly written later
+// replaces l. If the order is not certain, the stricter one counts: a response that was long
+// on its way must not lift a limit that the endpoint has advertised since.
+func (l RateLimit) Update(next RateLimit) RateLimit {
 	switch {
 	case l.Heard.IsZero():
-		return news
-	case news.Heard.Before(l.Asked):
+		return next
+	case next.Heard.Before(l.Asked):
 		return l
-	case news.Asked.After(l.Heard), news.bound() <= l.bound():
-		return news
+	case next.Asked.After(l.Heard), next.allowedRate() <= l.allowedRate():
+		return next
 	}
 	return l
 }
 
-// bound is the rate that a word allows.
-func (l RateLimit) bound() float64 {
+// allowedRate returns the requests per second that l allows; infinity without a limit.
+func (l RateLimit) allowedRate() float64 {
 	if !l.Named {
 		return math.Inf(1)
 	}
 	return l.Rate
 }
 
-// RateReading is what an answer says of its endpoint's rate.
+// RateReading is the parsed rate limit from one response head.
 type RateReading struct {
-	Told  bool // the answer is the endpoint's word: without a rate it says that it names none
-	Named bool
-	Rate  float64 // requests a second
-	Err   error   // what stood there can't be read, and says nothing
+	Told  bool    // the response is known to be the endpoint's: without a rate, the endpoint has no limit
+	Named bool    // the response advertises a rate limit
+	Rate  float64 // in requests per second
+	Err   error   // the field can't be parsed, and was ignored
 }
 
-// ErrRate is a text that names no rate.
-var ErrRate = errors.New("not a rate: a number of requests a second, 0 or more")
+// ErrRate is the error of a rate limit that can't be parsed.
+var ErrRate = errors.New("rate limit is not a number of requests per second, 0 or more")
 
 const (
-	// longestRate is the longest text of rates that is read, in bytes: a number has some ten.
-	longestRate = 64
-	// unbound is the rate in requests a second from which on one binds nobody: all hosts of the
-	// largest deployment together bring a fortieth of it.
-	unbound = 1e6
+	// maxRateFieldBytes bounds the length of a field that is parsed. A number has about ten
+	// bytes.
+	maxRateFieldBytes = 64
+	// unlimitedRate is the rate, in requests per second, from which on a limit is treated as
+	// none. All hosts of the largest deployment together send a fortieth of it.
+	unlimitedRate = 1e6
 )
 
-// ReadRate reads the rate that an endpoint names; empty: it names none. Of several numbers,
-// separated by commas as where the field stands there twice, the lowest holds.
+// ReadRate parses the field by which an endpoint advertises a rate limit; empty: it has none.
+// A field that occurs more than once arrives as a comma-separated list; the lowest rate
+// counts.
 func ReadRate(text string) RateReading {
 	if text == "" {
 		return RateReading{Told: true}
 	}
-	if len(text) > longestRate {
+	if len(text) > maxRateFieldBytes {
 		return RateReading{Err: errors.Wrapf(ErrRate, "%d bytes", len(text))}
 	}
 	out := RateReading{Told: true, Rate: math.Inf(1)}
@@ -77,7 +80,7 @@
 		}
 		out.Rate = min(out.Rate, rate)
 	}
-	if out.Rate >= unbound {
+	if out.Rate >= unlimitedRate {
 		return RateReading{Told: true}
 	}
 	out.Named = true
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -10,6 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestReadRate checks which texts are a rate limit. A malformed text that is taken for a
+// limit, or for none, would stop or overload an endpoint.
 func TestReadRate(t *testing.T) {
 	cases := map[string]struct {
 		text  string
@@ -17,20 +19,20 @@
 		rate  float64
 		bad   bool
 	}{
-		"nothing":               {"", false, 0, false},
-		"a number":              {"1.9", true, 1.9, false},
-		"zero takes none":       {"0", true, 0, false},
-		"twice, the lower":      {"4, 1.5", true, 1.5, false},
-		"so high as to be none": {"1e9", false, 0, false},
-		"negative":              {"-1", false, 0, true},
-		"not a number":          {"NaN", false, 0, true},
-		"infinite":              {"Inf", false, 0, true},
-		"too large to hold":     {"1e999", false, 0, true},
-		"words":                 {"slow", false, 0, true},
-		"one of two is bad":     {"2,x", false, 0, true},
-		"an empty part":         {"2,", false, 0, true},
-		"blank":                 {" ", false, 0, true},
-		"far too long":          {strings.Repeat("1", longestRate+1), false, 0, true},
+		"empty":                    {"", false, 0, false},
+		"number":                   {"1.9", true, 1.9, false},
+		"zero allows no requests":  {"0", true, 0, false},
+		"lower of two":             {"4, 1.5", true, 1.5, false},
+		"high enough to be none":   {"1e9", false, 0, false},
+		"negative":                 {"-1", false, 0, true},
+		"not a number":             {"NaN", false, 0, true},
+		"infinite":                 {"Inf", false, 0, true},
+		"too large for a float":    {"1e999", false, 0, true},
+		"word":                     {"slow", false, 0, true},
+		"one of two is malformed":  {"2,x", false, 0, true},
+		"list with an empty value": {"2,", false, 0, true},
+		"blank":                    {" ", false, 0, true},
+		"too long":                 {strings.Repeat("1", maxRateFieldBytes+1), false, 0, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,8 +46,8 @@
 	}
 }
 
-// FuzzReadRate: whatever an endpoint writes, what is read is a rate that can be kept to, or says
-// nothing.
+// FuzzReadRate checks that for any text from an endpoint the result is either a finite rate,
+// no limit, or an error.
 func FuzzReadRate(f *testing.F) {
 	for _, seed := range []string{"", "1.9", "0", "-0", "-1", "NaN", "+Inf", "1e400", "0x1p-3", "1,2", ",", "1 2", strings.Repeat("9", 300)} {
 		f.Add(seed)
@@ -53,40 +55,41 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		got := ReadRate(text)
 		if got.Told == (got.Err != nil) {
-			t.Fatalf("%q: told %t, error %v", text, got.Told, got.Err)
+			t.Fatalf("%q: told is %t with error %v", text, got.Told, got.Err)
 		}
-		if got.Named && (!got.Told || !(got.Rate >= 0) || math.IsInf(got.Rate, 0) || got.Rate >= unbound) {
-			t.Fatalf("%q: names %g", text, got.Rate)
+		if got.Named && (!got.Told || !(got.Rate >= 0) || math.IsInf(got.Rate, 0) || got.Rate >= unlimitedRate) {
+			t.Fatalf("%q: invalid rate limit %g", text, got.Rate)
 		}
 		if !got.Named && got.Rate != 0 {
-			t.Fatalf("%q: names none, and %g", text, got.Rate)
+			t.Fatalf("%q: rate %g without a rate limit", text, got.Rate)
 		}
 	})
 }
 
-// TestRateLimitUpdate: which of two words of an endpoint stands, by when each can have been
-// written.
+// TestRateLimitUpdate checks which of two responses of an endpoint counts, by the times at
+// which each can have been written. Responses overtake each other: one that was long on its
+// way must not lift a limit that the endpoint has advertised since.
 func TestRateLimitUpdate(t *testing.T) {
 	at := func(second int) time.Time { return time.Unix(1_800_000_000+int64(second), 0) }
-	word := func(rate float64, asked, heard int) RateLimit {
+	limit := func(rate float64, asked, heard int) RateLimit {
 		return RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: at(asked), Heard: at(heard)}
 	}
 	const none = -1
 	cases := map[string]struct {
-		held, news, stands RateLimit
+		held, next, want RateLimit
 	}{
-		"the first word":                         {RateLimit{}, word(2, 1, 2), word(2, 1, 2)},
-		"newer, higher":                          {word(2, 1, 2), word(5, 3, 4), word(5, 3, 4)},
-		"newer, none":                            {word(2, 1, 2), word(none, 3, 4), word(none, 3, 4)},
-		"older":                                  {word(none, 5, 6), word(2, 1, 4), word(none, 5, 6)},
-		"older, higher":                          {word(2, 5, 6), word(9, 1, 4), word(2, 5, 6)},
-		"as old as each other, lower":            {word(5, 1, 4), word(2, 2, 5), word(2, 2, 5)},
-		"as old as each other, higher":           {word(2, 1, 4), word(5, 2, 5), word(2, 1, 4)},
-		"as old as each other, none":             {word(2, 1, 4), word(none, 2, 9), word(2, 1, 4)},
-		"the same again moves the moment on":     {word(2, 1, 4), word(2, 3, 6), word(2, 3, 6)},
-		"named since by an answer that overtook": {word(none, 1, 4), word(2, 2, 3), word(2, 2, 3)},
+		"first response":                      {RateLimit{}, limit(2, 1, 2), limit(2, 1, 2)},
+		"later, higher":                       {limit(2, 1, 2), limit(5, 3, 4), limit(5, 3, 4)},
+		"later, no limit":                     {limit(2, 1, 2), limit(none, 3, 4), limit(none, 3, 4)},
+		"earlier, limit":                      {limit(none, 5, 6), limit(2, 1, 4), limit(none, 5, 6)},
+		"earlier, higher":                     {limit(2, 5, 6), limit(9, 1, 4), limit(2, 5, 6)},
+		"order unknown, lower":                {limit(5, 1, 4), limit(2, 2, 5), limit(2, 2, 5)},
+		"order unknown, higher":               {limit(2, 1, 4), limit(5, 2, 5), limit(2, 1, 4)},
+		"order unknown, no limit":             {limit(2, 1, 4), limit(none, 2, 9), limit(2, 1, 4)},
+		"same rate again renews the times":    {limit(2, 1, 4), limit(2, 3, 6), limit(2, 3, 6)},
+		"limit from a response that overtook": {limit(none, 1, 4), limit(2, 2, 3), limit(2, 2, 3)},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, c.held.Update(c.news), c.stands) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, c.held.Update(c.next), c.want) })
 	}
 }
--- a/record.go
+++ b/record.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Record is one decision on a request, or with Ended set what came of it, or with Lost set
-// an attempt whose answer was lost.
+// Record is an entry of the journal. It describes one decision on a request; with Ended set,
+// the outcome of a request; with Lost set, an attempt whose outcome is unknown.
 type Record struct {
 	At        time.Time
 	Request   string // id
 	Service   string
 	Route     string
-	Prompt    int // tokens
+	Prompt    int // tokens of the prompt
 	Workspace string
 	Home      string // region
 	Decision  Decision
-	Attempt   int
+	Attempt   int // counted from 1
 	Hops      int
-	Goal      time.Time // until when an answer is worth all it can be; zero: not said
+	Goal      time.Time // latency objective; zero: none
 	Deadline  time.Time
-	Fresh     bool    // a first try
-	Charge    float64 // of its workspace's quota; 0: none
+	Fresh     bool    // see Request.Fresh
+	Charge    float64 // cost in units of the workspace's quota; 0: none
 	Quota     QuotaVerdict
 	Revision  uint64
-	Ended     bool // it tells how the request ended
-	Lost      bool // it tells of an attempt at an endpoint whose end is not known
+	Ended     bool // the record is the outcome of the request
+	Lost      bool // the record is an attempt whose outcome is unknown
 	Digest    Digest
 	Outcome   Outcome
 	Took      time.Duration
 }
 
-// Recorder keeps records. Note never waits.
+// Recorder stores records. Note doesn't block.
 type Recorder interface {
 	Note(r Record)
 }
--- a/region.go
+++ b/region.go
@@ -2,25 +2,26 @@
 
 import "math/bits"
 
-// MaxRegions is how many regions a RegionSet can hold.
+// MaxRegions is how many regions a RegionSet can contain.
 const MaxRegions = 64
 
-// RegionID is the index of a region in the configuration. An index is never
-// given to another region while the configuration log lives.
+// RegionID is the index of a region in the configuration. Operators must not give the index
+// of a removed region to another one: only an index in use is rejected, and hosts with an
+// older configuration still take it for the removed region.
 type RegionID uint8
 
-// Region is a part of the world with data centres of its own, set apart from
-// other regions by slow links that may be cut.
+// Region is a part of the world with data centres of its own. Its links to other regions are
+// slow and may fail.
 type Region struct {
 	ID          RegionID
 	Name        string
 	DataCentres []string
 }
 
-// RegionSet is a set of regions, one bit each.
+// RegionSet is a set of regions with one bit for each.
 type RegionSet uint64
 
-// AllRegions holds every region there can be.
+// AllRegions contains every possible region.
 const AllRegions = ^RegionSet(0)
 
 // RegionsOf returns the set of the given regions.
@@ -32,7 +33,7 @@
 	return s
 }
 
-// Has reports whether the set holds the region.
+// Has returns whether the set contains the region.
 func (s RegionSet) Has(id RegionID) bool { return s&(1<<id) != 0 }
 
 // Len returns the number of regions in the set.
--- a/request.go
+++ b/request.go
@@ -5,67 +5,69 @@
 	"time"
 )
 
-// MaxHops is how many times a request may be passed from host to host.
+// MaxHops is how many times a request may be forwarded from host to host.
 const MaxHops = 1
 
-// Request is a caller's request on its way through the system.
+// Request is a caller's request while the system handles it.
 type Request struct {
 	ID        string
 	Service   string
 	Kind      ServiceKind
-	Workspace string // whose caller it is
-	// Credential is the hash of the key that the caller showed, at the host where it
-	// came in; zero: none. Other hosts trust that host's word for the workspace.
+	Workspace string // workspace of the caller
+	// Credential is the hash of the caller's key, on the host that received the request from
+	// the caller; zero: the caller sent none. It is not forwarded: other hosts rely on that
+	// host for the workspace.
 	Credential KeyHash
-	Home       RegionID
-	Entry      RegionID  // region where the caller handed it in
-	Allowed    RegionSet // regions that may process it, as narrowed so far
-	Priority   int8
-	Deadline   time.Time // after it, nothing is started for the request
-	Hops       int       // times it was passed from host to host
-	Revision   uint64    // newest configuration that a host judged it by
+	Home       RegionID  // region of the workspace, or else Entry
+	Entry      RegionID  // region where the request was received from the caller
+	Allowed    RegionSet // regions that may process it, by all hosts that have checked it
+	Priority   int8      // higher is more urgent
+	Deadline   time.Time // no work on the request is started after it
+	Hops       int       // number of times it was forwarded from host to host
+	Revision   uint64    // newest configuration that a host has checked it against
 
 	Method  string
 	Path    string // with the query
 	Header  []HeaderField
 	Body    []byte
-	Stream  bool   // the answer is a stream of events
-	Tokens  int    // estimated prompt tokens
+	Stream  bool   // the response is a stream of events
+	Tokens  int    // estimated or stated tokens of the prompt
 	Key     string // at-most-once key; empty: none
-	Repeats bool   // it may run twice without harm
+	Repeats bool   // it may run more than once without harm
 	Resume  StreamPosition
 
-	// Charge is what one run of it takes of its workspace's quota, where there is one, and
-	// Quota the answer to it.
+	// Charge is the cost of one attempt in units of the workspace's quota, if it has one, and
+	// Quota the newest result of taking it.
 	Charge float64
 	Quota  QuotaVerdict
-	// Permit is for the endpoint that it is about to leave for.
+	// Permit is the reservation at the endpoint that it will be sent to next.
 	Permit Permit
 
-	// The rest is set for requests that belong to a route.
+	// The remaining fields are set for requests that belong to a route.
 	Route        string
-	Attempts     int          // endpoints it may be sent to
-	Goal         time.Time    // until when its answer is worth all it can be
+	Attempts     int          // maximum number of endpoints that it may be sent to
+	Goal         time.Time    // latency objective
 	Prompt       []PromptPart // in the order of the prompt
-	AnswerTokens int          // of its answer, as its caller guesses; 0: it doesn't
-	MostTokens   int          // that its answer may have; 0: not said
-	Resumable    bool         // its stream may go on at another endpoint
-	LastEvent    string       // id of the last event that its caller has
-	Fresh        bool         // its caller has most of its time left, and can come back when it is refused
-	Begun        bool         // part of its answer went to the caller: only a stream that goes on may follow
-	// PromptFrom is where the endpoint that runs it may take the kept parts of its
-	// prompt from; not valid: nowhere.
+	AnswerTokens int          // the caller's estimate of the tokens in the response; 0: none
+	MostTokens   int          // maximum tokens of the response; 0: not stated
+	Resumable    bool         // its stream may be resumed at another endpoint
+	LastEvent    string       // id of the last event that the caller received
+	Fresh        bool         // the caller still has most of its time, so it can retry after a refusal
+	Begun        bool         // part of a response was sent to the caller: only the rest of that stream may follow
+	// PromptFrom is the address from which the endpoint that runs it may transfer the cached
+	// parts of its prompt; not valid: none.
 	PromptFrom netip.AddrPort
-	// BeginBy is until when its caller waits for the first event of a stream; zero: not known.
+	// BeginBy is when the caller stops waiting for the first event of a stream; zero: not
+	// known.
 	BeginBy time.Time
-	// Patience is until when it may wait for room: a caller that is refused
-	// early can still be served in time elsewhere. Zero: until its deadline.
+	// Patience is until when it may wait for capacity here; zero: until its deadline. A caller
+	// that is refused some time before its deadline can still be served elsewhere.
 	Patience time.Time
 
-	digest Digest // see Digest; zero: not taken yet
+	contentHash Digest // see Digest; zero: not computed yet
 }
 
-// WaitUntil is until when the request may wait for room.
+// WaitUntil returns until when the request may wait for capacity.
 func (r *Request) WaitUntil() time.Time {
 	if r.Patience.IsZero() || r.Deadline.Before(r.Patience) {
 		return r.Deadline
@@ -73,7 +75,7 @@
 	return r.Patience
 }
 
-// PromptTokens returns the tokens of the request's prompt.
+// PromptTokens returns the number of tokens in the prompt.
 func (r *Request) PromptTokens() int {
 	if len(r.Prompt) == 0 {
 		return r.Tokens
@@ -85,8 +87,8 @@
 	return sum
 }
 
-// Session returns the part of the prompt that requests of the same session
-// share: the last but one, as the last belongs to the request alone.
+// Session returns the part of the prompt that identifies the session: the last but one. All
+// requests of a session share it, while the last part belongs to one request.
 func (r *Request) Session() (PromptPart, bool) {
 	if len(r.Prompt) < 2 {
 		return PromptPart{}, false
@@ -100,9 +102,9 @@
 	Value string
 }
 
-// StreamPosition names a place in an endpoint's stream of events.
+// StreamPosition is the position at which a caller resumes a stream of events.
 type StreamPosition struct {
 	Endpoint string // that holds the stream; empty: a new stream
 	Stream   string // the endpoint's name for the stream
-	Offset   int    // events the caller has
+	Offset   int    // number of events that the caller has received
 }
--- a/route.go
+++ b/route.go
@@ -2,59 +2,58 @@
 
 import "time"
 
-// Route says which requests go to which services, and what may be done with
-// them. A request belongs to the route of its host name with the longest
-// prefix of its path.
+// Route assigns requests to services and says how they may be handled. A request belongs to
+// the route of its host name with the longest matching path prefix.
 type Route struct {
 	Name       string
-	Host       string // name in the request's Host field
+	Host       string // host name in the request's Host field
 	PathPrefix string // begins and ends with a slash
 	Kind       RouteKind
 	Targets    []Target
-	// Attempts is the most endpoints that one request may be sent to.
+	// Attempts is the maximum number of endpoints that one request may be sent to.
 	Attempts int
-	// AnswerWithin bounds the time a request may be held. Like Goal it is
-	// configuration, not a stored deadline.
+	// AnswerWithin is the longest time to the deadline of a request, counted from its arrival.
 	AnswerWithin time.Duration
-	// Goal is the time within which an answer is worth all it can be.
+	// Goal is the latency objective, counted from the arrival of a request.
 	Goal      time.Duration
 	Rank      int8     // 0 is the most urgent
 	Homes     []string // regions that may process its requests; empty: all
-	Sticky    bool     // requests name the parts of their prompts
-	Resumable bool     // a stream may go on at another endpoint
-	// Pause is the longest time between two events of a stream after which its answer is
-	// late; 0: not said.
+	Sticky    bool     // its requests state the parts of their prompts; nothing here depends on it
+	Resumable bool     // a stream may be resumed at another endpoint
+	// Pause is the longest interval between two events of a stream that is still in time; 0:
+	// not specified.
 	Pause time.Duration
-	Keyed bool // its callers must show the key of a workspace
+	Keyed bool // callers must send the key of a workspace
 }
 
-// Repeats says whether a request of the route may run more than once.
+// Repeats returns whether a request of the route may run more than once.
 func (r *Route) Repeats() bool {
 	return r.Kind == RouteSafe || (r.Kind == RouteStream && r.Resumable)
 }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
-	Weight  int
+	Weight  int // its share is Weight over the sum of all weights
 }
 
-// RouteKind says what may be done with the requests of a route.
+// RouteKind says whether the requests of a route may run more than once, and whether they
+// are streams.
 type RouteKind uint8
 
-// Kinds of route.
+// Kinds of routes.
 const (
 	RouteUnsafe RouteKind = iota // runs at most once
 	RouteSafe                    // may run more than once
-	RouteStream                  // answers with events; runs at most once unless resumable
+	RouteStream                  // responds with events; runs at most once unless the route is resumable
 )
 
 var routeKindNames = [...]string{"unsafe", "safe", "stream"}
 
 // String returns the kind in lower case.
-func (k RouteKind) String() string { return nameOf(routeKindNames[:], int(k)) }
+func (k RouteKind) String() string { return nameAt(routeKindNames[:], int(k)) }
 
-// ParseRouteKind reads the name of a kind.
+// ParseRouteKind parses the name of a kind.
 func ParseRouteKind(s string) (RouteKind, bool) {
 	for i, n := range routeKindNames {
 		if n == s {
@@ -64,8 +63,8 @@
 	return 0, false
 }
 
-// PromptPart is a part of a prompt that other requests may share. An endpoint
-// that still holds the parts up to one need not read them again.
+// PromptPart is a part of a prompt that other requests may share. An endpoint that has cached
+// a prompt up to and including a part need not process that much again.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
--- a/service.go
+++ b/service.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Service is what callers ask for: a model, or a plain HTTP service.
+// Service is what callers send requests to: a model, or a plain HTTP service.
 type Service struct {
 	Name    string
 	Kind    ServiceKind
-	Allowed []string // regions that may process it; empty: only the caller's home
+	Allowed []string // regions that may process its requests; empty: only the caller's home
 	Weights Weights
-	// AnswerWithin bounds the time a request may take when its caller sets no
-	// deadline. It is configuration, not a stored deadline.
+	// AnswerWithin is the time to the deadline of a request whose caller sets none, counted
+	// from its arrival.
 	AnswerWithin time.Duration
-	EventTokens  int // tokens that an event of an answer holds; 0: not known
-	QueueLimit   int // requests one host lets wait for this service
+	EventTokens  int // number of tokens in one event of a response; 0: not known
+	QueueLimit   int // maximum number of requests that wait for this service on one host
 }
 
-// ServiceKind tells model engines from plain services.
+// ServiceKind distinguishes model engines from plain services.
 type ServiceKind uint8
 
-// Kinds of service.
+// Kinds of services.
 const (
 	KindModel ServiceKind = iota
 	KindPlain
@@ -27,9 +27,9 @@
 var serviceKindNames = [...]string{"model", "plain"}
 
 // String returns the kind in lower case.
-func (k ServiceKind) String() string { return nameOf(serviceKindNames[:], int(k)) }
+func (k ServiceKind) String() string { return nameAt(serviceKindNames[:], int(k)) }
 
-// ParseServiceKind reads the name of a kind.
+// ParseServiceKind parses the name of a kind.
 func ParseServiceKind(s string) (ServiceKind, bool) {
 	for i, n := range serviceKindNames {
 		if n == s {
@@ -39,11 +39,11 @@
 	return 0, false
 }
 
-// Weights say what the operators want of a service. Each is a factor on a
-// term of a candidate's cost; zero ignores the term.
+// Weights are the operators' priorities for a service. Each is a factor of one term of a
+// candidate's cost; 0 ignores the term.
 type Weights struct {
-	Tail float64 // on the predicted seconds to the first token
-	Away float64 // seconds added for leaving the caller's region
-	Cost float64 // on the seconds of engine time used
-	Read float64 // on the seconds of reading prompts that an endpoint doesn't hold
+	Tail float64 // of the predicted seconds to the first token
+	Away float64 // seconds added for leaving this host's region
+	Cost float64 // of the seconds of engine time that the request uses
+	Read float64 // of the seconds to process the prompt tokens that the endpoint has not cached
 }
--- a/store.go
+++ b/store.go
@@ -9,20 +9,20 @@
 type Entry struct {
 	Key   string
 	Value []byte
-	Index uint64 // changes with every write; for CompareAndSwap and Wait
+	Index uint64 // modify index: it changes with every write of the key
 }
 
-// Store is the platform's key-value service. Every call counts against its
-// rate, a waiting Wait as one. An error of CompareAndSwap other than
-// ErrConflict leaves open whether the write took effect.
+// Store is a client of the platform's key-value service. The service limits the rate of
+// calls; a Wait counts as one call however long it takes. If CompareAndSwap returns an error
+// other than ErrConflict or ErrLimited, the write may or may not have taken effect.
 type Store interface {
-	// Get returns ErrNotFound where there is no such key.
+	// Get returns ErrNotFound if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
-	// CompareAndSwap writes if the key still has the index; index 0: if there
-	// is no such key. It returns ErrConflict if not.
+	// CompareAndSwap writes the value if the key still has the modify index, or with index 0 if
+	// the key does not exist. Otherwise it returns ErrConflict.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) error
-	// Wait returns when the key changes from the index, or at the deadline with
-	// what it has. It returns ErrNotFound if there is still no such key.
+	// Wait returns the entry once its modify index differs from index, or at the deadline as it
+	// is. It returns ErrNotFound if the key still does not exist.
 	Wait(ctx context.Context, key string, index uint64, deadline time.Time) (Entry, error)
 	// Delete removes a key.
 	Delete(ctx context.Context, key string) error
--- a/moment.go
+++ b/time.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Earlier returns the earlier of two moments.
+// Earlier returns the earlier of two times.
 func Earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -10,7 +10,7 @@
 	return b
 }
 
-// Later returns the later of two moments.
+// Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/workspace.go
+++ b/workspace.go
@@ -7,32 +7,32 @@
 	"github.com/go-faster/errors"
 )
 
-// Workspace is a caller's account: a workshop, a notary's office.
+// Workspace is a customer's account.
 type Workspace struct {
 	Name     string
-	Home     string   // region it belongs to; empty: where its request enters
-	Allowed  []string // narrows the service's regions; empty: does not
-	Priority int8     // higher goes first
-	// Keys are the hashes of the keys by which its callers show that they are.
+	Home     string   // region that it belongs to; empty: the region where a request is received
+	Allowed  []string // regions that its requests are restricted to; empty: no restriction
+	Priority int8     // higher is more urgent
+	// Keys are the hashes of the keys by which its callers identify themselves.
 	Keys []KeyHash
-	// Locked says that nobody is taken for its caller without a key, also when all its keys
-	// were taken away.
+	// Locked says that callers always need a key, even if all keys of the workspace have been
+	// removed.
 	Locked bool
 	Quota  Quota
 }
 
-// MaxKey is the longest key of a caller, in bytes.
+// MaxKey is the maximum length of a caller's key, in bytes.
 const MaxKey = 128
 
-// KeyHash stands for a caller's key: the configuration, the log and other hosts see
-// nothing else of it. It is the first half of SHA-256, of which no two keys are found
-// that give the same.
+// KeyHash is the hash of a caller's key. The configuration and its log contain only this
+// hash, never the key. It is the first half of a SHA-256 sum, which makes it infeasible to
+// find another key with the same hash.
 type KeyHash [sha256.Size / 2]byte
 
-// HashKey returns the hash of a caller's key. What is beyond MaxKey doesn't count: such
-// keys are refused before (CheckKey).
+// HashKey returns the hash of a caller's key. Only the first MaxKey bytes count; CheckKey
+// rejects longer keys before.
 func HashKey(key string) KeyHash {
-	var text [MaxKey]byte // on the stack: a look-up allocates nothing
+	var text [MaxKey]byte // on the stack, so that a look-up allocates nothing
 	n := copy(text[:], key)
 	sum := sha256.Sum256(text[:n])
 	return KeyHash(sum[:len(KeyHash{})])
@@ -42,11 +42,12 @@
 var (
 	ErrNoKey   = errors.New("the request has no key")
 	ErrLongKey = errors.New("the key is too long")
-	ErrOddKey  = errors.New("the key holds bytes that no key has, or was sent twice")
+	ErrOddKey  = errors.New("the key contains invalid characters or was sent more than once")
 )
 
-// CheckKey says what is wrong with the text of a key: empty, over MaxKey bytes, or with
-// bytes that are no visible ASCII or separate values of a header field.
+// CheckKey returns an error if the text can't be a key: if it is empty, is longer than MaxKey
+// bytes, or contains a byte that is not visible ASCII or that separates the values of a
+// header field.
 func CheckKey(key string) error {
 	switch {
 	case key == "":
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// String returns the hash as hexadecimal digits.
+// String returns the hash in hexadecimal.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -71,7 +72,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) || len(text)%2 != 0 {
-		return errors.Errorf("the hash of a key has %d hexadecimal digits", hex.EncodedLen(len(h)))
+		return errors.Errorf("the hash of a key must have %d hexadecimal digits", hex.EncodedLen(len(h)))
 	}
 	if _, err := hex.Decode(h[:], text); err != nil {
 		return errors.Wrap(err, "the hash of a key")
--- a/workspace_test.go
+++ b/workspace_test.go
@@ -8,21 +8,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCheckKey: what can be a key.
+// TestCheckKey checks which texts can be a key, and the error of each other one. Two values
+// of one header field arrive joined by a comma, and must not pass for one key.
 func TestCheckKey(t *testing.T) {
 	cases := map[string]struct {
 		key  string
 		want error
 	}{
-		"a key":          {"jbvk9m68k7b2ex5wa5xw", nil},
+		"usual key":      {"jbvk9m68k7b2ex5wa5xw", nil},
 		"base64":         {"YWJj+/==", nil},
-		"none":           {"", ErrNoKey},
+		"empty":          {"", ErrNoKey},
 		"too long":       {strings.Repeat("k", MaxKey+1), ErrLongKey},
-		"the longest":    {strings.Repeat("k", MaxKey), nil},
-		"sent twice":     {"one,two", ErrOddKey},
-		"a space":        {"one two", ErrOddKey},
-		"a control byte": {"one\x00", ErrOddKey},
-		"beyond ASCII":   {"ключ", ErrOddKey},
+		"maximum length": {strings.Repeat("k", MaxKey), nil},
+		"two values":     {"one,two", ErrOddKey},
+		"space":          {"one two", ErrOddKey},
+		"control byte":   {"one\x00", ErrOddKey},
+		"not ASCII":      {"ключ", ErrOddKey},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -31,7 +32,8 @@
 	}
 }
 
-// FuzzKey: any text is a key or a typed error, and its hash reads back.
+// FuzzKey checks that any text is either a key or one of the declared errors, and that the
+// hash of a key survives formatting and parsing.
 func FuzzKey(f *testing.F) {
 	f.Add("jbvk9m68k7b2ex5wa5xw")
 	f.Add("a,b")
@@ -50,8 +52,9 @@
 	})
 }
 
-// TestCharge: what requests count.
-func TestCharge(t *testing.T) {
+// TestQuotaCost checks the cost of requests in both units. A request without token counts
+// must not be free when tokens are counted.
+func TestQuotaCost(t *testing.T) {
 	cases := map[string]struct {
 		quota Quota
 		req   Request
@@ -59,8 +62,8 @@
 	}{
 		"requests":           {Quota{Rate: 1}, Request{Tokens: 900, MostTokens: 100}, 1},
 		"tokens":             {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{Tokens: 900, MostTokens: 100}, 1000},
-		"names no tokens":    {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{}, 200},
-		"only of the prompt": {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{Tokens: 7}, 7},
+		"no token counts":    {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{}, 200},
+		"prompt tokens only": {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{Tokens: 7}, 7},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
