--- a/availability.go
+++ b/availability.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Notice is the availability that an endpoint announced in a response head: whether it is
-// leaving or paused. The endpoint wrote it at an unknown time between Asked and Heard.
+// Notice is what an endpoint announced in a response head about whether it accepts requests.
+// The endpoint wrote it at an unknown time between Asked and Heard.
 type Notice struct {
 	Leaving bool      // it will stop soon and accepts no new requests from any host
 	Until   time.Time // it is paused until then, and accepts no requests from this host; zero: not paused
--- a/dialect.go
+++ b/dialect.go
@@ -28,7 +28,7 @@
 	Sign(set func(name, value string), r *Request)
 }
 
-// Reading is the content of a response head.
+// Reading is what a response head states.
 type Reading struct {
 	Kind ReadingKind
 	Load LoadReport // valid if Told; At is not set
--- a/outcome.go
+++ b/outcome.go
@@ -42,7 +42,7 @@
 	Cold    time.Duration // remaining cold start that the endpoint stated; 0: none
 }
 
-// KeptAnswer is a buffered response.
+// KeptAnswer is a whole response that is held in memory.
 type KeptAnswer struct {
 	Status int
 	Header []HeaderField
--- a/quarantine.go
+++ b/quarantine.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Hold is a quarantine entry: the request with this content hash runs nowhere until the
-// entry ends, as several endpoints crashed while they ran it.
+// Hold says that a request is quarantined. The request with this content hash runs nowhere
+// until the entry ends, as several endpoints crashed while they ran it.
 type Hold struct {
 	Digest Digest
 	// Strike is how many times the request has been quarantined, this time included. Each
--- a/reservation.go
+++ b/reservation.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Permit is a reservation of one request within the rate limit that an endpoint advertises.
+// Permit reserves one request within the rate limit that an endpoint advertises.
 type Permit struct {
 	Endpoint string    // empty: no reservation was needed
 	Born     time.Time // start time of the endpoint's process instance
