--- a/change.go
+++ b/change.go
@@ -5,7 +5,7 @@
 // Change is an operator's change to the configuration. Each accepted change is one entry of
 // the configuration log.
 type Change struct {
-	ID       string // chosen by the writer; a repeated write of the same ID has no second effect
+	ID       string // chosen by the writer; a recent change that is written again is recognised by it
 	Revision uint64 // position in the log; 0 until the change is accepted
 	Author   string
 	Reason   string
--- a/doc.go
+++ b/doc.go
@@ -3,8 +3,8 @@
 // interfaces between those packages, such as Policy, Dialect, Store and Feed.
 //
 // The package does no I/O, keeps no state and imports no other package of the module. Its
-// only logic reads and compares the values that it declares. The implementations are
-// grouped by how long their state lives: request/ for the time of one request, connection/
-// for a connection, version/ for a revision of the configuration, and process/ for the
-// lifetime of the process.
+// functions only parse, format, hash and compare the values that it declares. The
+// implementations are grouped by how long their state lives: request/ for one request,
+// connection/ for a connection, version/ for a revision of the configuration, and process/
+// for the lifetime of the process.
 package vetchtrail
