--- /dev/null
+++ b/connection/caller/authentication.go
@@ -0,0 +1,99 @@
+package caller
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+	"github.com/gofiber/fiber/v3"
+
+	"vetchtrail"
+	"vetchtrail/connection/dialect"
+)
+
+// unknownKeyRetryAfter is the Retry-After for a caller whose key is unknown while this
+// host can't tell whether its configuration is the newest. By then the host has received a
+// newer one, or the caller reaches another host.
+const unknownKeyRetryAfter = 500 * time.Millisecond
+
+// authenticate sets the workspace of a request from its caller's key, and ignores any
+// workspace that the caller names. If the key belongs to no workspace, it records the
+// request as rejected and returns the outcome and false.
+func (s *Server) authenticate(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
+	o, ok := s.findWorkspace(c, r)
+	if !ok {
+		s.cfg.Runner.Rejected(r, o)
+	}
+	return o, ok
+}
+
+// findWorkspace is authenticate without the record of the rejection.
+func (s *Server) findWorkspace(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
+	r.Workspace = ""
+	key, err := s.cfg.Dialect.Key(joinedHeaderFields(c))
+	if err != nil {
+		return unauthorized(err), false
+	}
+	r.Credential = vetchtrail.HashKey(key)
+	workspace, known := s.cfg.Rules().Holder(r.Credential)
+	upToDate := true
+	if !known && s.cfg.Refresh != nil {
+		// The key may be in a newer configuration that this host has not received yet.
+		upToDate = s.cfg.Refresh(c.RequestCtx())
+		workspace, known = s.cfg.Rules().Holder(r.Credential)
+	}
+	if known {
+		r.Workspace = workspace
+		return vetchtrail.Outcome{}, true
+	}
+	o := unauthorized(errUnknownKey)
+	if !upToDate {
+		o.Status, o.RetryAt = fiber.StatusServiceUnavailable, time.Now().Add(unknownKeyRetryAfter)
+	}
+	return o, false
+}
+
+// authenticateUnrouted is authenticate for requests that belong to no route. They need no
+// key, except to name a workspace that requires one.
+func (s *Server) authenticateUnrouted(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
+	current := s.cfg.Rules()
+	if current.AnyLocked() && c.Get(dialect.HeaderAuthorization) != "" {
+		r.Header = slices.DeleteFunc(r.Header, func(f vetchtrail.HeaderField) bool { return f.Name == dialect.HeaderAuthorization })
+		return s.authenticate(c, r)
+	}
+	if current.Locked(r.Workspace) {
+		o := unauthorized(vetchtrail.ErrNoKey)
+		s.cfg.Runner.Rejected(r, o)
+		return o, false
+	}
+	return vetchtrail.Outcome{}, true
+}
+
+var errUnknownKey = errors.New("the key is that of no workspace")
+
+// unauthorized is the outcome of a request whose caller could not be authenticated.
+func unauthorized(err error) vetchtrail.Outcome {
+	reason := vetchtrail.ReasonBadKey
+	switch {
+	case errors.Is(err, vetchtrail.ErrNoKey):
+		reason = vetchtrail.ReasonNoKey
+	case errors.Is(err, errUnknownKey):
+		reason = vetchtrail.ReasonUnknownKey
+	}
+	return vetchtrail.Outcome{
+		Kind: vetchtrail.NotRun, Status: fiber.StatusUnauthorized, Step: vetchtrail.StepParse, Reason: reason, Err: err,
+	}
+}
+
+// joinedHeaderFields returns a function that reads request header fields and joins
+// repeated ones with commas. A key that is sent twice is therefore invalid.
+func joinedHeaderFields(c fiber.Ctx) vetchtrail.Fields {
+	return func(name string) string {
+		var out []string
+		for _, value := range c.Request().Header.PeekAll(name) {
+			out = append(out, string(value))
+		}
+		return strings.Join(out, ",")
+	}
+}
--- /dev/null
+++ b/connection/caller/conn_tracker.go
@@ -0,0 +1,64 @@
+package caller
+
+import (
+	"net"
+	"sync"
+)
+
+// connTracker is a listener that tracks its open connections, so that they can all be
+// closed at once.
+type connTracker struct {
+	net.Listener
+	mu     sync.Mutex
+	open   map[*trackedConn]struct{}
+	closed bool
+}
+
+// trackedConn removes itself from its tracker when it is closed.
+type trackedConn struct {
+	*net.TCPConn
+	tracker *connTracker
+}
+
+func newConnTracker(l net.Listener) *connTracker {
+	return &connTracker{Listener: l, open: map[*trackedConn]struct{}{}}
+}
+
+// Accept implements net.Listener.
+func (c *connTracker) Accept() (net.Conn, error) {
+	nc, err := c.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	tc, ok := nc.(*net.TCPConn)
+	if !ok {
+		return nc, nil
+	}
+	t := &trackedConn{TCPConn: tc, tracker: c}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return t, tc.Close()
+	}
+	c.open[t] = struct{}{}
+	return t, nil
+}
+
+// Close implements net.Conn.
+func (t *trackedConn) Close() error {
+	t.tracker.mu.Lock()
+	delete(t.tracker.open, t)
+	t.tracker.mu.Unlock()
+	return t.TCPConn.Close()
+}
+
+// closeAll closes all connections, also those with requests in flight, and any that are
+// accepted later.
+func (c *connTracker) closeAll() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for t := range c.open {
+		_ = t.TCPConn.Close()
+	}
+}
--- a/connection/caller/pipe.go
+++ b/connection/caller/pipe.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	// pipeParts is how many parts of an answer wait for a slow caller.
-	pipeParts = 16
+	// pipeChunks is how many chunks of a response are buffered for a slow caller.
+	pipeChunks = 16
 )
 
-var errGone = errors.New("the caller has gone")
+var errCallerGone = errors.New("caller closed the connection")
 
-// pipe carries an answer from the dispatcher's thread to the connection's. Its
-// reading end gives an error unless the answer came whole, by which the
-// library cuts the connection: a cut answer never looks whole.
+// pipe carries a response from the goroutine that runs the request to the one that serves
+// the connection. Read fails unless the response is complete, and the library then breaks
+// the connection, so that a caller never takes a partial response for a complete one.
 type pipe struct {
-	conn   net.Conn
-	ctx    context.Context
-	cancel context.CancelFunc
-	parts  chan []byte
-	begun  chan struct{}
-	ended  chan struct{}
-	once   sync.Once
+	conn      net.Conn
+	ctx       context.Context
+	cancel    context.CancelFunc
+	chunks    chan []byte
+	begun     chan struct{}
+	ended     chan struct{}
+	beginOnce sync.Once
 
 	status  int // set before begun is closed
 	header  []vetchtrail.HeaderField
 	outcome vetchtrail.Outcome // set before ended is closed
-	rest    []byte             // of the part being read
+	unread  []byte             // rest of the chunk that Read returns next
 }
 
 func newPipe(conn net.Conn) *pipe {
 	p := &pipe{
-		conn: conn, parts: make(chan []byte, pipeParts),
+		conn: conn, chunks: make(chan []byte, pipeChunks),
 		begun: make(chan struct{}), ended: make(chan struct{}),
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
+// run runs a request and keeps its outcome.
 func (p *pipe) run(r Runner, req *vetchtrail.Request) {
 	p.outcome = r.Run(p.ctx, req, p)
 	close(p.ended)
@@ -62,9 +63,9 @@
 // Begin implements vetchtrail.Answer.
 func (p *pipe) Begin(status int, header []vetchtrail.HeaderField) error {
 	if p.ctx.Err() != nil {
-		return errGone
+		return errCallerGone
 	}
-	p.once.Do(func() {
+	p.beginOnce.Do(func() {
 		p.status, p.header = status, header
 		close(p.begun)
 	})
@@ -74,40 +75,42 @@
 // Write implements vetchtrail.Answer.
 func (p *pipe) Write(part []byte) error {
 	select {
-	case p.parts <- append([]byte(nil), part...):
+	case p.chunks <- append([]byte(nil), part...):
 		return nil
 	case <-p.ctx.Done():
-		return errGone
+		return errCallerGone
 	}
 }
 
 // Read implements io.Reader for the connection.
 func (p *pipe) Read(b []byte) (int, error) {
-	for len(p.rest) == 0 {
-		part, err := p.next()
+	for len(p.unread) == 0 {
+		part, err := p.nextChunk()
 		if err != nil {
 			return 0, err
 		}
-		p.rest = part
+		p.unread = part
 	}
-	n := copy(b, p.rest)
-	p.rest = p.rest[n:]
+	n := copy(b, p.unread)
+	p.unread = p.unread[n:]
 	return n, nil
 }
 
-func (p *pipe) next() ([]byte, error) {
+// nextChunk waits for the next chunk. After the last one it returns io.EOF, or the outcome
+// of a request that was not answered.
+func (p *pipe) nextChunk() ([]byte, error) {
 	select {
-	case part := <-p.parts:
+	case part := <-p.chunks:
 		return part, nil
 	default:
 	}
 	select {
-	case part := <-p.parts:
+	case part := <-p.chunks:
 		return part, nil
 	case <-p.ended:
 	}
 	select {
-	case part := <-p.parts: // written before the end
+	case part := <-p.chunks: // written before the request ended
 		return part, nil
 	default:
 	}
@@ -117,7 +120,7 @@
 	return nil, io.EOF
 }
 
-// Close implements io.Closer: the library is done with the answer.
+// Close implements io.Closer: the library calls it when it has finished with the response.
 func (p *pipe) Close() error {
 	p.cancel()
 	return nil
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -16,43 +16,47 @@
 )
 
 const (
-	// startingBack is when a caller may come back to a host that holds no
-	// configuration yet: reading it takes some round trips.
-	startingBack = 300 * time.Millisecond
-	// leastBack is the least time that a refused caller is told to wait.
-	leastBack = 50 * time.Millisecond
-	// patienceShare is the part of its route's goal that a request may wait for
-	// room: refused by then, its caller can still be served in time.
-	patienceShare = 4
-	// freshTenths is how many tenths of its route's time the caller of a first try has
-	// left at least: callers that come back after a refusal have waited a quarter.
-	freshTenths = 9
-	// A caller leaves a stream that shows no event for the longest of these: a time, and some
-	// times its route's goal and pause, as callers of the hosted platform do by its pages.
-	silenceLeast  = 2 * time.Second
-	silenceGoals  = 4
-	silencePauses = 8
-	// noDeadline is the time of a caller that sets none; the route's bound stands.
-	noDeadline = time.Hour
+	// startingRetryAfter is the Retry-After of a host that has no configuration yet. Reading
+	// one takes a few round trips.
+	startingRetryAfter = 300 * time.Millisecond
+	// minRetryAfter is the shortest Retry-After of a refusal.
+	minRetryAfter = 50 * time.Millisecond
+	// patienceDivisor limits how long a request may wait for capacity: its route's latency
+	// objective divided by this. A caller that is refused by then can still be served in time
+	// elsewhere.
+	patienceDivisor = 4
+	// freshDeadlineTenths is how many tenths of the route's time limit must be left for a
+	// request to count as the caller's first attempt. A caller that retries after a refusal
+	// has already spent a quarter of it.
+	freshDeadlineTenths = 9
+	// Callers give up on a stream without a first event after the longest of these three: a
+	// fixed time, a multiple of the route's latency objective and a multiple of its pause. The
+	// platform documents this behaviour of its callers.
+	minFirstEventWait = 2 * time.Second
+	firstEventGoals   = 4
+	firstEventPauses  = 8
+	// defaultTimeout is the timeout of a caller that sets none. The route's time limit still
+	// applies.
+	defaultTimeout = time.Hour
 )
 
-// routed answers requests that belong to a route. Others go on to the project's
-// own interface, unless the host serves routes only.
-func (s *Server) routed(c fiber.Ctx) error {
+// handleRouted is a middleware that answers requests which match a route. It leaves others
+// to the handlers of unrouted requests, unless the host serves routes only.
+func (s *Server) handleRouted(c fiber.Ctx) error {
 	h := &c.Request().Header
-	host, path := hostName(h.Host()), string(h.RequestURI())
-	held := s.cfg.Rules()
-	bare, _, _ := strings.Cut(path, "?")
-	m, ok := held.Match(host, bare)
+	host, uri := hostName(h.Host()), string(h.RequestURI())
+	current := s.cfg.Rules()
+	pathOnly, _, _ := strings.Cut(uri, "?")
+	m, ok := current.Match(host, pathOnly)
 	if !ok && !s.cfg.RoutesOnly {
 		return c.Next()
 	}
 	now := time.Now()
-	r := &vetchtrail.Request{Method: strings.Clone(c.Method()), Path: path}
-	if held.Revision() == 0 {
-		return s.refuse(c, r, starting(now))
+	r := &vetchtrail.Request{Method: strings.Clone(c.Method()), Path: uri}
+	if current.Revision() == 0 {
+		return s.refuse(c, r, startingOutcome(now))
 	}
-	if err := s.cfg.Dialect.Parse(fieldsOf(c), r, now); err != nil {
+	if err := s.cfg.Dialect.Parse(headerFields(c), r, now); err != nil {
 		return s.refuse(c, r, vetchtrail.Outcome{
 			Kind: vetchtrail.NotRun, Status: fiber.StatusBadRequest, Step: vetchtrail.StepParse,
 			Reason: vetchtrail.ReasonBadRequest, Err: err,
@@ -64,68 +68,72 @@
 		})
 	}
 	if m.Keyed {
-		if o, ok := s.identify(c, r); !ok {
+		if o, ok := s.authenticate(c, r); !ok {
 			return s.refuse(c, r, o)
 		}
 	}
-	s.tally.count(m.Name)
-	s.fill(c, r, &m, now)
-	r.Revision = held.Revision()
+	s.routeCounter.count(m.Name)
+	s.applyRoute(c, r, &m, now)
+	r.Revision = current.Revision()
 	return s.runRouted(c, r)
 }
 
-// hostName is the name in a Host field, without a port.
+// hostName returns the name in a Host field in lower case, without the port.
 func hostName(field []byte) string {
 	name, _, _ := bytes.Cut(bytes.ToLower(field), []byte(":"))
 	return string(name)
 }
 
-// fieldsOf reads fields; the texts outlive the connection's buffers.
-func fieldsOf(c fiber.Ctx) vetchtrail.Fields {
+// headerFields returns a function that reads request header fields. It copies the values,
+// because the library reuses its buffers.
+func headerFields(c fiber.Ctx) vetchtrail.Fields {
 	return func(name string) string { return strings.Clone(c.Get(name)) }
 }
 
-func starting(now time.Time) vetchtrail.Outcome {
+// startingOutcome is the outcome of a request that arrived before this host had a
+// configuration.
+func startingOutcome(now time.Time) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
 		Kind: vetchtrail.NotRun, Status: fiber.StatusServiceUnavailable, Step: vetchtrail.StepDecide,
-		Reason: vetchtrail.ReasonStarting, RetryAt: now.Add(startingBack),
+		Reason: vetchtrail.ReasonStarting, RetryAt: now.Add(startingRetryAfter),
 	}
 }
 
-// fill sets what the route says of a request.
-func (s *Server) fill(c fiber.Ctx, r *vetchtrail.Request, m *rules.Match, now time.Time) {
-	held := s.cfg.Rules()
-	entry, _ := held.Region(s.cfg.Region)
-	r.Entry, r.Route, r.Service = entry.ID, m.Name, m.Target(rand.Float64())
-	if v, ok := held.Service(r.Service); ok {
+// applyRoute sets the fields of a request that follow from its route, and copies its
+// header and body.
+func (s *Server) applyRoute(c fiber.Ctx, r *vetchtrail.Request, m *rules.Match, now time.Time) {
+	current := s.cfg.Rules()
+	region, _ := current.Region(s.cfg.Region)
+	r.Entry, r.Route, r.Service = region.ID, m.Name, m.Target(rand.Float64())
+	if v, ok := current.Service(r.Service); ok {
 		r.Kind = v.Kind
 	}
 	r.Repeats, r.Attempts = m.Repeats(), m.Attempts
 	r.Stream, r.Resumable = m.Kind == vetchtrail.RouteStream, m.Kind == vetchtrail.RouteStream && m.Resumable
 	if r.Deadline.IsZero() {
-		r.Deadline = now.Add(noDeadline)
+		r.Deadline = now.Add(defaultTimeout)
 	}
 	if bound := now.Add(m.AnswerWithin); bound.Before(r.Deadline) {
 		r.Deadline = bound
 	}
-	r.Fresh = r.Deadline.Sub(now) >= m.AnswerWithin*freshTenths/10
+	r.Fresh = r.Deadline.Sub(now) >= m.AnswerWithin*freshDeadlineTenths/10
 	r.Goal = now.Add(m.Goal)
-	r.Patience = now.Add(m.Goal / patienceShare)
+	r.Patience = now.Add(m.Goal / patienceDivisor)
 	if r.Stream && m.Pause > 0 {
-		r.BeginBy = now.Add(max(silenceLeast, silenceGoals*m.Goal, silencePauses*m.Pause))
+		r.BeginBy = now.Add(max(minFirstEventWait, firstEventGoals*m.Goal, firstEventPauses*m.Pause))
 	}
 	r.Header = s.routedHeader(c, m.Keyed)
 	r.Body = append([]byte(nil), c.Body()...)
 }
 
-// routedHeader copies the fields that go on to an endpoint: not those that
-// concern the connection, nor those that are the system's to set, nor the caller's key.
+// routedHeader copies the header fields to forward to an endpoint. It omits fields that
+// concern the connection only, fields that the system sets itself, and the caller's key.
 func (s *Server) routedHeader(c fiber.Ctx, keyed bool) []vetchtrail.HeaderField {
-	listed := strings.ToLower(c.Get(fiber.HeaderConnection))
+	connectionField := strings.ToLower(c.Get(fiber.HeaderConnection))
 	var out []vetchtrail.HeaderField
 	for name, value := range c.Request().Header.All() {
 		n := string(name)
-		if endpoint.HopByHop(n) || s.cfg.Dialect.Own(n) || (keyed && n == dialect.HeaderKey) || (listed != "" && namedIn(listed, n)) {
+		if endpoint.HopByHop(n) || s.cfg.Dialect.Own(n) || (keyed && n == dialect.HeaderAuthorization) || (connectionField != "" && listsField(connectionField, n)) {
 			continue
 		}
 		out = append(out, vetchtrail.HeaderField{Name: n, Value: string(value)})
@@ -133,8 +141,8 @@
 	return out
 }
 
-// namedIn says whether a Connection field lists a name.
-func namedIn(list, name string) bool {
+// listsField reports whether the value of a Connection field lists a name.
+func listsField(list, name string) bool {
 	for entry := range strings.SplitSeq(list, ",") {
 		if strings.EqualFold(strings.TrimSpace(entry), name) {
 			return true
@@ -143,9 +151,9 @@
 	return false
 }
 
-// runRouted runs a request and answers with what comes of it.
+// runRouted runs a request that belongs to a route and writes its response.
 func (s *Server) runRouted(c fiber.Ctx, r *vetchtrail.Request) error {
-	p, begun := s.begin(c, r)
+	p, begun := s.startRequest(c, r)
 	if !begun {
 		return s.refuse(c, r, p.outcome)
 	}
@@ -155,18 +163,18 @@
 			c.Response().Header.Add(f.Name, f.Value)
 		}
 	}
-	return s.send(c, r, p)
+	return s.sendBody(c, r, p)
 }
 
-// refuse answers a routed request with what is known of it.
+// refuse answers a routed request that has no response of its own with a problem document.
 func (s *Server) refuse(c fiber.Ctx, r *vetchtrail.Request, o vetchtrail.Outcome) error {
 	if !o.RetryAt.IsZero() {
-		after := max(time.Until(o.RetryAt), leastBack)
+		after := max(time.Until(o.RetryAt), minRetryAfter)
 		c.Set(fiber.HeaderRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
 	s.cfg.Dialect.Sign(c.Set, r)
 	if s.leaving() {
 		c.Set(fiber.HeaderConnection, "close")
 	}
-	return c.Status(o.Status).JSON(problemOf(o), "application/problem+json")
+	return c.Status(o.Status).JSON(newProblem(o), "application/problem+json")
 }
--- /dev/null
+++ b/connection/caller/server.go
@@ -0,0 +1,200 @@
+// Package caller is the HTTP server for callers. It parses requests, authenticates them
+// and writes responses. It does not choose an endpoint or call one: a Runner does.
+//
+// New registers the handlers. Each handler builds a vetchtrail.Request, the Runner runs it
+// in a goroutine of its own, and a pipe carries the response from there to the connection.
+package caller
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/go-faster/errors"
+	"github.com/gofiber/fiber/v3"
+
+	"vetchtrail"
+	"vetchtrail/connection/dialect"
+	"vetchtrail/connection/endpoint"
+	"vetchtrail/process/membership"
+	"vetchtrail/request/once"
+	"vetchtrail/version/rules"
+)
+
+const (
+	// idleTimeout is how long an idle connection stays open. It is longer than operators let
+	// callers keep one, so that the caller closes it first: a request that is sent while the
+	// server closes its connection is lost.
+	idleTimeout    = 2 * time.Minute
+	readTimeout    = 30 * time.Second // for a whole request, from its first byte
+	maxHeaderBytes = 32 << 10
+	writeTimeout   = 30 * time.Second
+)
+
+// Runner runs requests. The dispatcher implements it.
+type Runner interface {
+	// Run runs r, writes the response to a and returns when the request has ended.
+	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+	// Starting returns the outcome of a request that arrived before this host had a
+	// configuration.
+	Starting(r *vetchtrail.Request) vetchtrail.Outcome
+	// Rejected records a request whose caller could not be authenticated.
+	Rejected(r *vetchtrail.Request, o vetchtrail.Outcome)
+}
+
+// Config configures a Server.
+type Config struct {
+	Runner     Runner
+	Rules      func() *rules.Rules
+	Membership *membership.Membership
+	Keeper     *once.Keeper
+	BodyLimit  int                // of a request's body, in bytes
+	Explain    bool               // name the endpoint in a response header
+	Region     string             // this host's region
+	Dialect    vetchtrail.Dialect // for routed requests; nil: dialect.Plain
+	RoutesOnly bool               // answer 404 to requests that match no route
+	// Refresh fetches the configuration if another host or the store has a newer one, and
+	// applies it. It reports whether the configuration in force is now the newest as far as
+	// this host can know.
+	Refresh func(ctx context.Context) (upToDate bool)
+}
+
+// Server is the HTTP server for callers.
+type Server struct {
+	cfg         Config
+	app         *fiber.App
+	connTracker atomic.Pointer[connTracker]
+
+	disconnectWatcher *disconnectWatcher
+	routeCounter      routeCounter
+}
+
+// New returns a Server. Serve starts it.
+func New(c Config) *Server {
+	if c.Dialect == nil {
+		c.Dialect = dialect.Plain{}
+	}
+	s := &Server{cfg: c, disconnectWatcher: newDisconnectWatcher()}
+	s.app = fiber.New(fiber.Config{
+		BodyLimit: c.BodyLimit, ReadBufferSize: maxHeaderBytes, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		ErrorHandler: s.handleError, UnescapePath: false, StreamRequestBody: false,
+	})
+	s.app.Use(s.handleRouted)
+	s.app.Post("/v1/chat/completions", s.handleCompletion)
+	s.app.Post("/v1/completions", s.handleCompletion)
+	s.app.Get("/v1/models", s.handleModels)
+	s.app.Get("/v1/hosts", s.handleHosts)
+	s.app.Post("/v1/keys", s.handleKeys)
+	s.app.All("/services/:service", s.handlePlain)
+	s.app.All("/services/:service/*", s.handlePlain)
+	s.app.Get("/livez", func(c fiber.Ctx) error { return c.SendString("ok\n") })
+	s.app.Get("/readyz", s.handleReady)
+	s.app.Get("/metrics", handleMetrics)
+	return s
+}
+
+// Serve accepts connections from l until Shutdown is called.
+func (s *Server) Serve(l net.Listener) error {
+	tracking := newConnTracker(l)
+	s.connTracker.Store(tracking)
+	go s.disconnectWatcher.run()
+	defer s.disconnectWatcher.stop()
+	return s.app.Listener(tracking, fiber.ListenConfig{DisableStartupMessage: true})
+}
+
+// Shutdown stops listening and waits until the requests in flight have ended.
+func (s *Server) Shutdown(ctx context.Context) error { return s.app.ShutdownWithContext(ctx) }
+
+// Cut closes all connections at once, also those with requests in flight.
+func (s *Server) Cut() {
+	if c := s.connTracker.Load(); c != nil {
+		c.closeAll()
+	}
+}
+
+// handleError answers requests that the HTTP library refused, such as those with an
+// unknown path or a body over the limit.
+func (s *Server) handleError(c fiber.Ctx, err error) error {
+	var fe *fiber.Error
+	status := fiber.StatusInternalServerError
+	if errors.As(err, &fe) {
+		status = fe.Code
+	}
+	reason := vetchtrail.ReasonBadRequest
+	if status == fiber.StatusRequestEntityTooLarge {
+		reason = vetchtrail.ReasonTooLarge
+	}
+	return s.writeProblem(c, vetchtrail.Outcome{
+		Kind: vetchtrail.NotRun, Status: status, Step: vetchtrail.StepParse, Reason: reason, Err: err,
+	})
+}
+
+// handleMetrics serves GET /metrics in the Prometheus text format.
+func handleMetrics(c fiber.Ctx) error {
+	var b bytes.Buffer
+	metrics.WritePrometheus(&b, true)
+	c.Set(fiber.HeaderContentType, "text/plain; version=0.0.4")
+	return c.Send(b.Bytes())
+}
+
+// handleReady serves GET /readyz: 200 if this host is ready, and 503 with its state
+// otherwise.
+func (s *Server) handleReady(c fiber.Ctx) error {
+	if state := s.cfg.Membership.Self().State; state != vetchtrail.HostReady {
+		return c.Status(fiber.StatusServiceUnavailable).SendString(state.String() + "\n")
+	}
+	return c.SendString("ready\n")
+}
+
+// runUnrouted runs a request that belongs to no route and writes its response.
+func (s *Server) runUnrouted(c fiber.Ctx, r *vetchtrail.Request) error {
+	if state := s.cfg.Membership.Self().State; state == vetchtrail.HostStarting {
+		return s.writeProblem(c, s.cfg.Runner.Starting(r))
+	}
+	p, begun := s.startRequest(c, r)
+	if !begun {
+		return s.writeProblem(c, p.outcome)
+	}
+	c.Status(p.status)
+	for _, f := range p.header {
+		if f.Name != endpoint.HeaderEndpoint || s.cfg.Explain {
+			c.Set(f.Name, f.Value)
+		}
+	}
+	c.Set("X-Request-Id", r.ID)
+	return s.sendBody(c, r, p)
+}
+
+// startRequest runs a request in a goroutine and returns once its response has begun or
+// the request has ended without one.
+func (s *Server) startRequest(c fiber.Ctx, r *vetchtrail.Request) (p *pipe, begun bool) {
+	p = newPipe(c.RequestCtx().Conn())
+	s.disconnectWatcher.add(p)
+	go func() {
+		defer s.disconnectWatcher.remove(p)
+		p.run(s.cfg.Runner, r)
+	}()
+	select {
+	case <-p.begun:
+	case <-p.ended:
+	}
+	return p, p.hasBegun()
+}
+
+// sendBody streams the body of a response that has begun. A response to HEAD has none, so
+// its request is cancelled.
+func (s *Server) sendBody(c fiber.Ctx, r *vetchtrail.Request, p *pipe) error {
+	if s.leaving() {
+		c.Set(fiber.HeaderConnection, "close")
+	}
+	if r.Method == fiber.MethodHead {
+		p.cancel()
+		return nil
+	}
+	return c.SendStream(p)
+}
+
+func (s *Server) leaving() bool { return s.cfg.Membership.Self().State == vetchtrail.HostLeaving }
--- a/connection/caller/caller_test.go
+++ b/connection/caller/server_test.go
@@ -23,7 +23,7 @@
 	"vetchtrail/version/rules"
 )
 
-// fakeRunner runs requests by a function.
+// fakeRunner runs requests by calling a function.
 type fakeRunner func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
 
 func (f fakeRunner) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
@@ -36,9 +36,11 @@
 
 func (f fakeRunner) Rejected(*vetchtrail.Request, vetchtrail.Outcome) {}
 
+// serve starts a server with one model service and one plain service, and returns its
+// address.
 func serve(t *testing.T, run fakeRunner) netip.AddrPort {
 	t.Helper()
-	held, err := rules.Empty().Apply(vetchtrail.Change{Edits: []vetchtrail.Edit{
+	current, err := rules.Empty().Apply(vetchtrail.Change{Edits: []vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{Name: "r", DataCentres: []string{"d"}}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "model", AnswerWithin: time.Minute}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", Kind: vetchtrail.KindPlain, AnswerWithin: time.Minute}},
@@ -46,18 +48,19 @@
 		vetchtrail.PutEndpoint{Endpoint: vetchtrail.Endpoint{Name: "p", Service: "app", Region: "r", DataCentre: "d", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1}},
 	}})
 	assert.NilError(t, err)
-	return serveRules(t, run, func() *rules.Rules { return held }, nil)
+	return serveRules(t, run, func() *rules.Rules { return current }, nil)
 }
 
-// serveRules serves callers by the rules that a function gives; refresh looks for newer ones.
-func serveRules(t *testing.T, run fakeRunner, held func() *rules.Rules, refresh func(context.Context) bool) netip.AddrPort {
+// serveRules starts a server with the configuration that current returns. refresh is its
+// Config.Refresh.
+func serveRules(t *testing.T, run fakeRunner, current func() *rules.Rules, refresh func(context.Context) bool) netip.AddrPort {
 	t.Helper()
 	m := membership.New(membership.Config{
-		Self: vetchtrail.Host{Name: "h", State: vetchtrail.HostReady}, Load: load.New(), Revision: func() uint64 { return held().Revision() },
+		Self: vetchtrail.Host{Name: "h", State: vetchtrail.HostReady}, Load: load.New(), Revision: func() uint64 { return current().Revision() },
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	s := New(Config{
-		Runner: run, Rules: held, Membership: m, Region: "r", BodyLimit: 4096, Refresh: refresh,
+		Runner: run, Rules: current, Membership: m, Region: "r", BodyLimit: 4096, Refresh: refresh,
 		Keeper: once.New(once.Config{Host: "h", KeyTime: time.Minute}),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,10 +70,11 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// TestBadInput: each gets a typed answer and reaches no runner.
-func TestBadInput(t *testing.T) {
+// TestInvalidRequests checks that an invalid request gets a problem document with the
+// right status, reason and detail, and never reaches the runner.
+func TestInvalidRequests(t *testing.T) {
 	addr := serve(t, func(context.Context, *vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
-		t.Error("a bad request was run")
+		t.Error("an invalid request was run")
 		return vetchtrail.Outcome{}
 	})
 	good := `{"model":"model","prompt":"x"}`
@@ -81,18 +85,18 @@
 		reason             vetchtrail.Reason
 		detail             string
 	}{
-		"malformed JSON":        {"POST", "/v1/completions", `{"model":`, [2]string{}, 400, vetchtrail.ReasonBadRequest, "not JSON"},
-		"no model":              {"POST", "/v1/completions", `{}`, [2]string{}, 400, vetchtrail.ReasonBadRequest, `no service in "model"`},
-		"body past the limit":   {"POST", "/v1/completions", strings.Repeat("x", 5000), [2]string{}, 413, vetchtrail.ReasonTooLarge, ""},
-		"timeout of 0":          {"POST", "/v1/completions", good, [2]string{"Request-Timeout", "0"}, 400, vetchtrail.ReasonBadRequest, "above 0"},
-		"timeout past the most": {"POST", "/v1/completions", good, [2]string{"Request-Timeout", "1e9"}, 400, vetchtrail.ReasonBadRequest, "at most 600"},
-		"timeout no number":     {"POST", "/v1/completions", good, [2]string{"Request-Timeout", "soon"}, 400, vetchtrail.ReasonBadRequest, "must be seconds"},
-		"workspace too long":    {"POST", "/v1/completions", good, [2]string{"X-Workspace", strings.Repeat("w", 200)}, 400, vetchtrail.ReasonBadRequest, "over 128"},
-		"event id":              {"POST", "/v1/completions", good, [2]string{"Last-Event-Id", "17"}, 400, vetchtrail.ReasonBadRequest, "not the id of an event"},
-		"plain asked as model":  {"POST", "/v1/completions", `{"model":"app"}`, [2]string{}, 400, vetchtrail.ReasonBadRequest, "kind plain"},
-		"model asked as plain":  {"GET", "/services/model/x", "", [2]string{}, 400, vetchtrail.ReasonBadRequest, "kind model"},
-		"no such path":          {"GET", "/nowhere", "", [2]string{}, 404, vetchtrail.ReasonBadRequest, ""},
-		"too many keys":         {"POST", "/v1/keys?count=101", "", [2]string{}, 400, vetchtrail.ReasonBadRequest, "from 1 to 100"},
+		"malformed JSON":                       {"POST", "/v1/completions", `{"model":`, [2]string{}, 400, vetchtrail.ReasonBadRequest, "not JSON"},
+		"no model":                             {"POST", "/v1/completions", `{}`, [2]string{}, 400, vetchtrail.ReasonBadRequest, `no service in "model"`},
+		"body over the limit":                  {"POST", "/v1/completions", strings.Repeat("x", 5000), [2]string{}, 413, vetchtrail.ReasonTooLarge, ""},
+		"timeout of 0":                         {"POST", "/v1/completions", good, [2]string{"Request-Timeout", "0"}, 400, vetchtrail.ReasonBadRequest, "above 0"},
+		"timeout above the maximum":            {"POST", "/v1/completions", good, [2]string{"Request-Timeout", "1e9"}, 400, vetchtrail.ReasonBadRequest, "at most 600"},
+		"timeout not a number":                 {"POST", "/v1/completions", good, [2]string{"Request-Timeout", "soon"}, 400, vetchtrail.ReasonBadRequest, "must be seconds"},
+		"workspace too long":                   {"POST", "/v1/completions", good, [2]string{"X-Workspace", strings.Repeat("w", 200)}, 400, vetchtrail.ReasonBadRequest, "over 128"},
+		"invalid event id":                     {"POST", "/v1/completions", good, [2]string{"Last-Event-Id", "17"}, 400, vetchtrail.ReasonBadRequest, "not the id of an event"},
+		"plain service on the completion path": {"POST", "/v1/completions", `{"model":"app"}`, [2]string{}, 400, vetchtrail.ReasonBadRequest, "kind plain"},
+		"model service on the plain path":      {"GET", "/services/model/x", "", [2]string{}, 400, vetchtrail.ReasonBadRequest, "kind model"},
+		"unknown path":                         {"GET", "/nowhere", "", [2]string{}, 404, vetchtrail.ReasonBadRequest, ""},
+		"too many keys":                        {"POST", "/v1/keys?count=101", "", [2]string{}, 400, vetchtrail.ReasonBadRequest, "from 1 to 100"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -115,12 +119,13 @@
 	}
 }
 
-// TestCutNeverLooksWhole: an answer that ends otherwise than answered breaks
-// its connection.
-func TestCutNeverLooksWhole(t *testing.T) {
+// TestCutResponseBreaksConnection guards against a partial response that looks complete.
+// If a request ends otherwise than answered after its response has begun, the server must
+// break the connection, so that the caller's read fails.
+func TestCutResponseBreaksConnection(t *testing.T) {
 	cases := map[string]struct {
-		end   vetchtrail.Outcome
-		whole bool
+		outcome  vetchtrail.Outcome
+		complete bool
 	}{
 		"answered": {vetchtrail.Outcome{Kind: vetchtrail.Answered}, true},
 		"cut":      {vetchtrail.Outcome{Kind: vetchtrail.Unknown, Begun: true, Err: errors.New("cut")}, false},
@@ -130,20 +135,22 @@
 			addr := serve(t, func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 				_ = a.Begin(200, nil)
 				_ = a.Write([]byte("half"))
-				return c.end
+				return c.outcome
 			})
 			resp, err := http.Get("http://" + addr.String() + "/services/app/x")
 			assert.NilError(t, err)
 			defer func() { _ = resp.Body.Close() }()
 			text, err := io.ReadAll(resp.Body)
 			assert.Equal(t, string(text), "half")
-			assert.Equal(t, err == nil, c.whole)
+			assert.Equal(t, err == nil, c.complete)
 		})
 	}
 }
 
-// TestCallerGone: a caller that leaves before the first byte is noticed.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnect checks that a request is cancelled when its caller disconnects
+// before the first byte of the response. The HTTP library does not notice this, as it has
+// nothing to write yet.
+func TestCallerDisconnect(t *testing.T) {
 	gone := make(chan struct{})
 	begun := make(chan struct{})
 	addr := serve(t, func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.Answer) vetchtrail.Outcome {
@@ -162,6 +169,6 @@
 	select {
 	case <-gone:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the caller's leaving was not noticed")
+		t.Fatal("the request was not cancelled after its caller disconnected")
 	}
 }
--- /dev/null
+++ b/connection/caller/unrouted.go
@@ -0,0 +1,145 @@
+package caller
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+	"github.com/gofiber/fiber/v3"
+	"github.com/google/uuid"
+
+	"vetchtrail"
+	"vetchtrail/connection/dialect"
+	"vetchtrail/connection/endpoint"
+)
+
+// Header fields of callers.
+const (
+	// Request header fields of unrouted requests.
+	headerWorkspace      = dialect.HeaderWorkspace
+	headerIdempotencyKey = "Idempotency-Key"
+	headerLastEvent      = "Last-Event-Id"
+)
+
+const (
+	// bytesPerToken estimates a prompt's tokens from its size.
+	bytesPerToken     = 4
+	maxWorkspaceBytes = 128
+)
+
+// completionRequest has the fields of a completion request's body that are read here.
+type completionRequest struct {
+	Model    string          `json:"model"`
+	Stream   bool            `json:"stream"`
+	Prompt   json.RawMessage `json:"prompt"`
+	Messages []struct {
+		Content json.RawMessage `json:"content"`
+	} `json:"messages"`
+}
+
+// promptText returns the prompt, or the contents of all messages of a chat, as raw JSON.
+// It serves to estimate tokens.
+func (p *completionRequest) promptText() []byte {
+	if len(p.Messages) == 0 {
+		return p.Prompt
+	}
+	var out []byte
+	for _, m := range p.Messages {
+		out = append(out, m.Content...)
+	}
+	return out
+}
+
+// handleCompletion serves POST /v1/chat/completions and POST /v1/completions.
+func (s *Server) handleCompletion(c fiber.Ctx) error {
+	var p completionRequest
+	if err := json.Unmarshal(c.Body(), &p); err != nil {
+		return s.refuseBadRequest(c, errors.Wrap(err, "completion request body is not JSON"))
+	}
+	if p.Model == "" {
+		return s.refuseBadRequest(c, errors.New(`the body names no service in "model"`))
+	}
+	r, err := s.newUnroutedRequest(c, p.Model, vetchtrail.KindModel)
+	if err != nil {
+		return s.refuseBadRequest(c, err)
+	}
+	if o, ok := s.authenticateUnrouted(c, r); !ok {
+		return s.writeProblem(c, o)
+	}
+	r.Path = c.Path()
+	r.Stream = p.Stream
+	promptText := p.promptText()
+	r.Tokens = len(promptText)/bytesPerToken + 1
+	r.Repeats = r.Key == ""
+	if last := c.Get(headerLastEvent); last != "" {
+		if r.Resume, err = endpoint.ParsePosition(last); err != nil {
+			return s.refuseBadRequest(c, err)
+		}
+	}
+	return s.runUnrouted(c, r)
+}
+
+// handlePlain serves /services/{service}/… for services of kind plain.
+func (s *Server) handlePlain(c fiber.Ctx) error {
+	r, err := s.newUnroutedRequest(c, c.Params("service"), vetchtrail.KindPlain)
+	if err != nil {
+		return s.refuseBadRequest(c, err)
+	}
+	if o, ok := s.authenticateUnrouted(c, r); !ok {
+		return s.writeProblem(c, o)
+	}
+	uri := string(c.Request().URI().RequestURI())
+	r.Path = "/" + strings.TrimPrefix(strings.TrimPrefix(uri, "/services/"+c.Params("service")), "/")
+	r.Repeats = r.Key == "" && repeatable(r.Method)
+	return s.runUnrouted(c, r)
+}
+
+// repeatable reports whether a request with this method may run twice (RFC 9110, 9.2.2).
+// PUT and DELETE are idempotent by the RFC, but not all services implement them so.
+func repeatable(method string) bool {
+	switch method {
+	case fiber.MethodGet, fiber.MethodHead, fiber.MethodOptions:
+		return true
+	}
+	return false
+}
+
+// newUnroutedRequest builds the part of a request that completions and plain services have
+// in common.
+func (s *Server) newUnroutedRequest(c fiber.Ctx, service string, kind vetchtrail.ServiceKind) (*vetchtrail.Request, error) {
+	current := s.cfg.Rules()
+	region, _ := current.Region(s.cfg.Region)
+	r := &vetchtrail.Request{
+		ID: uuid.NewString(), Service: strings.Clone(service), Kind: kind, Workspace: strings.Clone(c.Get(headerWorkspace)),
+		Entry: region.ID, Method: strings.Clone(c.Method()), Header: unroutedHeader(c),
+		Body: append([]byte(nil), c.Body()...), Key: strings.Clone(c.Get(headerIdempotencyKey)),
+	}
+	if len(r.Workspace) > maxWorkspaceBytes {
+		return nil, fmt.Errorf("%s is over %d bytes", headerWorkspace, maxWorkspaceBytes)
+	}
+	settings, known := current.Service(service)
+	if known && settings.Kind != kind {
+		return nil, fmt.Errorf("service %s is of kind %s, which this path does not serve", service, settings.Kind)
+	}
+	timeout, err := dialect.ParseTimeout(c.Get(dialect.HeaderTimeout))
+	if timeout == 0 {
+		timeout = settings.AnswerWithin
+	}
+	r.Deadline = time.Now().Add(timeout)
+	return r, err
+}
+
+// unroutedHeader copies the header fields to forward to an endpoint.
+func unroutedHeader(c fiber.Ctx) []vetchtrail.HeaderField {
+	var out []vetchtrail.HeaderField
+	for name, value := range c.Request().Header.All() {
+		n := string(name)
+		if endpoint.HopByHop(n) || n == "Host" || n == headerIdempotencyKey || n == headerLastEvent || n == headerWorkspace {
+			continue
+		}
+		out = append(out, vetchtrail.HeaderField{Name: n, Value: string(value)})
+	}
+	return out
+}
--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -31,9 +31,9 @@
 	// HeaderWorkspace names the workspace to endpoints. Callers may name one that has no
 	// keys, outside of routes.
 	HeaderWorkspace = "X-Workspace"
-	// HeaderKey holds a caller's key.
-	HeaderKey = "Authorization"
-	keyScheme = "Bearer"
+	// HeaderAuthorization holds a caller's key.
+	HeaderAuthorization = "Authorization"
+	keyScheme           = "Bearer"
 )
 
 const (
@@ -78,7 +78,7 @@
 
 // Key implements vetchtrail.Dialect: the token of RFC 6750.
 func (Plain) Key(get vetchtrail.Fields) (string, error) {
-	text := get(HeaderKey)
+	text := get(HeaderAuthorization)
 	scheme, key, _ := strings.Cut(text, " ")
 	if text == "" {
 		return "", vetchtrail.ErrNoKey
