--- a/connection/endpoint/body.go
+++ b/connection/endpoint/body.go
@@ -11,70 +11,73 @@
 
 // Lengths of a body as the library's header tells them.
 const (
-	sizeChunked  = -1
-	sizeIdentity = -2 // the body ends with its connection
+	// Values of ResponseHeader.ContentLength for bodies of unknown length.
+	lengthChunked    = -1
+	lengthUntilClose = -2 // the body ends when the connection is closed
 )
 
-// body reads an answer's body by its framing. It ends with io.EOF only where
-// the framing says that the body is whole; a body without framing is whole when
-// the endpoint closes its side in order.
+// body reads a response body by its framing. It returns io.EOF only if the body is
+// complete. A body without framing is complete when the endpoint closes the connection in
+// order.
 type body struct {
-	in   *bufio.Reader
-	from io.Reader
-	n    int // Content-Length, sizeChunked or sizeIdentity
-	left int // of a known length
+	reader    *bufio.Reader
+	unsized   io.Reader
+	length    int // Content-Length, lengthChunked or lengthUntilClose
+	remaining int // bytes of a body of known length that are not read yet
 }
 
-func newBody(in *bufio.Reader, h *fasthttp.ResponseHeader, method string) *body {
-	b := &body{in: in, n: h.ContentLength()}
+func newBody(reader *bufio.Reader, h *fasthttp.ResponseHeader, method string) *body {
+	b := &body{reader: reader, length: h.ContentLength()}
 	if method == fasthttp.MethodHead || h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified {
-		b.n = 0
+		b.length = 0
 	}
-	switch b.n {
-	case sizeChunked:
-		b.from = httputil.NewChunkedReader(in)
-	case sizeIdentity:
-		b.from = in
+	switch b.length {
+	case lengthChunked:
+		b.unsized = httputil.NewChunkedReader(reader)
+	case lengthUntilClose:
+		b.unsized = reader
 	default:
-		b.left = b.n
+		b.remaining = b.length
 	}
 	return b
 }
 
-// size is the length in bytes if it was told, and negative otherwise.
-func (b *body) size() int { return b.n }
+// size is the length in bytes if it is known, and negative otherwise.
+func (b *body) size() int { return b.length }
 
-// framed says whether the body's end can be told from the connection's.
-func (b *body) framed() bool { return b.n != sizeIdentity }
+// framed reports whether the body's end can be told from the end of the connection.
+func (b *body) framed() bool { return b.length != lengthUntilClose }
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
-	if b.from != nil {
-		return b.readOn(p)
+	if b.unsized != nil {
+		return b.readUnsized(p)
 	}
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := b.in.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.reader.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	if errors.Is(err, io.EOF) {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-func (b *body) readOn(p []byte) (int, error) {
-	n, err := b.from.Read(p)
-	if isEnd(err) && b.n == sizeChunked {
+// readUnsized reads from a body of unknown length.
+func (b *body) readUnsized(p []byte) (int, error) {
+	n, err := b.unsized.Read(p)
+	if isCleanEnd(err) && b.length == lengthChunked {
 		return n, b.trailer()
 	}
 	return n, err
 }
 
-// trailer reads the lines after the last chunk, up to the empty one.
+// trailer reads the trailer section after the last chunk, up to its empty line. It returns
+// io.EOF if it is complete.
 func (b *body) trailer() error {
 	for {
-		line, err := b.in.ReadSlice('\n')
+		line, err := b.reader.ReadSlice('\n')
 		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
 		}
--- /dev/null
+++ b/connection/endpoint/deliver.go
@@ -0,0 +1,119 @@
+package endpoint
+
+import (
+	"encoding/json"
+	"io"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+	"github.com/valyala/fasthttp"
+
+	"vetchtrail"
+)
+
+// deliver passes the response on to the caller, or stores it as a deferred failure.
+func (t *attempt) deliver() error {
+	switch {
+	case t.req.Begun && (t.resp.StatusCode() != fasthttp.StatusOK || !t.isEventStream()):
+		return errors.Errorf("status %d instead of the rest of the stream", t.resp.StatusCode())
+	case t.defersFailure():
+		return t.deferFailure()
+	case t.isEventStream():
+		return t.deliverEvents()
+	case t.body.size() >= 0 && t.body.size() <= maxBufferedResponse, t.req.Route != "":
+		return t.deliverWhole()
+	case !t.body.framed():
+		return errors.New("response has neither a length nor chunks: its end can't be told from a broken connection")
+	}
+	return t.deliverChunks()
+}
+
+// defersFailure reports whether the response is a failure that is not delivered yet, as
+// another attempt may succeed.
+func (t *attempt) defersFailure() bool {
+	return t.req.Route != "" && t.req.Repeats && t.resp.StatusCode() >= minFailureStatus
+}
+
+// deferFailure buffers the response as the attempt's deferred failure.
+func (t *attempt) deferFailure() error {
+	wholeBody, err := t.wholeBody()
+	if err != nil {
+		return err
+	}
+	t.deferredFailure = &vetchtrail.KeptAnswer{Status: t.resp.StatusCode(), Header: t.responseHeader(), Body: wholeBody}
+	return nil
+}
+
+// isEventStream reports whether the response is a stream of events.
+func (t *attempt) isEventStream() bool {
+	return (t.req.Kind == vetchtrail.KindModel || t.req.Stream) &&
+		strings.HasPrefix(string(t.resp.Header.ContentType()), "text/event-stream")
+}
+
+// wholeBody reads the whole body, up to maxBufferedResponse.
+func (t *attempt) wholeBody() ([]byte, error) {
+	wholeBody, err := io.ReadAll(io.LimitReader(t.body, maxBufferedResponse+1))
+	if err == nil && len(wholeBody) > maxBufferedResponse {
+		err = errors.Errorf("response is over %d bytes", maxBufferedResponse)
+	}
+	return wholeBody, err
+}
+
+// deliverWhole delivers a response once it is read whole and, for an unrouted request to a
+// model, found to be JSON.
+func (t *attempt) deliverWhole() error {
+	wholeBody, err := t.wholeBody()
+	if err != nil {
+		return err
+	}
+	if t.req.Route == "" && t.req.Kind == vetchtrail.KindModel && t.resp.StatusCode() == fasthttp.StatusOK && !json.Valid(wholeBody) {
+		return errors.New("response is not JSON")
+	}
+	return t.writeChunk(wholeBody)
+}
+
+// deliverChunks delivers a response as it arrives.
+func (t *attempt) deliverChunks() error {
+	chunk := make([]byte, readBufferBytes)
+	for {
+		_ = t.conn.SetDeadline(time.Now().Add(stallTimeout))
+		n, err := t.body.Read(chunk)
+		if n > 0 {
+			if err := t.writeChunk(chunk[:n]); err != nil {
+				return err
+			}
+		}
+		if isCleanEnd(err) {
+			return t.begin()
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// writeChunk begins the caller's response before its first chunk: a response that breaks
+// earlier leaves the caller's unbegun.
+func (t *attempt) writeChunk(chunk []byte) error {
+	if err := t.begin(); err != nil {
+		return err
+	}
+	if len(chunk) == 0 {
+		return nil
+	}
+	return t.answer.Write(chunk)
+}
+
+// begin begins the caller's response, once.
+func (t *attempt) begin() error {
+	if t.begun {
+		return nil
+	}
+	t.begun = true
+	t.timing.First = time.Now()
+	if t.client.cfg.Observer != nil {
+		t.client.cfg.Observer.Started(t.endpoint, t.req, t.timing.First)
+	}
+	return t.answer.Begin(t.resp.StatusCode(), t.responseHeader())
+}
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -1,7 +1,9 @@
-// Package endpoint calls endpoints over HTTP and says truthfully whether a
-// request ran there. It builds on fasthttp's messages but keeps connections of
-// its own: a client that retries by itself or hides whether a byte was written
-// can't tell "not run" from "unknown".
+// Package endpoint calls endpoints over HTTP and reports exactly whether a request ran
+// there. It does not choose endpoints and does not retry.
+//
+// It uses fasthttp's messages but manages connections itself. An HTTP client that retries
+// by itself, or hides whether a byte was written, can't tell the outcome "not run" from
+// "unknown".
 package endpoint
 
 import (
@@ -22,94 +24,97 @@
 	"vetchtrail/connection/dialect"
 )
 
-// HeaderEndpoint tells where a request ran, if the settings allow it.
+// HeaderEndpoint is a response header field with the name of the endpoint that ran the
+// request. The caller's server removes it unless the settings allow it.
 const HeaderEndpoint = "X-Vetchtrail-Endpoint"
 
 const (
-	// wholeLimit is the size in bytes up to which an answer of known length is
-	// read whole before its first byte goes to the caller, so that a broken
-	// one can still be retried or refused.
-	wholeLimit  = 4 << 20
-	stallTime   = 30 * time.Second // between two parts of an answer
-	defaultBack = time.Second      // when an endpoint refuses without Retry-After
-	// routedBack is the same for requests of routes, whose endpoints hold queues
-	// of some tens of milliseconds and whose callers come back soon.
-	routedBack = 100 * time.Millisecond
-	maxBack    = time.Minute
-	// foreignMost is how many answers to other requests are passed over on a
-	// connection before it is given up.
-	foreignMost = 2
-	// firstFailure is the lowest status of an endpoint's own failure.
-	firstFailure = fasthttp.StatusInternalServerError
+	// maxBufferedResponse is the size in bytes up to which a response of known length is read
+	// whole before its first byte goes to the caller, so that a broken one can still be
+	// retried or refused. Responses to routed requests, except streams, are always read whole,
+	// and fail if they are larger.
+	maxBufferedResponse = 4 << 20
+	stallTimeout        = 30 * time.Second // between two parts of a response
+	unroutedRetryAfter  = time.Second      // Retry-After of unrouted requests if the endpoint sends none
+	// routedRetryAfter is the same for routed requests. Their endpoints have queues of some
+	// tens of milliseconds, and their callers retry soon.
+	routedRetryAfter = 100 * time.Millisecond
+	maxRetryAfter    = time.Minute
+	// maxForeignResponses is how many responses to other requests are skipped on a connection
+	// before it is closed.
+	maxForeignResponses = 2
+	// minFailureStatus is the lowest status that reports a failure of the endpoint.
+	minFailureStatus = fasthttp.StatusInternalServerError
 )
 
-// Guard is asked just before the first byte leaves for an endpoint, with the
-// newest configuration held. It returns a reason to keep the request.
+// Guard is called just before the first byte is sent to an endpoint, and decides by the
+// newest configuration of this host. It returns the reason not to send the request, or
+// nothing if the request may be sent.
 type Guard func(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason
 
-// Config is what a Caller needs.
+// Config configures a Caller.
 type Config struct {
 	Guard    Guard
-	Dialect  vetchtrail.Dialect  // nil: the project's own
+	Dialect  vetchtrail.Dialect  // for routed requests; nil: dialect.Plain
 	Observer vetchtrail.Observer // nil: none
 }
 
-// Caller is a vetchtrail.EndpointCaller.
+// Caller calls endpoints. It implements vetchtrail.EndpointCaller.
 type Caller struct {
 	cfg  Config
 	pool pool
 }
 
-// New returns a caller without connections.
+// New returns a Caller without connections.
 func New(c Config) *Caller {
 	if c.Dialect == nil {
 		c.Dialect = dialect.Plain{}
 	}
 	k := &Caller{cfg: c}
-	k.pool.idle = map[place][]*conn{}
-	k.pool.dialer = dial.Dialer(dialTime)
+	k.pool.idle = map[poolKey][]*conn{}
+	k.pool.dialer = dial.Dialer(dialTimeout)
 	return k
 }
 
-// attempt is one call of an endpoint.
+// attempt is one request sent to one endpoint.
 type attempt struct {
-	of     *Caller
-	to     vetchtrail.Endpoint
-	req    *vetchtrail.Request
-	answer vetchtrail.Answer
-	conn   *conn
-	resp   *fasthttp.Response
-	body   *body
-	timing vetchtrail.Timing
-	begun  bool
-	passed int                    // events of a stream
-	kept   *vetchtrail.KeptAnswer // a failure that is kept back
+	client          *Caller
+	endpoint        vetchtrail.Endpoint
+	req             *vetchtrail.Request
+	answer          vetchtrail.Answer
+	conn            *conn
+	resp            *fasthttp.Response
+	body            *body
+	timing          vetchtrail.Timing
+	begun           bool
+	eventsSent      int                    // of the stream, to the caller
+	deferredFailure *vetchtrail.KeptAnswer // set if the response is a failure that another attempt may improve on
 }
 
 // Call implements vetchtrail.EndpointCaller.
 func (k *Caller) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.Answer) (vetchtrail.Outcome, vetchtrail.Timing) {
-	t := &attempt{of: k, to: e, req: r, answer: a}
-	c, err := k.pool.get(ctx, placeOf(e), r.Repeats)
+	t := &attempt{client: k, endpoint: e, req: r, answer: a}
+	c, err := k.pool.get(ctx, poolKeyOf(e), r.Repeats)
 	if err != nil {
 		return t.notRun(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, err), t.timing
 	}
 	t.conn = c
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	if why := k.cfg.Guard(e, r); why != "" {
-		k.pool.put(placeOf(e), c)
-		return t.notRun(vetchtrail.StepResidency, why, nil), t.timing
+	if reason := k.cfg.Guard(e, r); reason != "" {
+		k.pool.put(poolKeyOf(e), c)
+		return t.notRun(vetchtrail.StepResidency, reason, nil), t.timing
 	}
 	o, reusable := t.run(ctx)
 	if reusable && stop() {
-		k.pool.put(placeOf(e), c)
+		k.pool.put(poolKeyOf(e), c)
 	} else {
 		_ = c.Close()
 	}
 	return o, t.timing
 }
 
-// Refuses says whether an endpoint refuses a connection, as one does that has ended.
+// Refuses reports whether an endpoint refuses connections, as a crashed one does.
 func (k *Caller) Refuses(ctx context.Context, e vetchtrail.Endpoint) bool {
 	c, err := k.pool.dialer.DialContext(ctx, "tcp", e.Addr.String())
 	if err == nil {
@@ -118,10 +123,12 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
+// run sends the request and delivers the response. reusable reports whether the connection
+// may take another request.
 func (t *attempt) run(ctx context.Context) (o vetchtrail.Outcome, reusable bool) {
 	_ = t.conn.SetDeadline(t.req.Deadline)
-	t.conn.silent = t.silent()
-	defer func() { t.conn.silent = nil }()
+	t.conn.silenceCheck = t.silenceCheck()
+	defer func() { t.conn.silenceCheck = nil }()
 	if err := t.send(); err != nil {
 		if t.conn.written == 0 {
 			return t.notRun(vetchtrail.StepSend, vetchtrail.ReasonUnreachable, err), false
@@ -130,45 +137,46 @@
 	}
 	t.resp = fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(t.resp)
-	reading, err := t.head()
+	reading, err := t.readResponseHead()
 	if err != nil {
 		return t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonLost, err), false
 	}
-	t.conn.learnIdle(t.field("Keep-Alive"))
+	t.conn.readKeepAlive(t.headerField("Keep-Alive"))
 	switch reading.Kind {
 	case vetchtrail.ReadingRefused:
 		o := t.notRun(vetchtrail.StepAnswer, vetchtrail.ReasonRefused, nil)
 		o.RetryAt = t.retryAt()
 		o.Cold = max(0, reading.Cold)
-		return o, t.finish()
+		return o, t.discardBody()
 	case vetchtrail.ReadingMisled:
 		return t.notRun(vetchtrail.StepAnswer, vetchtrail.ReasonMisled, nil), false
 	case vetchtrail.ReadingForeign, vetchtrail.ReadingDoubtful:
-		err := errors.Errorf("status %d without the endpoint's signs", t.resp.StatusCode())
+		err := errors.Errorf("status %d in a response that can't be verified as the endpoint's", t.resp.StatusCode())
 		return t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonBroken, err), false
 	}
-	if err := t.pass(); err != nil {
+	if err := t.deliver(); err != nil {
 		return t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonBroken, err), false
 	}
 	t.timing.Done = time.Now()
-	if t.kept != nil {
+	if t.deferredFailure != nil {
 		o := t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonFailed, nil)
-		o.Failure = t.kept
+		o.Failure = t.deferredFailure
 		return o, t.reusable()
 	}
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.Answered, Status: t.resp.StatusCode(), Step: vetchtrail.StepAnswer, Peer: t.to.Name, Begun: true,
-		Events: t.passed,
+		Kind: vetchtrail.Answered, Status: t.resp.StatusCode(), Step: vetchtrail.StepAnswer, Peer: t.endpoint.Name, Begun: true,
+		Events: t.eventsSent,
 	}, t.reusable()
 }
 
-// silent returns the question that a request which may run again asks while it
-// waits: such a one does not wait for an endpoint that has gone silent.
-func (t *attempt) silent() func() bool {
-	if !t.req.Repeats || t.req.Route == "" || t.of.cfg.Observer == nil {
+// silenceCheck returns the function that a read polls while it waits, to learn whether the
+// endpoint has fallen silent. It returns nil for requests that wait until their deadline:
+// those without a route and those that may not run twice.
+func (t *attempt) silenceCheck() func() bool {
+	if !t.req.Repeats || t.req.Route == "" || t.client.cfg.Observer == nil {
 		return nil
 	}
-	return func() bool { return t.of.cfg.Observer.Silent(t.to, time.Now()) }
+	return func() bool { return t.client.cfg.Observer.Silent(t.endpoint, time.Now()) }
 }
 
 // send writes the request.
@@ -176,8 +184,8 @@
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(t.req.Method)
-	req.Header.SetRequestURI(t.req.Path) // as it came: parsing would normalize it
-	req.Header.SetHost(t.to.Addr.String())
+	req.Header.SetRequestURI(t.req.Path) // unchanged: parsing would normalize it
+	req.Header.SetHost(t.endpoint.Addr.String())
 	req.Header.SetNoDefaultContentType(true)
 	for _, f := range t.req.Header {
 		if f.Name == fasthttp.HeaderHost {
@@ -188,22 +196,21 @@
 	}
 	t.timing.Sent = time.Now()
 	if t.req.Route == "" {
-		t.tellOwn(req)
+		t.setUnroutedFields(req)
 	} else {
-		t.of.cfg.Dialect.Tell(req.Header.Set, t.to, t.req, t.timing.Sent)
+		t.client.cfg.Dialect.Tell(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
 	}
 	req.SetBodyRaw(t.req.Body)
-	out := bufio.NewWriterSize(t.conn, readBuffer)
+	out := bufio.NewWriterSize(t.conn, readBufferBytes)
 	if err := req.Write(out); err != nil {
 		return err
 	}
 	return out.Flush()
 }
 
-// tellOwn sets the fields of requests that name a service, which belong to the
-// project's own interface.
-func (t *attempt) tellOwn(req *fasthttp.Request) {
-	dialect.Plain{}.Tell(req.Header.Set, t.to, t.req, t.timing.Sent)
+// setUnroutedFields sets the header fields of requests that belong to no route.
+func (t *attempt) setUnroutedFields(req *fasthttp.Request) {
+	dialect.Plain{}.Tell(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
 	if t.req.Key != "" {
 		req.Header.Set("Idempotency-Key", t.req.Key)
 	}
@@ -212,22 +219,23 @@
 	}
 }
 
-// head reads the head of the answer to the request. An endpoint may send the
-// answers of others before it: they belong to nobody.
-func (t *attempt) head() (vetchtrail.Reading, error) {
-	for range foreignMost + 1 {
-		if err := t.readHead(); err != nil {
+// readResponseHead reads the head of the response to the request and reports to the
+// observer what it says of the endpoint. An endpoint may send responses to other requests
+// first; their bodies are discarded.
+func (t *attempt) readResponseHead() (vetchtrail.Reading, error) {
+	for range maxForeignResponses + 1 {
+		if err := t.readFinalHead(); err != nil {
 			return vetchtrail.Reading{}, err
 		}
-		reading := t.read()
-		if reading.Told && t.of.cfg.Observer != nil {
+		reading := t.interpretHead()
+		if reading.Told && t.client.cfg.Observer != nil {
 			reading.Load.At = time.Now()
-			t.of.cfg.Observer.Told(t.to, reading.Load)
+			t.client.cfg.Observer.Told(t.endpoint, reading.Load)
 		}
-		t.tellLimit(reading.Rate)
-		t.tellNotice(reading.Notice)
-		t.tellUnknown()
-		t.body = newBody(t.conn.in, &t.resp.Header, t.req.Method)
+		t.reportRateLimit(reading.Rate)
+		t.reportAvailability(reading.Notice)
+		t.reportUnknownFields()
+		t.body = newBody(t.conn.reader, &t.resp.Header, t.req.Method)
 		if reading.Kind != vetchtrail.ReadingForeign {
 			return reading, nil
 		}
@@ -235,51 +243,53 @@
 			return vetchtrail.Reading{}, err
 		}
 	}
-	return vetchtrail.Reading{}, errors.New("answers to other requests only")
+	return vetchtrail.Reading{}, errors.New("received only responses to other requests")
 }
 
-// tellLimit tells what the head says of the requests that the endpoint takes, before anything of the
-// answer is passed on: who waits for its end hears of a limit seconds late.
-func (t *attempt) tellLimit(r vetchtrail.RateReading) {
-	if t.of.cfg.Observer == nil || (!r.Told && r.Err == nil) {
+// reportRateLimit reports the rate limit that the endpoint advertises. It does so as soon
+// as the head is read: at the end of the response the report would be seconds late.
+func (t *attempt) reportRateLimit(r vetchtrail.RateReading) {
+	if t.client.cfg.Observer == nil || (!r.Told && r.Err == nil) {
 		return
 	}
-	t.of.cfg.Observer.Limited(t.to, vetchtrail.RateLimit{Named: r.Named, Rate: r.Rate, Asked: t.timing.Sent, Heard: time.Now()}, r.Err)
+	t.client.cfg.Observer.Limited(t.endpoint, vetchtrail.RateLimit{Named: r.Named, Rate: r.Rate, Asked: t.timing.Sent, Heard: time.Now()}, r.Err)
 }
 
-// tellNotice tells what the head says of whether the endpoint wants requests, as tellLimit does.
-func (t *attempt) tellNotice(r vetchtrail.NoticeReading) {
-	if t.of.cfg.Observer == nil || r == (vetchtrail.NoticeReading{}) {
+// reportAvailability reports whether the endpoint announces that it is leaving or paused,
+// as early as reportRateLimit does.
+func (t *attempt) reportAvailability(r vetchtrail.NoticeReading) {
+	if t.client.cfg.Observer == nil || r == (vetchtrail.NoticeReading{}) {
 		return
 	}
 	n := vetchtrail.Notice{Leaving: r.Leaving, Asked: t.timing.Sent, Heard: time.Now()}
 	if r.Pause > 0 {
 		n.Until = n.Heard.Add(r.Pause)
 	}
-	t.of.cfg.Observer.Noticed(t.to, n, r.Err)
+	t.client.cfg.Observer.Noticed(t.endpoint, n, r.Err)
 }
 
-// tellUnknown tells of fields that nobody reads: a new word of endpoints is seen on the first day it is said.
-func (t *attempt) tellUnknown() {
-	if t.of.cfg.Observer == nil {
+// reportUnknownFields reports header fields that no code reads, so that operators notice a
+// new field of the endpoints on the first day.
+func (t *attempt) reportUnknownFields() {
+	if t.client.cfg.Observer == nil {
 		return
 	}
-	knows := t.of.cfg.Dialect.Knows
+	knows := t.client.cfg.Dialect.Knows
 	if t.req.Route == "" {
 		knows = dialect.Plain{}.Knows
 	}
 	for name := range t.resp.Header.All() {
 		if !hopByHop[string(name)] && !knows(string(name)) {
-			t.of.cfg.Observer.Unknown(t.to, string(name))
+			t.client.cfg.Observer.Unknown(t.endpoint, string(name))
 		}
 	}
 }
 
-// readHead reads a head, passing over those that only announce another.
-func (t *attempt) readHead() error {
+// readFinalHead reads a response head and skips interim ones (status 1xx).
+func (t *attempt) readFinalHead() error {
 	for {
 		t.resp.Header.Reset()
-		if err := t.resp.Header.Read(t.conn.in); err != nil {
+		if err := t.resp.Header.Read(t.conn.reader); err != nil {
 			return err
 		}
 		if t.resp.StatusCode() >= fasthttp.StatusOK {
@@ -288,16 +298,18 @@
 	}
 }
 
-func (t *attempt) read() vetchtrail.Reading {
+// interpretHead reads the head by the dialect of the request: the deployment's for a
+// routed one, dialect.Plain for others.
+func (t *attempt) interpretHead() vetchtrail.Reading {
 	if t.req.Route == "" {
-		return dialect.Plain{}.Read(t.resp.StatusCode(), t.field, t.req)
+		return dialect.Plain{}.Read(t.resp.StatusCode(), t.headerField, t.req)
 	}
-	return t.of.cfg.Dialect.Read(t.resp.StatusCode(), t.field, t.req)
+	return t.client.cfg.Dialect.Read(t.resp.StatusCode(), t.headerField, t.req)
 }
 
-// field returns a field of the answer's head; one that stands there more than once, with different
-// values, is a list (RFC 9110 5.3).
-func (t *attempt) field(name string) string {
+// headerField returns a field of the response head. Values of a repeated field are joined
+// by commas (RFC 9110, 5.3), without those that repeat the one before.
+func (t *attempt) headerField(name string) string {
 	all := slices.CompactFunc(t.resp.Header.PeekAll(name), bytes.Equal)
 	if len(all) == 1 {
 		return string(all[0])
@@ -305,45 +317,52 @@
 	return string(bytes.Join(all, []byte(", ")))
 }
 
-// finish reads what is left of an answer that is not passed on, and says
-// whether its connection can be kept.
-func (t *attempt) finish() bool {
+// discardBody reads the rest of a response that is not delivered. It reports whether the
+// connection may take another request.
+func (t *attempt) discardBody() bool {
 	_, err := io.Copy(io.Discard, t.body)
 	return err == nil && t.reusable()
 }
 
+// reusable reports whether the connection stays open after the response.
 func (t *attempt) reusable() bool {
 	return !t.resp.ConnectionClose() && t.body.framed()
 }
 
+// retryAt is when a refused request may be sent again: after the endpoint's Retry-After,
+// or fallbackRetryAfter if it has none that can be read.
 func (t *attempt) retryAt() time.Time {
-	after, text := t.back(), t.field(fasthttp.HeaderRetryAfter)
+	after, text := t.fallbackRetryAfter(), t.headerField(fasthttp.HeaderRetryAfter)
 	if named, err := vetchtrail.ReadPause(text); err == nil && text != "" {
-		after = min(named, maxBack)
+		after = min(named, maxRetryAfter)
 	}
 	return time.Now().Add(after)
 }
 
-// back is how long an endpoint that refused without saying is left alone.
-func (t *attempt) back() time.Duration {
+// fallbackRetryAfter is how long to wait before the next request if the endpoint names no
+// time.
+func (t *attempt) fallbackRetryAfter() time.Duration {
 	if t.req.Route != "" {
-		return routedBack
+		return routedRetryAfter
 	}
-	return defaultBack
+	return unroutedRetryAfter
 }
 
-// hopByHop are the fields that belong to one connection only (RFC 9110 7.6.1).
+// hopByHop has the header fields that concern one connection only (RFC 9110, 7.6.1), and
+// those that each server sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Content-Length": true, "Date": true, "Server": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Expect": true,
 }
 
-// HopByHop says whether a header field belongs to one connection only.
+// HopByHop reports whether a header field concerns one connection only and must not be
+// forwarded.
 func HopByHop(name string) bool { return hopByHop[name] }
 
-func (t *attempt) header() []vetchtrail.HeaderField {
-	out := []vetchtrail.HeaderField{{Name: HeaderEndpoint, Value: t.to.Name}}
+// responseHeader returns the header fields to forward to the caller.
+func (t *attempt) responseHeader() []vetchtrail.HeaderField {
+	out := []vetchtrail.HeaderField{{Name: HeaderEndpoint, Value: t.endpoint.Name}}
 	for name, value := range t.resp.Header.All() {
 		if !HopByHop(string(name)) {
 			out = append(out, vetchtrail.HeaderField{Name: string(name), Value: string(value)})
@@ -352,18 +371,20 @@
 	return out
 }
 
-func (t *attempt) notRun(step vetchtrail.Step, why vetchtrail.Reason, err error) vetchtrail.Outcome {
+// notRun is the outcome of a request that did not run at the endpoint.
+func (t *attempt) notRun(step vetchtrail.Step, reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.NotRun, Status: fasthttp.StatusServiceUnavailable, Step: step, Peer: t.to.Name,
-		Reason: why, RetryAt: time.Now().Add(t.back()), Err: err, Begun: t.req.Begun,
+		Kind: vetchtrail.NotRun, Status: fasthttp.StatusServiceUnavailable, Step: step, Peer: t.endpoint.Name,
+		Reason: reason, RetryAt: time.Now().Add(t.fallbackRetryAfter()), Err: err, Begun: t.req.Begun,
 	}
 }
 
-// unknown is the outcome of a request that was sent and has no whole answer.
-func (t *attempt) unknown(ctx context.Context, step vetchtrail.Step, why vetchtrail.Reason, err error) vetchtrail.Outcome {
+// unknown is the outcome of a request that was sent and has no complete response, so that
+// it may have run.
+func (t *attempt) unknown(ctx context.Context, step vetchtrail.Step, reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	o := vetchtrail.Outcome{
-		Kind: vetchtrail.Unknown, Status: fasthttp.StatusBadGateway, Step: step, Peer: t.to.Name,
-		Reason: why, Err: err, Begun: t.begun || t.req.Begun,
+		Kind: vetchtrail.Unknown, Status: fasthttp.StatusBadGateway, Step: step, Peer: t.endpoint.Name,
+		Reason: reason, Err: err, Begun: t.begun || t.req.Begun,
 	}
 	switch {
 	case ctx.Err() != nil:
--- a/connection/endpoint/events.go
+++ b/connection/endpoint/events.go
@@ -13,24 +13,24 @@
 	"vetchtrail"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
-// endOfStream is the data of a model stream's last event.
-var endOfStream = []byte("data: [DONE]")
+// lastEventData is the line that marks the last event of a model's stream.
+var lastEventData = []byte("data: [DONE]")
 
-// positionMark parts the fields of an event's id as callers see it.
-const positionMark = "~"
+// positionSeparator separates the parts of an event id that callers see.
+const positionSeparator = "~"
 
-// FormatPosition returns the event id that callers see: endpoint, stream and
-// number, so that any host knows where to resume.
+// FormatPosition returns the event id that callers see. It has the endpoint, the stream
+// and the event's number, so that any host can resume the stream.
 func FormatPosition(p vetchtrail.StreamPosition) string {
-	return p.Endpoint + positionMark + p.Stream + positionMark + strconv.Itoa(p.Offset)
+	return p.Endpoint + positionSeparator + p.Stream + positionSeparator + strconv.Itoa(p.Offset)
 }
 
-// ParsePosition reads an event id of FormatPosition.
+// ParsePosition parses an event id made by FormatPosition.
 func ParsePosition(s string) (vetchtrail.StreamPosition, error) {
-	parts := strings.Split(s, positionMark)
+	parts := strings.Split(s, positionSeparator)
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" {
 		return vetchtrail.StreamPosition{}, errors.Errorf("endpoint.ParsePosition: %q is not the id of an event", s)
 	}
@@ -41,83 +41,85 @@
 	return vetchtrail.StreamPosition{Endpoint: parts[0], Stream: parts[1], Offset: n}, nil
 }
 
-// passEvents hands on whole events with their ids made global. A stream that
-// ends without its last event is broken.
-func (t *attempt) passEvents() error {
+// deliverEvents delivers a stream event by event. For an unrouted request it qualifies the
+// event ids, and the stream fails if it ends without its last event.
+func (t *attempt) deliverEvents() error {
 	if t.req.Route != "" {
-		return t.passRouted()
+		return t.deliverRoutedEvents()
 	}
-	in := bufio.NewReaderSize(t.body, readBuffer)
-	stream := t.streamName()
-	done := false
+	reader := bufio.NewReaderSize(t.body, readBufferBytes)
+	stream := t.streamID()
+	complete := false
 	var last time.Time
 	for {
-		_ = t.conn.SetDeadline(time.Now().Add(stallTime))
-		event, err := readEvent(in)
-		if isEnd(err) && len(event) == 0 {
+		_ = t.conn.SetDeadline(time.Now().Add(stallTimeout))
+		event, err := readEvent(reader)
+		if isCleanEnd(err) && len(event) == 0 {
 			break
 		}
 		if err != nil {
 			return err
 		}
-		done = done || bytes.HasPrefix(event, endOfStream) || bytes.Contains(event, append([]byte("\n"), endOfStream...))
-		if err := t.part(t.globalID(event, stream)); err != nil {
+		complete = complete || bytes.HasPrefix(event, lastEventData) || bytes.Contains(event, append([]byte("\n"), lastEventData...))
+		if err := t.writeChunk(t.qualifyID(event, stream)); err != nil {
 			return err
 		}
-		last = t.paced(last)
+		last = t.recordEvent(last)
 	}
-	if !done {
-		return errors.New("the stream ended without its last event")
+	if !complete {
+		return errors.New("stream ended without its last event")
 	}
 	return nil
 }
 
-// passRouted hands on the whole events of a route's stream as they are. The
-// framing tells its end. Events that the caller has already, as its stream went
-// on from another endpoint, are passed over.
-func (t *attempt) passRouted() error {
-	in := bufio.NewReaderSize(t.body, readBuffer)
-	had, resumed := eventNumber(t.req.LastEvent)
+// deliverRoutedEvents delivers the events of a routed stream unchanged. Only the framing
+// marks the end of such a stream. If the stream resumes one of another endpoint, events
+// that the caller has already received are skipped.
+func (t *attempt) deliverRoutedEvents() error {
+	reader := bufio.NewReaderSize(t.body, readBufferBytes)
+	lastReceived, resumed := parseEventNumber(t.req.LastEvent)
 	var last time.Time
 	for {
-		event, err := readEvent(in)
-		if isEnd(err) && len(event) == 0 {
+		event, err := readEvent(reader)
+		if isCleanEnd(err) && len(event) == 0 {
 			return t.begin()
 		}
 		if err != nil {
 			return err
 		}
-		if resumed && alreadyHad(event, had) {
+		if resumed && alreadyReceived(event, lastReceived) {
 			continue
 		}
-		if err := t.part(event); err != nil {
+		if err := t.writeChunk(event); err != nil {
 			return err
 		}
-		last = t.paced(last)
+		last = t.recordEvent(last)
 	}
 }
 
-// paced counts an event and tells the time since the one before.
-func (t *attempt) paced(last time.Time) time.Time {
+// recordEvent counts a delivered event and reports the interval since the last one. It
+// returns the time of the event.
+func (t *attempt) recordEvent(last time.Time) time.Time {
 	now := time.Now()
-	t.passed++
-	if !last.IsZero() && t.of.cfg.Observer != nil {
-		t.of.cfg.Observer.Paced(t.to, now.Sub(last), now)
+	t.eventsSent++
+	if !last.IsZero() && t.client.cfg.Observer != nil {
+		t.client.cfg.Observer.Paced(t.endpoint, now.Sub(last), now)
 	}
 	return now
 }
 
-// alreadyHad says whether an event's number is not above the last one had.
-func alreadyHad(event []byte, had uint64) bool {
+// alreadyReceived reports whether an event's number is not above the last one that the
+// caller received.
+func alreadyReceived(event []byte, lastReceived uint64) bool {
 	id, ok := EventID(event)
 	if !ok {
 		return false
 	}
-	n, ok := eventNumber(id)
-	return ok && n <= had
+	n, ok := parseEventNumber(id)
+	return ok && n <= lastReceived
 }
 
-// EventID returns the id of an event.
+// EventID returns the id of an event, and false if it has none.
 func EventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		name, value, ok := bytes.Cut(line, []byte(":"))
@@ -128,43 +130,45 @@
 	return "", false
 }
 
-func eventNumber(id string) (uint64, bool) {
+// parseEventNumber parses the event ids of routed streams, which are numbers.
+func parseEventNumber(id string) (uint64, bool) {
 	n, err := strconv.ParseUint(id, 10, 64)
 	return n, err == nil
 }
 
-// streamName is the endpoint's name for the stream: the request's id, which it
-// was given, or that of the request that began it.
-func (t *attempt) streamName() string {
+// streamID is the endpoint's id of the stream: the id of the request that opened it, which
+// is this request unless it resumes a stream.
+func (t *attempt) streamID() string {
 	if t.req.Resume.Stream != "" {
 		return t.req.Resume.Stream
 	}
 	return t.req.ID
 }
 
-// globalID puts the endpoint and stream before the number in an event's id.
-func (t *attempt) globalID(event []byte, stream string) []byte {
+// qualifyID puts the endpoint and the stream before the number in an event's id, as
+// FormatPosition does. Events whose first line is no id stay unchanged.
+func (t *attempt) qualifyID(event []byte, stream string) []byte {
 	prefix := []byte("id: ")
 	if !bytes.HasPrefix(event, prefix) {
 		return event
 	}
-	out := make([]byte, 0, len(event)+len(t.to.Name)+len(stream)+2)
+	out := make([]byte, 0, len(event)+len(t.endpoint.Name)+len(stream)+2)
 	out = append(out, prefix...)
-	out = append(out, t.to.Name+positionMark+stream+positionMark...)
+	out = append(out, t.endpoint.Name+positionSeparator+stream+positionSeparator...)
 	return append(out, event[len(prefix):]...)
 }
 
-// readEvent reads lines up to and with the empty one that ends an event.
-func readEvent(in *bufio.Reader) ([]byte, error) {
+// readEvent reads the lines of an event, including the empty line that ends it.
+func readEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
-		line, err := in.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		event = append(event, line...)
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			return event, endOf(err, event)
+			return event, unexpectedEnd(err, event)
 		}
-		if len(event) > maxEvent {
-			return nil, errors.Errorf("an event is over %d bytes", maxEvent)
+		if len(event) > maxEventBytes {
+			return nil, errors.Errorf("event is over %d bytes", maxEventBytes)
 		}
 		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return event, nil
@@ -172,14 +176,14 @@
 	}
 }
 
-// endOf makes an end within an event an error.
-func endOf(err error, event []byte) error {
-	if isEnd(err) && len(event) > 0 {
+// unexpectedEnd turns an end of the stream within an event into an error.
+func unexpectedEnd(err error, event []byte) error {
+	if isCleanEnd(err) && len(event) > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// isEnd tells the end of an answer from an end of the connection within it,
-// which the library wraps.
-func isEnd(err error) bool { return err == io.EOF } //nolint:errorlint // a wrapped EOF is a cut
+// isCleanEnd reports whether err is the end of the body. If the connection ends within the
+// body, the library wraps io.EOF, so errors.Is can't be used here.
+func isCleanEnd(err error) bool { return err == io.EOF } //nolint:errorlint // a wrapped EOF is a broken connection
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -18,73 +18,72 @@
 )
 
 const (
-	idleKept   = 64               // idle connections kept for an endpoint
-	idleFor    = 30 * time.Second // how long one is kept if the endpoint doesn't say
-	readBuffer = 8 << 10          // bytes
-	dialTime   = 700 * time.Millisecond
-	// idleMargin is how long before the announced end of an idle connection it is
-	// no longer used: the endpoint may close it while a request is on its way.
+	maxIdlePerEndpoint = 64               // connections
+	idleTimeout        = 30 * time.Second // of a connection whose endpoint announces no other
+	readBufferBytes    = 8 << 10
+	dialTimeout        = 700 * time.Millisecond
+	// idleMargin is how long before its announced idle timeout a connection is no longer used:
+	// the endpoint may close it while a request is on its way.
 	idleMargin = 500 * time.Millisecond
-	// onceIdle is how long a connection may have rested when it takes a request
-	// that may not run twice: endpoints forget idle connections without a word,
-	// and such a request is then lost.
-	onceIdle = 3 * time.Second
-	// silenceLook is how often a waiting attempt asks whether its endpoint has gone
-	// silent.
-	silenceLook = 200 * time.Millisecond
+	// unrepeatableMaxIdle is the idle time up to which a connection may take a request that
+	// may not run twice. Endpoints may drop idle connections without notice, and such a
+	// request would then be lost.
+	unrepeatableMaxIdle = 3 * time.Second
+	// silenceCheckInterval is how often a waiting attempt checks whether its endpoint has
+	// fallen silent.
+	silenceCheckInterval = 200 * time.Millisecond
 )
 
-// place is an endpoint's process at an address: addresses are used again.
-type place struct {
-	addr     netip.AddrPort
-	instance string
-	born     int64 // Unix nanoseconds of its life's start; 0: not told
+// poolKey identifies an endpoint's process instance, as addresses are reused.
+type poolKey struct {
+	addr      netip.AddrPort
+	instance  string
+	startedAt int64 // Unix nanoseconds; 0: unknown
 }
 
-func placeOf(e vetchtrail.Endpoint) place {
-	p := place{addr: e.Addr, instance: e.Instance}
+func poolKeyOf(e vetchtrail.Endpoint) poolKey {
+	p := poolKey{addr: e.Addr, instance: e.Instance}
 	if !e.Born.IsZero() {
-		p.born = e.Born.UnixNano()
+		p.startedAt = e.Born.UnixNano()
 	}
 	return p
 }
 
-// conn is a connection to an endpoint that counts what was written for the
-// request in hand, so that "no byte left" can be said truthfully.
+// conn is a connection to an endpoint. It counts the bytes written for the current
+// request, so that the caller can be told truthfully that none was sent.
 type conn struct {
 	net.Conn
-	in      *bufio.Reader
-	written int
-	idleFor time.Duration // as the endpoint announced it
-	rested  time.Time     // since when it is idle
+	reader      *bufio.Reader
+	written     int
+	idleTimeout time.Duration // as announced by the endpoint
+	lastUsed    time.Time     // end of the last request
 
-	deadline time.Time   // of reads
-	silent   func() bool // nil: reads wait to their deadline
+	readDeadline time.Time
+	silenceCheck func() bool // polled by waiting reads; nil: they wait until their deadline
 }
 
-// errSilent says that the endpoint says nothing on any of its connections.
+// errSilent ends a read when the endpoint has fallen silent on all its connections.
 var errSilent = errors.New("the endpoint has gone silent")
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.deadline = t
+	c.readDeadline = t
 	return c.Conn.SetDeadline(t)
 }
 
-// Read implements io.Reader. While it waits it asks now and then whether waiting
-// is of use.
+// Read implements io.Reader. While it waits, it polls silenceCheck.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.silent == nil {
+	if c.silenceCheck == nil {
 		return c.Conn.Read(p)
 	}
-	defer func() { _ = c.SetReadDeadline(c.deadline) }()
+	defer func() { _ = c.SetReadDeadline(c.readDeadline) }()
 	for {
-		_ = c.SetReadDeadline(vetchtrail.Earlier(time.Now().Add(silenceLook), c.deadline))
+		_ = c.SetReadDeadline(vetchtrail.Earlier(time.Now().Add(silenceCheckInterval), c.readDeadline))
 		n, err := c.Conn.Read(p)
 		switch {
-		case n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(c.deadline):
+		case n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(c.readDeadline):
 			return n, err
-		case c.silent():
+		case c.silenceCheck():
 			return 0, errSilent
 		}
 	}
@@ -97,39 +96,38 @@
 	return n, err
 }
 
-// learnIdle reads the endpoint's Keep-Alive field.
-func (c *conn) learnIdle(field string) {
+// readKeepAlive takes the idle timeout from the endpoint's Keep-Alive field.
+func (c *conn) readKeepAlive(field string) {
 	_, after, ok := strings.Cut(field, "timeout=")
 	if !ok {
 		return
 	}
 	digits, _, _ := strings.Cut(after, ",")
 	if n, err := strconv.Atoi(strings.TrimSpace(digits)); err == nil && n > 0 {
-		c.idleFor = time.Duration(n) * time.Second
+		c.idleTimeout = time.Duration(n) * time.Second
 	}
 }
 
-// usable says whether a connection that rested may take a request now.
+// usable reports whether an idle connection may take a request now.
 func (c *conn) usable(repeats bool, now time.Time) bool {
-	rest := now.Sub(c.rested)
-	if rest > c.idleFor-idleMargin || (!repeats && rest > onceIdle) {
+	idle := now.Sub(c.lastUsed)
+	if idle > c.idleTimeout-idleMargin || (!repeats && idle > unrepeatableMaxIdle) {
 		return false
 	}
 	return probe.Idle(c.Conn)
 }
 
-// pool keeps idle connections to the endpoints.
+// pool has the idle connections to all endpoints.
 type pool struct {
 	dialer net.Dialer
 	mu     sync.Mutex
-	idle   map[place][]*conn
+	idle   map[poolKey][]*conn
 }
 
-// get returns an idle connection that the endpoint hasn't closed, or a new one.
-// A request that may not run twice only gets one that rested shortly.
-func (p *pool) get(ctx context.Context, at place, repeats bool) (*conn, error) {
+// get returns an idle connection that is still usable, or a new one.
+func (p *pool) get(ctx context.Context, key poolKey, repeats bool) (*conn, error) {
 	for {
-		c := p.take(at)
+		c := p.pop(key)
 		if c == nil {
 			break
 		}
@@ -139,59 +137,62 @@
 		}
 		_ = c.Close()
 	}
-	nc, err := p.dialer.DialContext(ctx, "tcp", at.addr.String())
+	nc, err := p.dialer.DialContext(ctx, "tcp", key.addr.String())
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, idleFor: idleFor}
-	c.in = bufio.NewReaderSize(c, readBuffer)
+	c := &conn{Conn: nc, idleTimeout: idleTimeout}
+	c.reader = bufio.NewReaderSize(c, readBufferBytes)
 	return c, nil
 }
 
-func (p *pool) take(at place) *conn {
+// pop removes and returns the connection that was used last, or returns nil.
+func (p *pool) pop(key poolKey) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[at]
-	if len(list) == 0 {
+	conns := p.idle[key]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[at] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[key] = conns[:len(conns)-1]
 	return c
 }
 
-// put keeps a connection whose answer was read to its end.
-func (p *pool) put(at place, c *conn) {
-	if c.in.Buffered() > 0 {
+// put returns a connection to the pool after its response was read completely. Unread
+// bytes on it would belong to no request, so it is then closed.
+func (p *pool) put(key poolKey, c *conn) {
+	if c.reader.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	c.rested = time.Now()
+	c.lastUsed = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[at]) >= idleKept {
+	if len(p.idle[key]) >= maxIdlePerEndpoint {
 		_ = c.Close()
 		return
 	}
-	p.idle[at] = append(p.idle[at], c)
+	p.idle[key] = append(p.idle[key], c)
 }
 
-// Keep closes the idle connections but for those to the lives of some endpoints.
+// Keep closes the idle connections to all process instances but those of the given
+// endpoints.
 func (k *Caller) Keep(endpoints []*vetchtrail.Endpoint) {
-	known := make(map[place]bool, len(endpoints))
+	known := make(map[poolKey]bool, len(endpoints))
 	for _, e := range endpoints {
-		known[placeOf(*e)] = true
+		known[poolKeyOf(*e)] = true
 	}
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
-	for at, list := range k.pool.idle {
-		if known[at] {
+	for key, conns := range k.pool.idle {
+		if known[key] {
 			continue
 		}
-		for _, c := range list {
+		for _, c := range conns {
 			_ = c.Close()
 		}
-		delete(k.pool.idle, at)
+		delete(k.pool.idle, key)
 	}
 }
--- a/connection/endpoint/pool_test.go
+++ b/connection/endpoint/pool_test.go
@@ -8,44 +8,45 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUsable: which requests a connection may take after it rested, by what its
-// endpoint announced and did.
-func TestUsable(t *testing.T) {
+// TestConnUsable guards against requests that are lost on idle connections which the
+// endpoint has closed, is about to close, or has sent unexpected bytes on. Requests that
+// may not run twice get only connections used shortly before.
+func TestConnUsable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	now := time.Unix(1_800_000_000, 0)
 	cases := map[string]struct {
-		rested    time.Duration
-		announced string
-		does      func(other net.Conn)
-		repeats   bool
-		want      bool
+		lastUsed     time.Duration
+		announced    string
+		serverAction func(server net.Conn)
+		repeats      bool
+		want         bool
 	}{
-		"just used":                        {0, "", nil, false, true},
-		"short rest":                       {2 * time.Second, "", nil, false, true},
-		"long rest, may not run twice":     {4 * time.Second, "", nil, false, false},
-		"long rest, may run twice":         {4 * time.Second, "", nil, true, true},
-		"longer than any is kept":          {time.Minute, "", nil, true, false},
-		"well within the announced time":   {time.Second, "timeout=2", nil, true, true},
-		"within the margin before its end": {1600 * time.Millisecond, "timeout=2, max=9", nil, true, false},
-		"an announcement of no sense":      {4 * time.Second, "timeout=soon", nil, true, true},
-		"bytes that nobody asked for":      {0, "", func(o net.Conn) { _, _ = o.Write([]byte("HTTP/1.1 200 OK\r\n")) }, true, false},
-		"closed by the other side":         {0, "", func(o net.Conn) { _ = o.Close() }, true, false},
+		"just used":             {0, "", nil, false, true},
+		"idle for a short time": {2 * time.Second, "", nil, false, true},
+		"idle for long, request may not run twice":   {4 * time.Second, "", nil, false, false},
+		"idle for long, request may run twice":       {4 * time.Second, "", nil, true, true},
+		"idle beyond the default timeout":            {time.Minute, "", nil, true, false},
+		"well within the announced timeout":          {time.Second, "timeout=2", nil, true, true},
+		"within the margin of the announced timeout": {1600 * time.Millisecond, "timeout=2, max=9", nil, true, false},
+		"invalid announcement":                       {4 * time.Second, "timeout=soon", nil, true, true},
+		"unexpected bytes":                           {0, "", func(o net.Conn) { _, _ = o.Write([]byte("HTTP/1.1 200 OK\r\n")) }, true, false},
+		"closed by the endpoint":                     {0, "", func(o net.Conn) { _ = o.Close() }, true, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			near, err := net.Dial("tcp", l.Addr().String())
+			client, err := net.Dial("tcp", l.Addr().String())
 			assert.NilError(t, err)
-			defer func() { _ = near.Close() }()
-			far, err := l.Accept()
+			defer func() { _ = client.Close() }()
+			accepted, err := l.Accept()
 			assert.NilError(t, err)
-			defer func() { _ = far.Close() }()
-			k := &conn{Conn: near, idleFor: idleFor, rested: now.Add(-c.rested)}
-			k.learnIdle(c.announced)
-			if c.does != nil {
-				c.does(far)
-				time.Sleep(50 * time.Millisecond) // until it has arrived
+			defer func() { _ = accepted.Close() }()
+			k := &conn{Conn: client, idleTimeout: idleTimeout, lastUsed: now.Add(-c.lastUsed)}
+			k.readKeepAlive(c.announced)
+			if c.serverAction != nil {
+				c.serverAction(accepted)
+				time.Sleep(50 * time.Millisecond) // until the kernel has received it
 			}
 			assert.Equal(t, k.usable(c.repeats, now), c.want)
 		})
