--- a/connection/peer/client.go
+++ b/connection/peer/client.go
@@ -1,5 +1,7 @@
-// Package peer carries the messages between hosts over drpc: heartbeats,
-// digests, changes and forwarded requests.
+// Package peer has the client and the server of the calls between hosts, over drpc: gossip
+// heartbeats and digests, configuration changes, listings, quotas, rate limits,
+// quarantines and forwarded requests. It only carries messages; the packages behind the
+// server's interfaces decide what to answer. The server also serves the operators' calls.
 package peer
 
 import (
@@ -21,68 +23,72 @@
 )
 
 const (
-	// MaxMessage bounds a message between hosts, in bytes.
+	// MaxMessage is the maximum size in bytes of a message between hosts.
 	MaxMessage = 8 << 20
 
-	// ServerName is the name in the certificates of all hosts.
+	// ServerName is the name in the TLS certificates of all hosts.
 	ServerName = "vetchtrail"
 
-	dialTime = time.Second
-	callTime = 2 * time.Second
-	idleFor  = 30 * time.Second
-	idleEach = 16 // idle connections kept for a host
-	// onceIdle is how long a connection may have rested when it takes a request
-	// that may not run twice. One that is closed in order is noticed; a host that
-	// loses its power says nothing, and what is sent to it then is lost.
-	onceIdle   = 3 * time.Second
-	lateAnswer = 500 * time.Millisecond
-	// stallTime is how long a forwarded answer that has begun may pause.
-	stallTime = 30 * time.Second
+	dialTimeout    = time.Second
+	callTimeout    = 2 * time.Second
+	idleTimeout    = 30 * time.Second
+	maxIdlePerHost = 16 // connections
+	// unrepeatableMaxIdle is the idle time up to which a connection may carry a request that
+	// may not run twice. A connection that is closed in order is noticed; a host that loses
+	// power sends nothing, and a request sent to it then is lost.
+	unrepeatableMaxIdle = 3 * time.Second
+	// deadlineGrace is how long after its deadline a forwarded request without a response is
+	// cancelled.
+	deadlineGrace = 500 * time.Millisecond
+	// stallTimeout is the longest pause between two messages of a forwarded response that has
+	// begun.
+	stallTimeout = 30 * time.Second
 )
 
-// Translation maps the addresses of a network as hosts elsewhere write them to
-// those under which this host reaches them.
+// Translation maps the addresses that other hosts announce for a network to those by which
+// this host reaches it. It replaces the prefix From by To.
 type Translation struct {
 	From netip.Prefix
 	To   netip.Prefix
 }
 
-// Config is what a Client needs.
+// Config configures a Client.
 type Config struct {
 	Translate []Translation
-	TLS       *tls.Config // nil: plain
+	TLS       *tls.Config // nil: no TLS
 }
 
-// Client calls other hosts. It is a vetchtrail.Forwarder.
+// Client calls other hosts. It implements vetchtrail.Forwarder.
 type Client struct {
-	cfg    Config
-	dialer net.Dialer
-	pool   *drpcpool.Pool[netip.AddrPort, *drpcconn.Conn]
-	once   *drpcpool.Pool[netip.AddrPort, *drpcconn.Conn] // for requests that may not run twice
+	cfg              Config
+	dialer           net.Dialer
+	pool             *drpcpool.Pool[netip.AddrPort, *drpcconn.Conn]
+	unrepeatablePool *drpcpool.Pool[netip.AddrPort, *drpcconn.Conn] // for forwarded requests that may not run twice
 }
 
-// New returns a client without connections.
+// New returns a Client without connections.
 func New(c Config) *Client {
 	return &Client{
-		cfg:    c,
-		dialer: dial.Dialer(dialTime),
-		pool:   drpcpool.New[netip.AddrPort, *drpcconn.Conn](drpcpool.Options{Expiration: idleFor, KeyCapacity: idleEach}),
-		once:   drpcpool.New[netip.AddrPort, *drpcconn.Conn](drpcpool.Options{Expiration: onceIdle, KeyCapacity: idleEach}),
+		cfg:              c,
+		dialer:           dial.Dialer(dialTimeout),
+		pool:             drpcpool.New[netip.AddrPort, *drpcconn.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: maxIdlePerHost}),
+		unrepeatablePool: drpcpool.New[netip.AddrPort, *drpcconn.Conn](drpcpool.Options{Expiration: unrepeatableMaxIdle, KeyCapacity: maxIdlePerHost}),
 	}
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	_ = c.pool.Close()
-	_ = c.once.Close()
+	_ = c.unrepeatablePool.Close()
 }
 
-func options() drpcconn.Options {
+func connOptions() drpcconn.Options {
 	return drpcconn.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessage},
 	}}
 }
 
+// dial connects to a host, at its translated address and over TLS if it is configured.
 func (c *Client) dial(ctx context.Context, addr netip.AddrPort) (*drpcconn.Conn, error) {
 	to := c.translate(addr)
 	nc, err := c.dialer.DialContext(ctx, "tcp", to.String())
@@ -97,19 +103,21 @@
 		}
 		nc = tc
 	}
-	return drpcconn.NewWithOptions(nc, options()), nil
+	return drpcconn.NewWithOptions(nc, connOptions()), nil
 }
 
+// translate returns the address by which this host reaches addr.
 func (c *Client) translate(addr netip.AddrPort) netip.AddrPort {
 	for _, t := range c.cfg.Translate {
 		if t.From.Contains(addr.Addr()) {
-			return netip.AddrPortFrom(swapPrefix(addr.Addr(), t), addr.Port())
+			return netip.AddrPortFrom(replacePrefix(addr.Addr(), t), addr.Port())
 		}
 	}
 	return addr
 }
 
-func swapPrefix(a netip.Addr, t Translation) netip.Addr {
+// replacePrefix returns a with the leading bits of t.To.
+func replacePrefix(a netip.Addr, t Translation) netip.Addr {
 	from, to := a.As4(), t.To.Addr().As4()
 	for bit := range t.To.Bits() {
 		mask := byte(0x80) >> (bit % 8)
@@ -118,130 +126,141 @@
 	return netip.AddrFrom4(from)
 }
 
-func (c *Client) peers(ctx context.Context, addr netip.AddrPort) schema.DRPCPeersClient {
+// peersClient returns the client for all calls but Forward of requests that may not run
+// twice.
+func (c *Client) peersClient(ctx context.Context, addr netip.AddrPort) schema.DRPCPeersClient {
 	return schema.NewDRPCPeersClient(c.pool.Get(ctx, addr, c.dial))
 }
 
-// Exchange swaps heartbeats with a host.
+// Exchange sends a heartbeat to a host of this data centre and returns its own.
 func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.peers(ctx, addr).Exchange(ctx, h)
-	return reply, fault("exchange", addr, err)
+	reply, err := c.peersClient(ctx, addr).Exchange(ctx, h)
+	return reply, wrapError("exchange", addr, err)
 }
 
-// Swap swaps digests with a host of another data centre.
+// Swap sends the digests of data centres to a host of another data centre and returns its
+// own.
 func (c *Client) Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.peers(ctx, addr).Swap(ctx, d)
-	return reply, fault("swap", addr, err)
+	reply, err := c.peersClient(ctx, addr).Swap(ctx, d)
+	return reply, wrapError("swap", addr, err)
 }
 
-// Changes asks a host for the changes after a revision.
+// Changes requests the configuration changes after revision from.
 func (c *Client) Changes(ctx context.Context, addr netip.AddrPort, from uint64) (*schema.ChangesReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.peers(ctx, addr).Changes(ctx, &schema.ChangesRequest{From: from})
-	return reply, fault("changes", addr, err)
+	reply, err := c.peersClient(ctx, addr).Changes(ctx, &schema.ChangesRequest{From: from})
+	return reply, wrapError("changes", addr, err)
 }
 
-// List asks a host for the platform's lists, if it has newer ones.
+// List requests a host's listing, or the differences from the one that this host has.
 func (c *Client) List(ctx context.Context, addr netip.AddrPort, q *schema.ListRequest) (*schema.Listing, error) {
-	reply, err := c.peers(ctx, addr).List(ctx, q)
-	return reply, fault("list", addr, err)
+	reply, err := c.peersClient(ctx, addr).List(ctx, q)
+	return reply, wrapError("list", addr, err)
 }
 
-// Grant asks a host for a part of a workspace's quota.
+// Grant requests a lease of part of a workspace's quota from the owner of the quota.
 func (c *Client) Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
-	reply, err := c.peers(ctx, addr).Grant(ctx, m)
-	return reply, fault("grant", addr, err)
+	reply, err := c.peersClient(ctx, addr).Grant(ctx, m)
+	return reply, wrapError("grant", addr, err)
 }
 
-// Permit asks a host for a part of the rate that an endpoint names.
+// Permit requests reservations within an endpoint's rate limit from the owner of the
+// limit.
 func (c *Client) Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
-	reply, err := c.peers(ctx, addr).Permit(ctx, m)
-	return reply, fault("permit", addr, err)
+	reply, err := c.peersClient(ctx, addr).Permit(ctx, m)
+	return reply, wrapError("permit", addr, err)
 }
 
-// Claim swaps claims on quotas with a host of another region.
+// Claim exchanges the demand for the workspaces' quotas with a host of another region.
 func (c *Client) Claim(ctx context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error) {
-	reply, err := c.peers(ctx, addr).Claim(ctx, m)
-	return reply, fault("claim", addr, err)
+	reply, err := c.peersClient(ctx, addr).Claim(ctx, m)
+	return reply, wrapError("claim", addr, err)
 }
 
-// Ended tells a host that counts them of ends.
+// Ended reports to the crash aggregator which requests were in flight at endpoints that
+// crashed, and returns those that it suspects or quarantines.
 func (c *Client) Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
-	reply, err := c.peers(ctx, addr).Ended(ctx, m)
-	return reply, fault("ended", addr, err)
+	reply, err := c.peersClient(ctx, addr).Ended(ctx, m)
+	return reply, wrapError("ended", addr, err)
 }
 
-// Hold swaps what is held back with a host.
+// Hold exchanges quarantine entries with a host.
 func (c *Client) Hold(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error) {
-	reply, err := c.peers(ctx, addr).Hold(ctx, m)
-	return reply, fault("hold", addr, err)
+	reply, err := c.peersClient(ctx, addr).Hold(ctx, m)
+	return reply, wrapError("hold", addr, err)
 }
 
-func fault(step vetchtrail.Step, addr netip.AddrPort, err error) error {
+// wrapError adds the call and the host to an error.
+func wrapError(step vetchtrail.Step, addr netip.AddrPort, err error) error {
 	if err == nil {
 		return nil
 	}
 	return &vetchtrail.PeerError{Step: step, Peer: addr.String(), Err: err}
 }
 
-// Forward implements vetchtrail.Forwarder. It says "not run" only when the
-// message was not sent, or the host said so.
+// Forward implements vetchtrail.Forwarder. The outcome is NotRun only if the message was
+// not sent or the host reported NotRun.
 func (c *Client) Forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	o := c.forward(ctx, h, r, a)
 	if o.HostLost && ctx.Err() != nil {
-		// The caller left, which says nothing of the host and must not take it out of use.
+		// The caller disconnected. The host is not at fault and must not be taken out of use.
 		o.Reason, o.HostLost = vetchtrail.ReasonCallerGone, false
 	}
 	return o
 }
 
+// forward is Forward without the check whether the caller disconnected.
 func (c *Client) forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	late := time.AfterFunc(time.Until(r.Deadline)+lateAnswer, cancel)
-	defer late.Stop()
+	deadlineTimer := time.AfterFunc(time.Until(r.Deadline)+deadlineGrace, cancel)
+	defer deadlineTimer.Stop()
 	m := schema.FromRequest(r, time.Now())
 	m.Hops++
-	stream, err := c.forwards(ctx, h, r).Forward(ctx, m)
+	stream, err := c.forwardClient(ctx, h, r).Forward(ctx, m)
 	if err != nil {
-		return sendFault(h, err)
+		return sendFailure(h, err)
 	}
 	defer func() { _ = stream.Close() }()
-	return receive(stream, h, a, late)
+	return receiveResponse(stream, h, a, deadlineTimer)
 }
 
-// forwards returns the client that a request is passed on with.
-func (c *Client) forwards(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request) schema.DRPCPeersClient {
+// forwardClient returns the client that forwards a request. Requests that may not run
+// twice get a connection that was used shortly before, or a new one.
+func (c *Client) forwardClient(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request) schema.DRPCPeersClient {
 	if r.Repeats {
-		return c.peers(ctx, h.Peers)
+		return c.peersClient(ctx, h.Peers)
 	}
-	return schema.NewDRPCPeersClient(c.once.Get(ctx, h.Peers, c.dial))
+	return schema.NewDRPCPeersClient(c.unrepeatablePool.Get(ctx, h.Peers, c.dial))
 }
 
-func sendFault(h vetchtrail.Host, err error) vetchtrail.Outcome {
+// sendFailure is the outcome of a request whose forwarding failed before a response.
+func sendFailure(h vetchtrail.Host, err error) vetchtrail.Outcome {
 	var pe *vetchtrail.PeerError
 	if errors.As(err, &pe) && pe.Step == vetchtrail.StepConnect {
-		return lost(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, h, err)
+		return failedOutcome(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, h, err)
 	}
-	return lost(vetchtrail.Unknown, vetchtrail.StepForward, vetchtrail.ReasonLost, h, err)
+	return failedOutcome(vetchtrail.Unknown, vetchtrail.StepForward, vetchtrail.ReasonLost, h, err)
 }
 
-func receive(stream schema.DRPCPeers_ForwardClient, h vetchtrail.Host, a vetchtrail.Answer, late *time.Timer) vetchtrail.Outcome {
+// receiveResponse writes the forwarded response to a and returns the outcome. Each message
+// restarts the timer, which cancels the call when it fires.
+func receiveResponse(stream schema.DRPCPeers_ForwardClient, h vetchtrail.Host, a vetchtrail.Answer, deadlineTimer *time.Timer) vetchtrail.Outcome {
 	begun := false
-	cut := func(why vetchtrail.Reason, err error) vetchtrail.Outcome {
-		o := lost(vetchtrail.Unknown, vetchtrail.StepForward, why, h, err)
+	failed := func(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
+		o := failedOutcome(vetchtrail.Unknown, vetchtrail.StepForward, reason, h, err)
 		o.Begun = begun
 		return o
 	}
 	for {
 		m, err := stream.Recv()
 		if err != nil {
-			return cut(vetchtrail.ReasonLost, err)
+			return failed(vetchtrail.ReasonLost, err)
 		}
 		switch part := m.GetPart().(type) {
 		case *schema.ForwardReply_Begin:
@@ -255,17 +274,19 @@
 			return o
 		}
 		if err != nil {
-			return cut(vetchtrail.ReasonCallerGone, err)
+			return failed(vetchtrail.ReasonCallerGone, err)
 		}
-		late.Reset(stallTime)
+		deadlineTimer.Reset(stallTimeout)
 	}
 }
 
-func lost(kind vetchtrail.OutcomeKind, step vetchtrail.Step, why vetchtrail.Reason, h vetchtrail.Host, err error) vetchtrail.Outcome {
+// failedOutcome is the outcome of a request whose forwarding failed. It reports the host
+// as lost unless the caller is the reason.
+func failedOutcome(kind vetchtrail.OutcomeKind, step vetchtrail.Step, reason vetchtrail.Reason, h vetchtrail.Host, err error) vetchtrail.Outcome {
 	const badGateway, unavailable = 502, 503
 	o := vetchtrail.Outcome{
-		Kind: kind, Status: badGateway, Step: step, Peer: h.Name, Reason: why, Err: err,
-		HostLost: why == vetchtrail.ReasonLost || why == vetchtrail.ReasonUnreachable,
+		Kind: kind, Status: badGateway, Step: step, Peer: h.Name, Reason: reason, Err: err,
+		HostLost: reason == vetchtrail.ReasonLost || reason == vetchtrail.ReasonUnreachable,
 	}
 	if kind == vetchtrail.NotRun {
 		o.Status = unavailable
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"vetchtrail/standin/meter"
 )
 
-// fakeHost is the other side.
+// fakeHost implements the server's interfaces for a host that runs requests by a function.
 type fakeHost struct {
 	schema.DRPCOperatorsUnimplementedServer
 	run func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
@@ -33,6 +33,8 @@
 	return f.run(ctx, r, a)
 }
 
+// serve starts the server of a host and returns its address, and its listener to count
+// bytes.
 func serve(t testing.TB, f fakeHost) (netip.AddrPort, *meter.Listener) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,84 +48,87 @@
 	return netip.MustParseAddrPort(inner.Addr().String()), l
 }
 
-// parts is an answer that is kept.
-type parts struct {
+// bufferedAnswer is a vetchtrail.Answer that stores the response.
+type bufferedAnswer struct {
 	status int
 	body   []byte
 }
 
-func (p *parts) Begin(status int, _ []vetchtrail.HeaderField) error {
+func (p *bufferedAnswer) Begin(status int, _ []vetchtrail.HeaderField) error {
 	p.status = status
 	return nil
 }
 
-func (p *parts) Write(part []byte) error {
+func (p *bufferedAnswer) Write(part []byte) error {
 	p.body = append(p.body, part...)
 	return nil
 }
 
-// TestForward: what the forwarding host is told of each end of a forward.
-func TestForward(t *testing.T) {
+// TestForwardOutcomes checks the outcome of a forwarded request for each way in which it
+// can end. NotRun must only be reported if the request did not run, and a host must not be
+// reported as lost because the caller disconnected.
+func TestForwardOutcomes(t *testing.T) {
 	ok := vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 200}
 	cases := map[string]struct {
-		run    func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
-		dead   bool
-		leaves bool // the caller does, before an answer
-		lost   bool // the host is told to be
-		kind   vetchtrail.OutcomeKind
-		reason vetchtrail.Reason
-		body   string
+		run          func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+		unreachable  bool
+		callerLeaves bool // the caller disconnects before a response
+		hostLost     bool // the outcome must report it
+		kind         vetchtrail.OutcomeKind
+		reason       vetchtrail.Reason
+		body         string
 	}{
 		"answered": {run: func(_ context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 			_ = a.Begin(200, nil)
 			_ = a.Write([]byte(fmt.Sprint("hops ", r.Hops)))
 			return ok
 		}, kind: vetchtrail.Answered, body: "hops 1"},
-		"refused there": {run: func(context.Context, *vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
+		"refused by the host": {run: func(context.Context, *vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
 			return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Reason: vetchtrail.ReasonFull}
 		}, kind: vetchtrail.NotRun, reason: vetchtrail.ReasonFull},
-		"cut after it began": {run: func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+		"broken after it began": {run: func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 			_ = a.Begin(200, nil)
-			return vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonBroken, Err: errors.New("cut")}
+			return vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonBroken, Err: errors.New("connection broken")}
 		}, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonBroken},
 		"never answers": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.Answer) vetchtrail.Outcome {
 			<-ctx.Done()
 			return ok
-		}, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonLost, lost: true},
-		"its caller leaves": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.Answer) vetchtrail.Outcome {
+		}, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonLost, hostLost: true},
+		"caller disconnects": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.Answer) vetchtrail.Outcome {
 			<-ctx.Done()
 			return ok
-		}, leaves: true, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonCallerGone},
-		"not there": {dead: true, kind: vetchtrail.NotRun, reason: vetchtrail.ReasonUnreachable, lost: true},
+		}, callerLeaves: true, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonCallerGone},
+		"unreachable": {unreachable: true, kind: vetchtrail.NotRun, reason: vetchtrail.ReasonUnreachable, hostLost: true},
 	}
 	for name, c := range cases {
 		for _, repeats := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, repeats %t", name, repeats), func(t *testing.T) {
 				addr := netip.MustParseAddrPort("127.0.0.1:1")
-				if !c.dead {
+				if !c.unreachable {
 					addr, _ = serve(t, fakeHost{run: c.run})
 				}
 				client := New(Config{})
 				defer client.Close()
-				var got parts
+				var got bufferedAnswer
 				r := &vetchtrail.Request{ID: "r", Deadline: time.Now().Add(200 * time.Millisecond), Repeats: repeats}
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if c.leaves {
+				if c.callerLeaves {
 					time.AfterFunc(20*time.Millisecond, cancel)
 				}
 				o := client.Forward(ctx, vetchtrail.Host{Name: "h", Peers: addr}, r, &got)
 				assert.Equal(t, o.Kind, c.kind, o.Error())
 				assert.Equal(t, o.Reason, c.reason)
-				assert.Equal(t, o.HostLost, c.lost)
+				assert.Equal(t, o.HostLost, c.hostLost)
 				assert.Equal(t, string(got.body), c.body)
 			})
 		}
 	}
 }
 
-// TestGarbled: bytes that are no message end their connection and no more.
-func TestGarbled(t *testing.T) {
+// TestInvalidMessages checks that bytes which are no message, and a request that can't be
+// decoded, break only their own connection: the server goes on to serve others.
+func TestInvalidMessages(t *testing.T) {
 	addr, _ := serve(t, fakeHost{})
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff", "\x00"} {
 		c, err := net.Dial("tcp", addr.String())
@@ -144,11 +149,13 @@
 	assert.NilError(t, err)
 }
 
-func TestTranslate(t *testing.T) {
+// TestAddressTranslation checks that only addresses of the configured network are
+// translated.
+func TestAddressTranslation(t *testing.T) {
 	c := New(Config{Translate: []Translation{{From: netip.MustParsePrefix("127.2.1.0/24"), To: netip.MustParsePrefix("127.11.9.0/24")}}})
 	cases := map[string]struct{ from, to string }{
-		"within":  {"127.2.1.7:7070", "127.11.9.7:7070"},
-		"without": {"127.3.1.7:7070", "127.3.1.7:7070"},
+		"in the network":      {"127.2.1.7:7070", "127.11.9.7:7070"},
+		"outside the network": {"127.3.1.7:7070", "127.3.1.7:7070"},
 	}
 	for name, k := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -157,8 +164,8 @@
 	}
 }
 
-// BenchmarkExchange: one exchange over loopback beside its messages' own size;
-// the processor time is of both sides.
+// BenchmarkExchange measures one exchange of heartbeats over loopback. wire-overhead is
+// what it sends beyond the payload; the CPU time includes both hosts.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []int{0, 500, 2000} {
 		b.Run(fmt.Sprintf("payload=%d", size), func(b *testing.B) {
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -15,45 +15,45 @@
 	"vetchtrail/schema"
 )
 
-// Membership is what the server needs of the process's membership.
+// Membership answers gossip.
 type Membership interface {
 	Exchanged(h *schema.Heartbeat) *schema.Heartbeat
 	Swapped(d *schema.Digests) *schema.Digests
 }
 
-// Changes is what the server needs of the change log.
+// Changes returns configuration changes.
 type Changes interface {
 	Since(revision uint64) ([]vetchtrail.Change, *schema.Snapshot)
 }
 
-// Lister lends the platform's lists as they were last read.
+// Lister serves this host's latest listing to other hosts.
 type Lister interface {
 	Lend(q *schema.ListRequest) *schema.Listing
 }
 
-// Runner runs a forwarded request.
+// Runner runs forwarded requests.
 type Runner interface {
 	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
 }
 
-// Quotas keeps this region's parts of the workspaces' quotas.
+// Quotas answers for the quota shards that this host owns.
 type Quotas interface {
 	Granted(m *schema.GrantRequest) *schema.GrantReply
 	Claimed(m *schema.Claims) *schema.Claims
 }
 
-// RateLimits keeps parts of the rates that this region's endpoints name.
+// RateLimits answers for the rate limits that this host owns.
 type RateLimits interface {
 	Permitted(m *schema.PermitRequest) *schema.PermitReply
 }
 
-// Quarantines holds requests back.
+// Quarantines answers reports of crashes and exchanges of quarantine entries.
 type Quarantines interface {
 	HostEnded(m *schema.Ends) (*schema.Holds, error)
 	HostHolds(m *schema.Holds) (*schema.Holds, error)
 }
 
-// ServerConfig is what a Server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Membership Membership
 	Changes    Changes
@@ -65,13 +65,13 @@
 	Operators  schema.DRPCOperatorsServer
 }
 
-// Server answers peers and operators.
+// Server serves the calls of other hosts and of operators.
 type Server struct {
 	cfg ServerConfig
 	srv *drpcserver.Server
 }
 
-// NewServer returns a server of both services of the schema.
+// NewServer returns a Server. Serve starts it.
 func NewServer(c ServerConfig) (*Server, error) {
 	s := &Server{cfg: c}
 	mux := drpcmux.New()
@@ -87,7 +87,7 @@
 	return s, nil
 }
 
-// Serve answers on a listener until ctx ends.
+// Serve accepts connections from l until ctx is done.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error { return s.srv.Serve(ctx, l) }
 
 // Exchange implements schema.DRPCPeersServer.
@@ -150,7 +150,7 @@
 	return stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_End{End: schema.FromOutcome(o, time.Now())}})
 }
 
-// streamAnswer is a vetchtrail.Answer that goes back to the forwarding host.
+// streamAnswer is a vetchtrail.Answer that sends the response back to the forwarding host.
 type streamAnswer struct {
 	stream schema.DRPCPeers_ForwardStream
 }
@@ -167,7 +167,7 @@
 	return a.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Body{Body: part}})
 }
 
-// Since returns how long ago a message's age says that something was.
-func Since(now time.Time, ageMillis uint32) time.Time {
+// TimeFromAge returns the time of an event whose age a message states.
+func TimeFromAge(now time.Time, ageMillis uint32) time.Time {
 	return now.Add(-time.Duration(ageMillis) * time.Millisecond)
 }
