--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -1,5 +1,6 @@
-// Package dialect holds the header fields by which callers and endpoints of
-// the project's own deployments speak of routed requests.
+// Package dialect implements the project's own vetchtrail.Dialect: the header fields that
+// callers, hosts and endpoints use unless a deployment has a dialect of its own. It only
+// translates header fields and decides nothing.
 package dialect
 
 import (
@@ -15,68 +16,70 @@
 
 // Header fields.
 const (
-	HeaderID      = "X-Request-Id"
-	HeaderTimeout = "Request-Timeout" // seconds
-	// HeaderNotStarted marks a 503 by which an endpoint says that it refused a
-	// request before starting it. Status 429 says so by itself (RFC 6585).
+	HeaderRequestID = "X-Request-Id"
+	HeaderTimeout   = "Request-Timeout" // seconds
+	// HeaderNotStarted marks a 503 by which an endpoint refused a request before starting it.
+	// Status 429 says so by itself (RFC 6585).
 	HeaderNotStarted = "X-Not-Started"
 	headerLastEvent  = "Last-Event-Id"
-	// HeaderRate is the requests a second that an endpoint takes from all hosts together, for as
-	// long as its answers say so.
+	// HeaderRate is an endpoint's rate limit in requests a second, for all hosts together. It
+	// holds as long as the endpoint's responses have the field.
 	HeaderRate = "X-Rate-Limit"
-	// HeaderLeaving is 1 in the answers of an endpoint that ends soon and wants nothing new.
+	// HeaderLeaving is 1 in the responses of an endpoint that will stop soon and accepts no
+	// new requests.
 	HeaderLeaving = "X-Leaving"
-	// headerRetryAfter is, in a 503, the seconds for which an endpoint wants nothing from the host.
+	// headerRetryAfter is, in a 503, the number of seconds for which an endpoint wants no
+	// requests from the host.
 	headerRetryAfter = "Retry-After"
-	// HeaderWorkspace names the workspace to endpoints. Callers may name one that has no
-	// keys, outside of routes.
+	// HeaderWorkspace names the request's workspace to the endpoint. Callers may set it in
+	// unrouted requests, to name a workspace that needs no key.
 	HeaderWorkspace = "X-Workspace"
-	// HeaderAuthorization holds a caller's key.
+	// HeaderAuthorization has the caller's key as a bearer token.
 	HeaderAuthorization = "Authorization"
 	keyScheme           = "Bearer"
 )
 
 const (
-	statusTooMany     = 429
-	statusUnavailable = 503
-	maxID             = 128 // bytes
-	// longestRequest bounds the time that a caller may ask for.
-	longestRequest = 10 * time.Minute
+	statusTooManyRequests    = 429
+	statusServiceUnavailable = 503
+	maxRequestIDBytes        = 128
+	// maxTimeout is the longest timeout that a caller may set.
+	maxTimeout = 10 * time.Minute
 )
 
 // Plain is the project's own vetchtrail.Dialect.
 type Plain struct{}
 
-// Parse implements vetchtrail.Dialect. A request without an id is given one.
+// Parse implements vetchtrail.Dialect. It makes an id for a request that has none.
 func (Plain) Parse(get vetchtrail.Fields, r *vetchtrail.Request, now time.Time) error {
-	r.ID = get(HeaderID)
+	r.ID = get(HeaderRequestID)
 	if r.ID == "" {
 		r.ID = uuid.NewString()
 	}
-	if len(r.ID) > maxID {
-		return fmt.Errorf("%s is over %d bytes", HeaderID, maxID)
+	if len(r.ID) > maxRequestIDBytes {
+		return fmt.Errorf("%s is over %d bytes", HeaderRequestID, maxRequestIDBytes)
 	}
 	r.LastEvent = get(headerLastEvent)
-	within, err := ParseTimeout(get(HeaderTimeout))
-	if err == nil && within > 0 {
-		r.Deadline = now.Add(within)
+	timeout, err := ParseTimeout(get(HeaderTimeout))
+	if err == nil && timeout > 0 {
+		r.Deadline = now.Add(timeout)
 	}
 	return err
 }
 
-// ParseTimeout reads a caller's timeout; 0: it sets none.
+// ParseTimeout parses a caller's timeout in seconds. It returns 0 if text is empty.
 func ParseTimeout(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(n > 0) || n > longestRequest.Seconds() {
-		return 0, fmt.Errorf("%s is %q: it must be seconds above 0 and at most %g", HeaderTimeout, text, longestRequest.Seconds())
+	if err != nil || !(n > 0) || n > maxTimeout.Seconds() {
+		return 0, fmt.Errorf("%s is %q: it must be seconds above 0 and at most %g", HeaderTimeout, text, maxTimeout.Seconds())
 	}
 	return time.Duration(n * float64(time.Second)), nil
 }
 
-// Key implements vetchtrail.Dialect: the token of RFC 6750.
+// Key implements vetchtrail.Dialect. The key is a bearer token (RFC 6750).
 func (Plain) Key(get vetchtrail.Fields) (string, error) {
 	text := get(HeaderAuthorization)
 	scheme, key, _ := strings.Cut(text, " ")
@@ -91,12 +94,12 @@
 
 // Own implements vetchtrail.Dialect.
 func (Plain) Own(name string) bool {
-	return name == HeaderID || name == headerLastEvent || name == HeaderWorkspace
+	return name == HeaderRequestID || name == headerLastEvent || name == HeaderWorkspace
 }
 
 // Tell implements vetchtrail.Dialect.
 func (Plain) Tell(set func(name, value string), _ vetchtrail.Endpoint, r *vetchtrail.Request, _ time.Time) {
-	set(HeaderID, r.ID)
+	set(HeaderRequestID, r.ID)
 	if r.Workspace != "" {
 		set(HeaderWorkspace, r.Workspace)
 	}
@@ -109,23 +112,23 @@
 func (Plain) Read(status int, get vetchtrail.Fields, _ *vetchtrail.Request) vetchtrail.Reading {
 	out := vetchtrail.Reading{
 		Cold: -1, Rate: vetchtrail.ReadRate(get(HeaderRate)),
-		Notice: vetchtrail.ReadNotice(get(HeaderLeaving), get(headerRetryAfter), status == statusUnavailable),
+		Notice: vetchtrail.ReadNotice(get(HeaderLeaving), get(headerRetryAfter), status == statusServiceUnavailable),
 	}
-	if status == statusTooMany || (status == statusUnavailable && get(HeaderNotStarted) != "") {
+	if status == statusTooManyRequests || (status == statusServiceUnavailable && get(HeaderNotStarted) != "") {
 		out.Kind = vetchtrail.ReadingRefused
 	}
 	return out
 }
 
-// told are the fields of answers that are read here or elsewhere, or say nothing of the endpoint. Its keys are as
-// fasthttp writes names.
-var told = map[string]bool{
-	HeaderID: true, HeaderNotStarted: true, HeaderRate: true, HeaderLeaving: true, headerRetryAfter: true, "Content-Type": true, "Cache-Control": true,
+// knownFields has the response header fields that some code reads, or that say nothing of
+// the endpoint. Names are spelled as fasthttp normalizes them.
+var knownFields = map[string]bool{
+	HeaderRequestID: true, HeaderNotStarted: true, HeaderRate: true, HeaderLeaving: true, headerRetryAfter: true, "Content-Type": true, "Cache-Control": true,
 	"Content-Encoding": true,
 }
 
 // Knows implements vetchtrail.Dialect.
-func (Plain) Knows(name string) bool { return told[name] }
+func (Plain) Knows(name string) bool { return knownFields[name] }
 
 // Sign implements vetchtrail.Dialect.
-func (Plain) Sign(set func(name, value string), r *vetchtrail.Request) { set(HeaderID, r.ID) }
+func (Plain) Sign(set func(name, value string), r *vetchtrail.Request) { set(HeaderRequestID, r.ID) }
