--- a/connection/operator/operator.go
+++ b/connection/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator is the operators' side of the schema's calls, as the
+// Package operator is the client of the operators' calls that each daemon serves. The
 // command-line tool and the demo use it.
 package operator
 
@@ -20,23 +20,23 @@
 	"vetchtrail/version/rules"
 )
 
-const dialTime = 3 * time.Second
+const dialTimeout = 3 * time.Second
 
-// Client is a connection to one daemon.
+// Client is a connection to one daemon. It has a method for each call.
 type Client struct {
 	schema.DRPCOperatorsClient
 	conn *drpcconn.Conn
 }
 
-// Config says which daemon, and with which keys.
+// Config says which daemon to connect to, and by which TLS configuration.
 type Config struct {
 	Addr netip.AddrPort
-	TLS  *tls.Config // nil: plain
+	TLS  *tls.Config // nil: no TLS
 }
 
 // Dial connects to a daemon.
 func Dial(ctx context.Context, c Config) (*Client, error) {
-	d := net.Dialer{Timeout: dialTime}
+	d := net.Dialer{Timeout: dialTimeout}
 	nc, err := d.DialContext(ctx, "tcp", c.Addr.String())
 	if err != nil {
 		return nil, &vetchtrail.PeerError{Step: vetchtrail.StepConnect, Peer: c.Addr.String(), Err: err}
@@ -50,10 +50,10 @@
 	return &Client{DRPCOperatorsClient: schema.NewDRPCOperatorsClient(conn), conn: conn}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Rules returns the configuration that the daemon holds.
+// Rules returns the configuration in force at the daemon.
 func (c *Client) Rules(ctx context.Context) (*rules.Rules, error) {
 	reply, err := c.Configuration(ctx, &schema.ConfigurationRequest{})
 	if err != nil {
@@ -66,7 +66,8 @@
 	return rules.Restore(edits, reply.GetSnapshot().GetRevision())
 }
 
-// NewChange returns a change with an id of its own.
+// NewChange returns a change with a new id. expect is the revision that it was written
+// against; 0 means any.
 func NewChange(author, reason string, expect uint64, edits []vetchtrail.Edit) vetchtrail.Change {
 	return vetchtrail.Change{
 		ID: uuid.NewString(), Author: author, Reason: reason, At: time.Now(), Expect: expect, Edits: edits,
