--- a/connection/probe/probe.go
+++ b/connection/probe/probe.go
@@ -1,4 +1,4 @@
-// Package probe looks at a connection without reading from it.
+// Package probe checks the state of a connection without reading from it.
 package probe
 
 import (
@@ -8,9 +8,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Closed reports whether the other side has closed a connection, as far as
-// this side was told. It consumes nothing. A side that only shut down its
-// sending half counts as closed.
+// Closed reports whether the other side has closed the connection, as far as the kernel
+// knows. A connection whose other side shut down only its sending half also counts as
+// closed.
 func Closed(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -22,13 +22,13 @@
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) {
-		closed = ended(int(fd))
+		closed = isClosed(int(fd))
 	})
 	return err != nil || closed
 }
 
-// Idle reports whether a connection is open with nothing waiting to be read:
-// bytes that nobody asked for make a pooled connection unusable.
+// Idle reports whether a connection is open and has no bytes to read. Unexpected bytes
+// make a pooled connection unusable: they would be taken for the next response.
 func Idle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -46,7 +46,8 @@
 	return err == nil && idle
 }
 
-func ended(fd int) bool {
+// isClosed reports whether a read would return the end of the connection or an error.
+func isClosed(fd int) bool {
 	n, err := peek(fd)
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
 		return false
@@ -54,8 +55,9 @@
 	return err != nil || n == 0
 }
 
+// peek reads one byte without consuming it and without waiting.
 func peek(fd int) (int, error) {
-	var one [1]byte
-	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var buf [1]byte
+	n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
