--- a/connection/store/store.go
+++ b/connection/store/store.go
@@ -1,6 +1,6 @@
-// Package store speaks to the platform's key-value service by the published
-// HTTP interface of Consul's KV store: compare-and-swap by modify index and
-// blocking queries as watches.
+// Package store is a client of the platform's key-value store over the HTTP interface of
+// Consul's KV store: compare-and-swap by modify index, and blocking queries to watch a
+// key. It knows nothing of what is stored.
 package store
 
 import (
@@ -19,36 +19,36 @@
 )
 
 const (
-	keyPrefix     = "/v1/kv/"
-	maxAnswer     = 2 << 20 // bytes; a value is at most 1 MB, in base64
-	callTime      = 2 * time.Second
-	waitGrace     = 2 * time.Second // beyond a wait, for the answer to arrive
-	statusOK      = fasthttp.StatusOK
-	statusAbsent  = fasthttp.StatusNotFound
-	statusLimited = fasthttp.StatusTooManyRequests
+	kvPath                = "/v1/kv/"
+	maxResponseBytes      = 2 << 20 // a value is at most 1 MB, and base64 adds a third
+	callTimeout           = 2 * time.Second
+	waitMargin            = 2 * time.Second // for the response to a wait to arrive after its deadline
+	statusOK              = fasthttp.StatusOK
+	statusNotFound        = fasthttp.StatusNotFound
+	statusTooManyRequests = fasthttp.StatusTooManyRequests
 )
 
-// Client is a vetchtrail.Store over HTTP. Its errors are *vetchtrail.PeerError.
+// Client is a vetchtrail.Store over HTTP. All its errors are *vetchtrail.PeerError.
 type Client struct {
 	addr netip.AddrPort
 	http *fasthttp.Client
 }
 
-// Config says where the service is.
+// Config configures a Client.
 type Config struct {
 	Addr netip.AddrPort
 }
 
-// New returns a client. It connects when first used.
+// New returns a Client. It connects on the first call.
 func New(c Config) *Client {
 	return &Client{addr: c.Addr, http: &fasthttp.Client{
-		MaxResponseBodySize:       maxAnswer,
-		MaxIdemponentCallAttempts: 1, // a retry may hide that a write took effect
+		MaxResponseBodySize:       maxResponseBytes,
+		MaxIdemponentCallAttempts: 1, // a retry could hide that the first write took effect
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}}
 }
 
-// kvPair is an entry as the service writes it.
+// kvPair is an entry in a response of the store.
 type kvPair struct {
 	Key         string
 	Value       []byte
@@ -57,31 +57,33 @@
 
 // Get implements vetchtrail.Store.
 func (c *Client) Get(ctx context.Context, key string) (vetchtrail.Entry, error) {
-	return c.read(ctx, key, "", time.Now().Add(callTime))
+	return c.read(ctx, key, "", time.Now().Add(callTimeout))
 }
 
 // Wait implements vetchtrail.Store.
 func (c *Client) Wait(ctx context.Context, key string, index uint64, deadline time.Time) (vetchtrail.Entry, error) {
 	left := max(time.Until(deadline), time.Millisecond)
 	query := fmt.Sprintf("index=%d&wait=%dms", index, left.Milliseconds())
-	return c.read(ctx, key, query, deadline.Add(waitGrace))
+	return c.read(ctx, key, query, deadline.Add(waitMargin))
 }
 
+// read returns the entry of a key. If the key does not exist, the error wraps ErrNotFound
+// and the entry has the index to wait from.
 func (c *Client) read(ctx context.Context, key, query string, deadline time.Time) (vetchtrail.Entry, error) {
 	var pairs []kvPair
 	var index uint64
 	err := c.call(ctx, fasthttp.MethodGet, key, query, nil, deadline, func(resp *fasthttp.Response) error {
 		index, _ = strconv.ParseUint(string(resp.Header.Peek("X-Consul-Index")), 10, 64)
-		if resp.StatusCode() == statusAbsent {
+		if resp.StatusCode() == statusNotFound {
 			return vetchtrail.ErrNotFound
 		}
 		return json.Unmarshal(resp.Body(), &pairs)
 	})
 	if err != nil {
-		return vetchtrail.Entry{Key: key, Index: index}, c.fault("read "+key, err)
+		return vetchtrail.Entry{Key: key, Index: index}, c.wrapError("read "+key, err)
 	}
 	if len(pairs) != 1 {
-		return vetchtrail.Entry{}, c.fault("read "+key, errors.Errorf("%d entries instead of one", len(pairs)))
+		return vetchtrail.Entry{}, c.wrapError("read "+key, errors.Errorf("got %d entries instead of 1", len(pairs)))
 	}
 	return vetchtrail.Entry{Key: key, Value: pairs[0].Value, Index: pairs[0].ModifyIndex}, nil
 }
@@ -89,27 +91,28 @@
 // CompareAndSwap implements vetchtrail.Store.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) error {
 	query := "cas=" + strconv.FormatUint(index, 10)
-	err := c.call(ctx, fasthttp.MethodPut, key, query, value, time.Now().Add(callTime), func(resp *fasthttp.Response) error {
+	err := c.call(ctx, fasthttp.MethodPut, key, query, value, time.Now().Add(callTimeout), func(resp *fasthttp.Response) error {
 		if string(resp.Body()) != "true" {
 			return vetchtrail.ErrConflict
 		}
 		return nil
 	})
-	return c.fault("write "+key, err)
+	return c.wrapError("write "+key, err)
 }
 
 // Delete implements vetchtrail.Store.
 func (c *Client) Delete(ctx context.Context, key string) error {
-	err := c.call(ctx, fasthttp.MethodDelete, key, "", nil, time.Now().Add(callTime), func(*fasthttp.Response) error { return nil })
-	return c.fault("delete "+key, err)
+	err := c.call(ctx, fasthttp.MethodDelete, key, "", nil, time.Now().Add(callTimeout), func(*fasthttp.Response) error { return nil })
+	return c.wrapError("delete "+key, err)
 }
 
-func (c *Client) call(ctx context.Context, method, key, query string, body []byte, deadline time.Time, take func(*fasthttp.Response) error) error {
+// call sends one request and passes the response to handle if its status is 200 or 404.
+func (c *Client) call(ctx context.Context, method, key, query string, body []byte, deadline time.Time, handle func(*fasthttp.Response) error) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	u := url.URL{Scheme: "http", Host: c.addr.String(), Path: keyPrefix + key, RawQuery: query}
+	u := url.URL{Scheme: "http", Host: c.addr.String(), Path: kvPath + key, RawQuery: query}
 	req.SetRequestURI(u.String())
 	req.Header.SetMethod(method)
 	req.SetBody(body)
@@ -123,15 +126,16 @@
 		return err
 	}
 	switch resp.StatusCode() {
-	case statusOK, statusAbsent:
-		return take(resp)
-	case statusLimited:
+	case statusOK, statusNotFound:
+		return handle(resp)
+	case statusTooManyRequests:
 		return vetchtrail.ErrLimited
 	}
 	return errors.Errorf("status %d: %.200s", resp.StatusCode(), resp.Body())
 }
 
-func (c *Client) fault(step string, err error) error {
+// wrapError adds the operation and the store's address to an error.
+func (c *Client) wrapError(step string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/connection/store/store_test.go
+++ b/connection/store/store_test.go
@@ -15,6 +15,7 @@
 	"vetchtrail/standin/kv"
 )
 
+// serve starts a stand-in of the store and returns a client of it.
 func serve(t testing.TB) (*Client, *kv.Server) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,17 +27,19 @@
 	return New(Config{Addr: netip.MustParseAddrPort(l.Addr().String())}), s
 }
 
-// TestFaults: what the client says of each thing that goes wrong.
-func TestFaults(t *testing.T) {
+// TestStoreFaults checks the error of a write for each fault of the store. A write whose
+// response is lost may have taken effect: it must fail, but never with ErrConflict, which
+// says that it did not.
+func TestStoreFaults(t *testing.T) {
 	ctx := context.Background()
 	cases := map[string]struct {
 		faults  kv.Faults
-		err     error // nil: any other
+		err     error // nil: any but ErrConflict
 		written bool
 	}{
-		"lost answer": {kv.Faults{LoseAnswers: 1}, nil, true},
-		"outage":      {kv.Faults{Outage: true}, nil, false},
-		"rate limit":  {kv.Faults{Writes: -1}, vetchtrail.ErrLimited, false},
+		"lost response": {kv.Faults{LoseAnswers: 1}, nil, true},
+		"outage":        {kv.Faults{Outage: true}, nil, false},
+		"rate limit":    {kv.Faults{Writes: -1}, vetchtrail.ErrLimited, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -55,18 +58,19 @@
 	}
 }
 
-// TestCompareAndSwap: one writer wins, and a watch wakes.
+// TestCompareAndSwap checks that of two writes from the same index only one succeeds, and
+// that a write ends a wait for the key.
 func TestCompareAndSwap(t *testing.T) {
 	ctx := context.Background()
 	client, _ := serve(t)
-	woken := make(chan vetchtrail.Entry, 1)
+	watched := make(chan vetchtrail.Entry, 1)
 	go func() {
 		e, _ := client.Wait(ctx, "k", 1, time.Now().Add(30*time.Second))
-		woken <- e
+		watched <- e
 	}()
 	assert.NilError(t, client.CompareAndSwap(ctx, "k", []byte("one"), 0))
 	assert.Assert(t, errors.Is(client.CompareAndSwap(ctx, "k", []byte("two"), 0), vetchtrail.ErrConflict))
-	assert.Equal(t, string((<-woken).Value), "one")
+	assert.Equal(t, string((<-watched).Value), "one")
 	e, err := client.Get(ctx, "k")
 	assert.NilError(t, err)
 	assert.NilError(t, client.CompareAndSwap(ctx, "k", []byte("three"), e.Index))
@@ -75,18 +79,19 @@
 	assert.NilError(t, client.Delete(ctx, "k"))
 }
 
-// claimSize is a claim of one request in a batch: its key and who runs it.
-const claimSize = 64
+// claimBytes is the size of one claim in a batch: a request's key and the host that runs
+// it.
+const claimBytes = 64
 
-// BenchmarkClaim: what claiming requests in the store would take, one write for
-// so many claims. The stand-in answers at once; the platform's service takes
-// milliseconds more.
+// BenchmarkClaim measures what it would cost to claim requests in the store, with one
+// write for a batch of claims. The stand-in responds at once; the platform's store takes
+// some milliseconds more.
 func BenchmarkClaim(b *testing.B) {
 	for _, batch := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
 			ctx := context.Background()
 			client, server := serve(b)
-			value := make([]byte, batch*claimSize)
+			value := make([]byte, batch*claimBytes)
 			n := 0
 			for b.Loop() {
 				assert.NilError(b, client.CompareAndSwap(ctx, fmt.Sprint(n), value, 0))
