--- a/connection/dial/dial.go
+++ b/connection/dial/dial.go
@@ -1,4 +1,5 @@
-// Package dial makes connections that notice when their other side falls silent.
+// Package dial makes TCP connections that fail within seconds when the other side falls
+// silent.
 package dial
 
 import (
@@ -10,34 +11,36 @@
 )
 
 const (
-	// Probes that find a connection to a host that has gone silent, within three
-	// seconds: an answer that has not begun then is late, and one that pauses so long is
-	// given up on by its caller.
-	keepIdle     = time.Second
-	keepInterval = time.Second
-	keepCount    = 2
-	// unheardAfter is how long what was sent may stay without an acknowledgement. Probes
-	// are not sent while something is. Some ten resends on a lossy link fit into it.
-	unheardAfter = 3 * time.Second
+	// Keep-alive settings by which a connection that waits for a silent host fails within
+	// three seconds. A response that has not begun by then is late, and a caller gives up on
+	// one that pauses for so long.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// unackedTimeout is how long sent bytes may stay unacknowledged. Keep-alive probes are not
+	// sent while there are such bytes. On a lossy link some ten retransmissions fit into it.
+	unackedTimeout = 3 * time.Second
 )
 
-// Dialer returns a dialer with a time in which a connection has to come up.
-func Dialer(within time.Duration) net.Dialer {
+// Dialer returns a dialer of connections that fail when the other side falls silent.
+// timeout bounds the time to connect.
+func Dialer(timeout time.Duration) net.Dialer {
 	return net.Dialer{
-		Timeout:         within,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepInterval, Count: keepCount},
-		Control:         boundUnheard,
+		Timeout:         timeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
+		Control:         setUserTimeout,
 	}
 }
 
-// boundUnheard ends a connection whose other side acknowledges nothing (RFC 5482).
-func boundUnheard(_, _ string, c syscall.RawConn) error {
-	var failed error
+// setUserTimeout closes a connection whose sent bytes stay unacknowledged for
+// unackedTimeout (RFC 5482).
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var setErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unheardAfter.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return setErr
 }
--- a/connection/dial/dial_test.go
+++ b/connection/dial/dial_test.go
@@ -9,9 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDialer: a connection has the options by which the kernel ends it when its other
-// side falls silent. That it does end is the kernel's part.
-func TestDialer(t *testing.T) {
+// TestDialerSocketOptions checks that a connection has the socket options by which the
+// kernel closes it when the other side falls silent. It does not test that the kernel does
+// so.
+func TestDialerSocketOptions(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
@@ -24,10 +25,10 @@
 	cases := map[string]struct {
 		option, want int
 	}{
-		"unheard":  {unix.TCP_USER_TIMEOUT, int(unheardAfter.Milliseconds())},
-		"idle":     {unix.TCP_KEEPIDLE, int(keepIdle.Seconds())},
-		"interval": {unix.TCP_KEEPINTVL, int(keepInterval.Seconds())},
-		"count":    {unix.TCP_KEEPCNT, keepCount},
+		"user timeout": {unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds())},
+		"idle":         {unix.TCP_KEEPIDLE, int(keepAliveIdle.Seconds())},
+		"interval":     {unix.TCP_KEEPINTVL, int(keepAliveInterval.Seconds())},
+		"count":        {unix.TCP_KEEPCNT, keepAliveCount},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
