--- a/connection/caller/pipe.go
+++ b/connection/caller/pipe.go
@@ -73,9 +73,9 @@
 }
 
 // Write implements vetchtrail.Answer.
-func (p *pipe) Write(part []byte) error {
+func (p *pipe) Write(chunk []byte) error {
 	select {
-	case p.chunks <- append([]byte(nil), part...):
+	case p.chunks <- append([]byte(nil), chunk...):
 		return nil
 	case <-p.ctx.Done():
 		return errCallerGone
@@ -85,11 +85,11 @@
 // Read implements io.Reader for the connection.
 func (p *pipe) Read(b []byte) (int, error) {
 	for len(p.unread) == 0 {
-		part, err := p.nextChunk()
+		chunk, err := p.nextChunk()
 		if err != nil {
 			return 0, err
 		}
-		p.unread = part
+		p.unread = chunk
 	}
 	n := copy(b, p.unread)
 	p.unread = p.unread[n:]
@@ -100,18 +100,18 @@
 // of a request that was not answered.
 func (p *pipe) nextChunk() ([]byte, error) {
 	select {
-	case part := <-p.chunks:
-		return part, nil
+	case chunk := <-p.chunks:
+		return chunk, nil
 	default:
 	}
 	select {
-	case part := <-p.chunks:
-		return part, nil
+	case chunk := <-p.chunks:
+		return chunk, nil
 	case <-p.ended:
 	}
 	select {
-	case part := <-p.chunks: // written before the request ended
-		return part, nil
+	case chunk := <-p.chunks: // written before the request ended
+		return chunk, nil
 	default:
 	}
 	if p.outcome.Kind != vetchtrail.Answered {
--- a/connection/caller/responses.go
+++ b/connection/caller/responses.go
@@ -14,8 +14,7 @@
 const (
 	// hostListTTL is how long a caller may use a list of hosts before it fetches it again.
 	hostListTTL = 10 * time.Second
-	// Weights in the list of hosts: callers are to use the hosts of this data centre, and
-	// those of others only when these fail.
+	// Weights in the list of hosts, of those in this data centre and of those elsewhere.
 	weightLocal       = 100
 	weightRemote      = 1
 	maxKeysPerRequest = 100
@@ -41,8 +40,8 @@
 	})
 }
 
-// writeProblem answers an unrouted request that has no response of its own with a problem
-// document.
+// writeProblem answers an unrouted request that got no response from an endpoint with a
+// problem document. Its Retry-After is in whole seconds.
 func (s *Server) writeProblem(c fiber.Ctx, o vetchtrail.Outcome) error {
 	if !o.RetryAt.IsZero() {
 		after := math.Ceil(time.Until(o.RetryAt).Seconds())
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -166,7 +166,8 @@
 	return s.sendBody(c, r, p)
 }
 
-// refuse answers a routed request that has no response of its own with a problem document.
+// refuse answers a routed request that got no response from an endpoint with a problem
+// document. Its Retry-After has fractions of a second.
 func (s *Server) refuse(c fiber.Ctx, r *vetchtrail.Request, o vetchtrail.Outcome) error {
 	if !o.RetryAt.IsZero() {
 		after := max(time.Until(o.RetryAt), minRetryAfter)
--- a/connection/caller/unrouted.go
+++ b/connection/caller/unrouted.go
@@ -15,9 +15,8 @@
 	"vetchtrail/connection/endpoint"
 )
 
-// Header fields of callers.
+// Header fields that callers set in unrouted requests.
 const (
-	// Request header fields of unrouted requests.
 	headerWorkspace      = dialect.HeaderWorkspace
 	headerIdempotencyKey = "Idempotency-Key"
 	headerLastEvent      = "Last-Event-Id"
@@ -29,7 +28,7 @@
 	maxWorkspaceBytes = 128
 )
 
-// completionRequest has the fields of a completion request's body that are read here.
+// completionRequest has the fields of a completion request's body that the server reads.
 type completionRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
