--- a/connection/endpoint/body.go
+++ b/connection/endpoint/body.go
@@ -9,9 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Lengths of a body as the library's header tells them.
+// Values of fasthttp's ResponseHeader.ContentLength for bodies of unknown length.
 const (
-	// Values of ResponseHeader.ContentLength for bodies of unknown length.
 	lengthChunked    = -1
 	lengthUntilClose = -2 // the body ends when the connection is closed
 )
@@ -21,7 +20,7 @@
 // order.
 type body struct {
 	reader    *bufio.Reader
-	unsized   io.Reader
+	unsized   io.Reader // reads a body of unknown length; nil if the length is known
 	length    int // Content-Length, lengthChunked or lengthUntilClose
 	remaining int // bytes of a body of known length that are not read yet
 }
--- a/connection/endpoint/deliver.go
+++ b/connection/endpoint/deliver.go
@@ -29,8 +29,8 @@
 	return t.deliverChunks()
 }
 
-// defersFailure reports whether the response is a failure that is not delivered yet, as
-// another attempt may succeed.
+// defersFailure reports whether the response is a failure that is held back, as another
+// attempt may succeed. Only failures of routed requests that may run twice are.
 func (t *attempt) defersFailure() bool {
 	return t.req.Route != "" && t.req.Repeats && t.resp.StatusCode() >= minFailureStatus
 }
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -169,9 +169,9 @@
 	}, t.reusable()
 }
 
-// silenceCheck returns the function that a read polls while it waits, to learn whether the
-// endpoint has fallen silent. It returns nil for requests that wait until their deadline:
-// those without a route and those that may not run twice.
+// silenceCheck returns the function that a waiting read polls to learn whether the
+// endpoint has fallen silent. Only routed requests that may run twice have one, as another
+// attempt can replace them. Others wait until their deadline.
 func (t *attempt) silenceCheck() func() bool {
 	if !t.req.Repeats || t.req.Route == "" || t.client.cfg.Observer == nil {
 		return nil
@@ -379,8 +379,8 @@
 	}
 }
 
-// unknown is the outcome of a request that was sent and has no complete response, so that
-// it may have run.
+// unknown is the outcome of a request that was sent and may have run, but has no response
+// that can be delivered.
 func (t *attempt) unknown(ctx context.Context, step vetchtrail.Step, reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	o := vetchtrail.Outcome{
 		Kind: vetchtrail.Unknown, Status: fasthttp.StatusBadGateway, Step: step, Peer: t.endpoint.Name,
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -50,7 +50,7 @@
 }
 
 // conn is a connection to an endpoint. It counts the bytes written for the current
-// request, so that the caller can be told truthfully that none was sent.
+// request, so that NotRun is reported only if none was sent.
 type conn struct {
 	net.Conn
 	reader      *bufio.Reader
@@ -124,7 +124,8 @@
 	idle   map[poolKey][]*conn
 }
 
-// get returns an idle connection that is still usable, or a new one.
+// get returns an idle connection that is still usable, or a new one. A request that may
+// not run twice (repeats is false) only gets one that was used shortly before.
 func (p *pool) get(ctx context.Context, key poolKey, repeats bool) (*conn, error) {
 	for {
 		c := p.pop(key)
