--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -14,7 +14,7 @@
 	"vetchtrail"
 )
 
-// Header fields.
+// Names of header fields.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderTimeout   = "Request-Timeout" // seconds
