--- a/connection/endpoint/body.go
+++ b/connection/endpoint/body.go
@@ -21,8 +21,8 @@
 type body struct {
 	reader    *bufio.Reader
 	unsized   io.Reader // reads a body of unknown length; nil if the length is known
-	length    int // Content-Length, lengthChunked or lengthUntilClose
-	remaining int // bytes of a body of known length that are not read yet
+	length    int       // Content-Length, lengthChunked or lengthUntilClose
+	remaining int       // bytes of a body of known length that are not read yet
 }
 
 func newBody(reader *bufio.Reader, h *fasthttp.ResponseHeader, method string) *body {
