--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -1,6 +1,11 @@
-// Package changelog keeps the configuration as a log of changes in the
-// platform's key-value service: revision N is the key made by compare-and-swap
-// at N. A host's revision only grows, whoever it hears from.
+// Package changelog replicates the configuration as a log of changes in the
+// platform's key-value service. The change that makes revision N is stored
+// under the key of N, written by compare-and-swap, so that each revision has
+// exactly one change. The configuration that a host holds only ever moves to a
+// newer revision, whether it learns of it from the store or from a peer.
+//
+// The package doesn't say what a valid configuration is (see package rules),
+// and doesn't send changes between hosts.
 package changelog
 
 import (
@@ -19,90 +24,101 @@
 	"vetchtrail/version/rules"
 )
 
-// Names in the store, and how it is used.
 const (
-	logPrefix     = "vetchtrail/log/"
-	snapshotKey   = "vetchtrail/snapshot"
-	partPrefix    = "vetchtrail/snapshot/"
-	partSize      = 900 << 10 // bytes; the store holds values to 1 MB
-	SnapshotEvery = 64        // revisions
-	keptChanges   = 512       // in memory, for peers and history
-	writeTries    = 8
-	retryPause    = 200 * time.Millisecond
-	WatchTime     = 20 * time.Second // of one waiting watch
-	settleTime    = 10 * time.Second // to learn what became of a lost write
+	logPrefix   = "vetchtrail/log/"      // followed by the revision: one change
+	snapshotKey = "vetchtrail/snapshot"  // the newest snapshot's revision and number of parts
+	partPrefix  = "vetchtrail/snapshot/" // followed by revision and part number
+
+	partBytes = 900 << 10 // the store accepts values of up to 1 MB
+
+	// SnapshotEvery is the number of revisions from one snapshot to the next.
+	SnapshotEvery = 64
+	// maxRecentChanges is how many changes a host holds in memory, for peers
+	// that lag behind and for the history that operators read.
+	maxRecentChanges = 512
+	// maxProposeAttempts is how many revisions Propose tries to write before it
+	// reports a conflict.
+	maxProposeAttempts = 8
+
+	defaultRetryInterval = 200 * time.Millisecond
+	// WatchTime is how long one call waits at the store for the next revision.
+	WatchTime = 20 * time.Second
+	// writeTimeout bounds the attempts to write one revision and to find out
+	// whether a write without an answer took effect.
+	writeTimeout = 10 * time.Second
 )
 
-// Log is a host's copy of the change log.
+// Log is a host's copy of the configuration and of its newest changes.
 type Log struct {
-	store vetchtrail.Store
-	log   *slog.Logger
-	pause time.Duration
-	held  atomic.Pointer[rules.Rules]
-	heard atomic.Int64 // when the store last answered, Unix nanoseconds
-
-	mu     sync.Mutex // guards what follows and each step of held
-	recent []vetchtrail.Change
-	grown  chan struct{} // closed when held grows
+	store         vetchtrail.Store
+	log           *slog.Logger
+	retryInterval time.Duration
+	current       atomic.Pointer[rules.Rules] // newest configuration held
+	lastAnswer    atomic.Int64                // when the store last answered, Unix nanoseconds; 0: never
+
+	mu      sync.Mutex          // guards the fields below and every update of current
+	recent  []vetchtrail.Change // newest changes, without gaps, up to the revision of current
+	updated chan struct{}       // closed and replaced when current changes
 }
 
-// Config is what a Log needs.
+// Config holds the dependencies and settings of a Log.
 type Config struct {
-	Store vetchtrail.Store
-	Log   *slog.Logger
-	Pause time.Duration // between tries of the store; 0: the usual
+	Store         vetchtrail.Store
+	Log           *slog.Logger
+	RetryInterval time.Duration // between two attempts at the store; 0: defaultRetryInterval
 }
 
-// New returns a log that holds nothing yet.
+// New returns a log at revision 0, with an empty configuration.
 func New(c Config) *Log {
-	l := &Log{store: c.Store, log: c.Log, pause: c.Pause, grown: make(chan struct{})}
-	if l.pause == 0 {
-		l.pause = retryPause
+	l := &Log{store: c.Store, log: c.Log, retryInterval: c.RetryInterval, updated: make(chan struct{})}
+	if l.retryInterval == 0 {
+		l.retryInterval = defaultRetryInterval
 	}
-	l.held.Store(rules.Empty())
+	l.current.Store(rules.Empty())
 	return l
 }
 
-// Rules returns the newest configuration held.
-func (l *Log) Rules() *rules.Rules { return l.held.Load() }
+// Rules returns the newest configuration that this host holds.
+func (l *Log) Rules() *rules.Rules { return l.current.Load() }
 
-// Revision returns the number of the newest configuration held.
+// Revision returns the revision of the newest configuration that this host holds.
 func (l *Log) Revision() uint64 { return l.Rules().Revision() }
 
-// StoreHeard returns when the store last answered; zero: never.
+// StoreHeard returns when the store last answered a read; zero: never.
 func (l *Log) StoreHeard() time.Time {
-	n := l.heard.Load()
+	n := l.lastAnswer.Load()
 	if n == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, n)
 }
 
-// Grown returns a channel that is closed when a newer revision is held.
+// Grown returns a channel that is closed when the host holds a newer revision.
 func (l *Log) Grown() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.grown
+	return l.updated
 }
 
-// Since returns the changes after a revision, or, when they are no longer all
-// held, a snapshot.
+// Since returns the changes after a revision. If the oldest of them are no
+// longer in memory, it returns a snapshot instead.
 func (l *Log) Since(revision uint64) ([]vetchtrail.Change, *schema.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.Revision()
-	if revision >= now {
+	newest := l.Revision()
+	if revision >= newest {
 		return nil, nil
 	}
-	first := now - uint64(len(l.recent)) + 1
+	first := newest - uint64(len(l.recent)) + 1
 	if revision+1 < first {
 		return nil, snapshotOf(l.Rules())
 	}
 	return append([]vetchtrail.Change(nil), l.recent[revision+1-first:]...), nil
 }
 
-// Recent returns the newest accepted changes held, oldest first.
-func (l *Log) Recent(from uint64, most int) []vetchtrail.Change {
+// Recent returns the changes in memory from a revision on, oldest first. If
+// there are more than limit, it returns the newest of them; 0 means no limit.
+func (l *Log) Recent(from uint64, limit int) []vetchtrail.Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []vetchtrail.Change
@@ -111,51 +127,56 @@
 			out = append(out, c)
 		}
 	}
-	if most > 0 && len(out) > most {
-		out = out[len(out)-most:]
+	if limit > 0 && len(out) > limit {
+		out = out[len(out)-limit:]
 	}
 	return out
 }
 
-// Learn takes accepted changes from a peer or the store. Those held already
-// are passed over; a gap ends it without an error.
+// Learn applies accepted changes from a peer or the store, in the order given.
+// It ignores a change whose revision isn't the next one: the host either holds
+// it already or lacks a change before it.
 func (l *Log) Learn(changes []vetchtrail.Change) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range changes {
-		if err := l.step(c); err != nil {
+		if err := l.applyIfNext(c); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// step takes one change if it is the next. The caller holds the lock.
-func (l *Log) step(c vetchtrail.Change) error {
-	held := l.Rules()
-	if c.Revision != held.Revision()+1 {
+// applyIfNext applies a change if it makes the next revision. The caller holds
+// the lock.
+func (l *Log) applyIfNext(c vetchtrail.Change) error {
+	current := l.Rules()
+	if c.Revision != current.Revision()+1 {
 		return nil
 	}
-	next, err := held.Apply(c)
+	next, err := current.Apply(c)
 	if err != nil {
 		return errors.Wrapf(err, "changelog.Learn: revision %d", c.Revision)
 	}
 	l.recent = append(l.recent, c)
-	if len(l.recent) > keptChanges {
-		l.recent = append([]vetchtrail.Change(nil), l.recent[len(l.recent)-keptChanges:]...)
+	if len(l.recent) > maxRecentChanges {
+		l.recent = append([]vetchtrail.Change(nil), l.recent[len(l.recent)-maxRecentChanges:]...)
 	}
-	l.grow(next)
+	l.update(next)
 	return nil
 }
 
-func (l *Log) grow(next *rules.Rules) {
-	l.held.Store(next)
-	close(l.grown)
-	l.grown = make(chan struct{})
+// update puts a newer configuration in force and wakes those who wait on
+// Grown. The caller holds the lock.
+func (l *Log) update(next *rules.Rules) {
+	l.current.Store(next)
+	close(l.updated)
+	l.updated = make(chan struct{})
 	l.log.Info("configuration in force", "revision", next.Revision())
 }
 
-// LearnSnapshot takes a snapshot if it is newer than what is held.
+// LearnSnapshot puts a snapshot in force if it is newer than the configuration
+// held. The changes in memory are dropped, since they end before the snapshot.
 func (l *Log) LearnSnapshot(s *schema.Snapshot) error {
 	if s == nil {
 		return nil
@@ -174,37 +195,40 @@
 		return nil
 	}
 	l.recent = nil
-	l.grow(next)
+	l.update(next)
 	return nil
 }
 
-// CatchUp reads the store to its newest revision.
+// CatchUp reads the store up to its newest revision: first the snapshot, then
+// the changes after it.
 func (l *Log) CatchUp(ctx context.Context) error {
 	if err := l.readSnapshot(ctx); err != nil {
 		return err
 	}
-	return l.readOn(ctx)
+	return l.readChanges(ctx)
 }
 
-// readOn reads the log from the next revision until there is none.
-func (l *Log) readOn(ctx context.Context) error {
+// readChanges reads and applies changes from the next revision on, until the
+// store has none.
+func (l *Log) readChanges(ctx context.Context) error {
 	for {
-		e, err := l.store.Get(ctx, keyOf(l.Revision()+1))
+		e, err := l.store.Get(ctx, logKey(l.Revision()+1))
 		if errors.Is(err, vetchtrail.ErrNotFound) {
-			l.heard.Store(time.Now().UnixNano())
+			l.lastAnswer.Store(time.Now().UnixNano())
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		l.heard.Store(time.Now().UnixNano())
-		if err := l.take(e.Value); err != nil {
+		l.lastAnswer.Store(time.Now().UnixNano())
+		if err := l.learnStored(e.Value); err != nil {
 			return err
 		}
 	}
 }
 
-func (l *Log) take(value []byte) error {
+// learnStored decodes a change as the store holds it and applies it.
+func (l *Log) learnStored(value []byte) error {
 	c, err := decode(value)
 	if err != nil {
 		return err
@@ -212,6 +236,8 @@
 	return l.Learn([]vetchtrail.Change{c})
 }
 
+// readSnapshot reads the newest snapshot from the store if it is newer than
+// the configuration held.
 func (l *Log) readSnapshot(ctx context.Context) error {
 	e, err := l.store.Get(ctx, snapshotKey)
 	if errors.Is(err, vetchtrail.ErrNotFound) {
@@ -227,66 +253,72 @@
 	if p.revision <= l.Revision() {
 		return nil
 	}
-	var whole []byte
+	var data []byte
 	for i := range p.parts {
 		part, err := l.store.Get(ctx, p.key(i))
 		if err != nil {
 			return err
 		}
-		whole = append(whole, part.Value...)
+		data = append(data, part.Value...)
 	}
 	var s schema.Snapshot
-	if err := proto.Unmarshal(whole, &s); err != nil {
+	if err := proto.Unmarshal(data, &s); err != nil {
 		return errors.Wrap(err, "changelog.readSnapshot")
 	}
 	return l.LearnSnapshot(&s)
 }
 
-// Watch follows the store until ctx ends, while on says that it is this host's
-// duty; a host that is not on duty asks again when its turn may have come.
-func (l *Log) Watch(ctx context.Context, on func() bool) {
+// Watch applies new revisions from the store until ctx ends. It calls the store
+// only while assigned reports that this host has the task of watching it, and
+// checks that again after each retry interval. A failed call is repeated after
+// the same interval.
+func (l *Log) Watch(ctx context.Context, assigned func() bool) {
 	for ctx.Err() == nil {
-		if !on() {
-			l.wait(ctx)
+		if !assigned() {
+			l.sleep(ctx)
 			continue
 		}
-		if err := l.follow(ctx); err != nil && ctx.Err() == nil {
-			l.log.Debug("store not read", "error", err)
-			l.wait(ctx)
+		if err := l.awaitNext(ctx); err != nil && ctx.Err() == nil {
+			l.log.Debug("reading the store failed", "error", err)
+			l.sleep(ctx)
 		}
 	}
 }
 
-// follow waits for the next revision once.
-func (l *Log) follow(ctx context.Context) error {
-	key := keyOf(l.Revision() + 1)
-	seen, err := l.store.Get(ctx, key)
+// awaitNext waits up to WatchTime for the next revision and applies it.
+func (l *Log) awaitNext(ctx context.Context) error {
+	key := logKey(l.Revision() + 1)
+	existing, err := l.store.Get(ctx, key)
 	if err == nil {
-		l.heard.Store(time.Now().UnixNano())
-		return l.take(seen.Value)
+		l.lastAnswer.Store(time.Now().UnixNano())
+		return l.learnStored(existing.Value)
 	}
 	if !errors.Is(err, vetchtrail.ErrNotFound) {
 		return err
 	}
-	l.heard.Store(time.Now().UnixNano())
-	e, err := l.store.Wait(ctx, key, max(seen.Index, 1), time.Now().Add(WatchTime))
+	l.lastAnswer.Store(time.Now().UnixNano())
+	e, err := l.store.Wait(ctx, key, max(existing.Index, 1), time.Now().Add(WatchTime))
 	if errors.Is(err, vetchtrail.ErrNotFound) {
-		l.heard.Store(time.Now().UnixNano())
-		return l.readSnapshot(ctx) // the log may have been cut below us
+		l.lastAnswer.Store(time.Now().UnixNano())
+		// The key never appears if other hosts have moved on so far that its
+		// change was deleted: then only a snapshot leads on.
+		return l.readSnapshot(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	l.heard.Store(time.Now().UnixNano())
-	return l.take(e.Value)
+	l.lastAnswer.Store(time.Now().UnixNano())
+	return l.learnStored(e.Value)
 }
 
-func keyOf(revision uint64) string { return fmt.Sprintf("%s%012d", logPrefix, revision) }
+// logKey returns the store's key for the change that makes a revision.
+func logKey(revision uint64) string { return fmt.Sprintf("%s%012d", logPrefix, revision) }
 
-func (l *Log) wait(ctx context.Context) {
+// sleep waits for the retry interval or until ctx ends.
+func (l *Log) sleep(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(l.pause):
+	case <-time.After(l.retryInterval):
 	}
 }
 
--- a/version/changelog/changelog_test.go
+++ b/version/changelog/changelog_test.go
@@ -17,19 +17,22 @@
 	_ "vetchtrail/standin/seeded"
 )
 
-// fakeStore is the key-value service with faults counted down.
+// fakeStore is an in-memory key-value service. Tests set how many of the next
+// calls fail.
 type fakeStore struct {
-	mu     sync.Mutex
-	keys   map[string]vetchtrail.Entry
-	index  uint64
-	lost   int // next writes that take effect without an answer
-	failed int // next calls that fail without effect
-	writes int
+	mu          sync.Mutex
+	entries     map[string]vetchtrail.Entry
+	index       uint64
+	lostAnswers int // how many of the next writes take effect but return an error
+	failures    int // how many of the next calls fail without effect
+	writes      int // calls of CompareAndSwap that did not fail without effect
 }
 
+// fails reports whether the current call is to fail without effect. The caller
+// holds the lock.
 func (s *fakeStore) fails() bool {
-	if s.failed > 0 {
-		s.failed--
+	if s.failures > 0 {
+		s.failures--
 		return true
 	}
 	return false
@@ -41,7 +44,7 @@
 	if s.fails() {
 		return vetchtrail.Entry{}, errors.New("outage")
 	}
-	e, ok := s.keys[key]
+	e, ok := s.entries[key]
 	if !ok {
 		return vetchtrail.Entry{}, vetchtrail.ErrNotFound
 	}
@@ -55,13 +58,13 @@
 		return errors.New("outage")
 	}
 	s.writes++
-	if s.keys[key].Index != index {
+	if s.entries[key].Index != index {
 		return vetchtrail.ErrConflict
 	}
 	s.index++
-	s.keys[key] = vetchtrail.Entry{Key: key, Value: value, Index: s.index}
-	if s.lost > 0 {
-		s.lost--
+	s.entries[key] = vetchtrail.Entry{Key: key, Value: value, Index: s.index}
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return errors.New("answer lost")
 	}
 	return nil
@@ -74,28 +77,31 @@
 func (s *fakeStore) Delete(_ context.Context, key string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.keys, key)
+	delete(s.entries, key)
 	return nil
 }
 
 func newLog(s vetchtrail.Store) *Log {
-	return New(Config{Store: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Pause: time.Microsecond})
+	return New(Config{Store: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), RetryInterval: time.Microsecond})
 }
 
+// change returns a change that adds a workspace called after its id.
 func change(id string, expect uint64) vetchtrail.Change {
 	return vetchtrail.Change{ID: id, Author: "a", Expect: expect, Edits: []vetchtrail.Edit{
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: id}},
 	}}
 }
 
-// TestLogAgrees: whatever the store loses, an accepted change stands once at
-// its revision, a refused one nowhere, and no host goes back.
-func TestLogAgrees(t *testing.T) {
+// TestLogConsistency checks that hosts never disagree on the log while the
+// store fails calls and loses the answers to writes: an accepted change is only
+// ever found at the revision that Propose returned, a conflicting one nowhere,
+// and no host returns to an older revision.
+func TestLogConsistency(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
-		store := &fakeStore{keys: map[string]vetchtrail.Entry{}}
+		store := &fakeStore{entries: map[string]vetchtrail.Entry{}}
 		hosts := []*Log{newLog(store), newLog(store), newLog(store)}
-		accepted, refused := map[string]uint64{}, map[string]bool{}
+		accepted, rejected := map[string]uint64{}, map[string]bool{}
 		n := 0
 		host := func() int { return rapid.IntRange(0, 2).Draw(rt, "host") }
 		rt.Repeat(map[string]func(*rapid.T){
@@ -107,26 +113,26 @@
 					expect = l.Revision()
 				}
 				c := change(fmt.Sprintf("c%d", n), expect)
-				at, err := l.Propose(ctx, c)
+				revision, err := l.Propose(ctx, c)
 				var conflict *vetchtrail.ConflictError
 				switch {
 				case err == nil:
-					accepted[c.ID] = at
+					accepted[c.ID] = revision
 				case errors.As(err, &conflict):
-					refused[c.ID] = true
+					rejected[c.ID] = true
 				}
 			},
-			"again": func(rt *rapid.T) { // the same change by its id, from another host
-				for id, at := range accepted {
+			"again": func(rt *rapid.T) { // repeats an accepted change, at any host
+				for id, revision := range accepted {
 					l := hosts[host()]
 					if got, err := l.Propose(ctx, change(id, 0)); err == nil {
-						assert.Equal(rt, got, at)
+						assert.Equal(rt, got, revision)
 					}
 					break
 				}
 			},
-			"lose":   func(rt *rapid.T) { store.lost = rapid.IntRange(1, 2).Draw(rt, "lost") },
-			"outage": func(rt *rapid.T) { store.failed = rapid.IntRange(1, 3).Draw(rt, "failed") },
+			"lose":   func(rt *rapid.T) { store.lostAnswers = rapid.IntRange(1, 2).Draw(rt, "lost") },
+			"outage": func(rt *rapid.T) { store.failures = rapid.IntRange(1, 3).Draw(rt, "failed") },
 			"learn": func(rt *rapid.T) {
 				from, to := hosts[host()], hosts[host()]
 				before := to.Revision()
@@ -139,56 +145,58 @@
 			"": func(rt *rapid.T) {
 				for i, l := range hosts {
 					for _, c := range l.Recent(0, 0) {
-						at, ok := accepted[c.ID]
-						assert.Assert(rt, !ok || at == c.Revision, "host %d: %s at %d instead of %d", i, c.ID, c.Revision, at)
-						assert.Assert(rt, !refused[c.ID], "refused %s stands", c.ID)
+						revision, ok := accepted[c.ID]
+						assert.Assert(rt, !ok || revision == c.Revision, "host %d: change %s is at revision %d instead of %d", i, c.ID, c.Revision, revision)
+						assert.Assert(rt, !rejected[c.ID], "change %s was rejected but is in the log", c.ID)
 					}
 				}
 			},
 		})
-		store.failed, store.lost = 0, 0
+		store.failures, store.lostAnswers = 0, 0
 		l := newLog(store)
 		assert.NilError(rt, l.CatchUp(ctx))
-		for id, at := range accepted {
-			got, ok := l.find(id)
-			assert.Assert(rt, !ok || got == at, "%s at %d instead of %d", id, got, at)
-			assert.Assert(rt, l.Revision() >= at)
+		for id, revision := range accepted {
+			got, ok := l.acceptedRevision(id)
+			assert.Assert(rt, !ok || got == revision, "change %s is at revision %d instead of %d", id, got, revision)
+			assert.Assert(rt, l.Revision() >= revision)
 		}
 	})
 }
 
-// TestSnapshot: a new host reads a snapshot and the changes after it, also
-// after the log was cut.
+// TestSnapshot checks that a new host gets the whole configuration although the
+// oldest changes were deleted: from the store's snapshot and the changes after
+// it, and from the snapshot that a peer serves.
 func TestSnapshot(t *testing.T) {
 	ctx := context.Background()
-	store := &fakeStore{keys: map[string]vetchtrail.Entry{}}
+	store := &fakeStore{entries: map[string]vetchtrail.Entry{}}
 	l := newLog(store)
 	const changes = 5*SnapshotEvery + 3
 	for n := range changes {
 		_, err := l.Propose(ctx, change(fmt.Sprint(n), 0))
 		assert.NilError(t, err)
 	}
-	_, err := store.Get(ctx, keyOf(1))
-	assert.Assert(t, errors.Is(err, vetchtrail.ErrNotFound), "the log was not cut")
-	fresh := newLog(store)
-	assert.NilError(t, fresh.CatchUp(ctx))
-	assert.Equal(t, fresh.Revision(), uint64(changes))
-	assert.Equal(t, len(fresh.Rules().Workspaces()), changes)
-	// A host far behind hears of it from a peer by a snapshot.
-	_, snapshot := fresh.Since(1)
+	_, err := store.Get(ctx, logKey(1))
+	assert.Assert(t, errors.Is(err, vetchtrail.ErrNotFound), "the oldest change was not deleted")
+	fromStore := newLog(store)
+	assert.NilError(t, fromStore.CatchUp(ctx))
+	assert.Equal(t, fromStore.Revision(), uint64(changes))
+	assert.Equal(t, len(fromStore.Rules().Workspaces()), changes)
+	// The peer has no changes before its snapshot, so it serves a snapshot to a
+	// host at revision 1.
+	_, snapshot := fromStore.Since(1)
 	assert.Assert(t, snapshot != nil)
-	late := newLog(store)
-	assert.NilError(t, late.LearnSnapshot(snapshot))
-	assert.Equal(t, late.Revision(), uint64(changes))
+	fromPeer := newLog(store)
+	assert.NilError(t, fromPeer.LearnSnapshot(snapshot))
+	assert.Equal(t, fromPeer.Revision(), uint64(changes))
 }
 
-// BenchmarkPropose: one change with its share of snapshots, by the number of
-// workspaces; the store's writes for each are reported.
+// BenchmarkPropose measures one change, with its share of the snapshots, for
+// several numbers of workspaces. It also reports the store's writes per change.
 func BenchmarkPropose(b *testing.B) {
 	for _, size := range []int{1000, 10000, 38000} {
 		b.Run(fmt.Sprintf("workspaces=%d", size), func(b *testing.B) {
 			ctx := context.Background()
-			store := &fakeStore{keys: map[string]vetchtrail.Entry{}}
+			store := &fakeStore{entries: map[string]vetchtrail.Entry{}}
 			l := newLog(store)
 			var edits []vetchtrail.Edit
 			for n := range size {
@@ -208,25 +216,27 @@
 	}
 }
 
-// TestExpectHolds: a change written against a revision is accepted as the next
-// one only, though the host hears of others' changes while it proposes.
-func TestExpectHolds(t *testing.T) {
+// TestExpectedRevision checks that a change with an expected revision is only
+// accepted as the next one after it. Propose would break this if it checked the
+// change against one configuration and then wrote it after a newer one, which
+// the host learned from a peer in between.
+func TestExpectedRevision(t *testing.T) {
 	const rounds = 3000
-	s := &fakeStore{keys: map[string]vetchtrail.Entry{}}
-	ours, others := newLog(s), newLog(s)
+	s := &fakeStore{entries: map[string]vetchtrail.Entry{}}
+	local, remote := newLog(s), newLog(s)
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { // another host's changes, learned here at any moment
+	all.Go(func() { // another host proposes changes, and this one learns them at any moment
 		for n := 0; ctx.Err() == nil; n++ {
 			c := vetchtrail.Change{ID: fmt.Sprintf("other-%d", n), Edits: []vetchtrail.Edit{
 				vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w"}},
 			}}
-			var conflict *vetchtrail.ConflictError // it lost every race
-			if _, err := others.Propose(ctx, c); err != nil && ctx.Err() == nil && !errors.As(err, &conflict) {
+			var conflict *vetchtrail.ConflictError // another host won every revision that it tried
+			if _, err := remote.Propose(ctx, c); err != nil && ctx.Err() == nil && !errors.As(err, &conflict) {
 				t.Error(err)
 				return
 			}
-			if err := ours.Learn(others.Recent(ours.Revision()+1, 0)); err != nil {
+			if err := local.Learn(remote.Recent(local.Revision()+1, 0)); err != nil {
 				t.Error(err)
 				return
 			}
@@ -234,11 +244,11 @@
 	})
 	accepted := 0
 	for n := range rounds {
-		expect := ours.Revision()
+		expect := local.Revision()
 		c := vetchtrail.Change{ID: fmt.Sprintf("ours-%d", n), Expect: expect, Edits: []vetchtrail.Edit{
 			vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "v"}},
 		}}
-		revision, err := ours.Propose(ctx, c)
+		revision, err := local.Propose(ctx, c)
 		if err != nil {
 			var conflict *vetchtrail.ConflictError
 			assert.Assert(t, errors.As(err, &conflict), "%v", err)
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -14,57 +14,64 @@
 	"vetchtrail/version/rules"
 )
 
-// ErrUnsettled says that the store was lost while a change was written: it may
-// take effect. Proposing it again with the same id settles it.
-var ErrUnsettled = errors.New("the store was lost during the write: the change may take effect")
+// ErrUnsettled means that the store stopped answering while a change was
+// written, so that the change may still take effect. Proposing it again with
+// the same id shows whether it did.
+var ErrUnsettled = errors.New("the store stopped answering during the write: the change may take effect")
 
-// Check says what a change would do now, without writing it.
+// Check returns the error that Propose would return for a change that isn't
+// valid or conflicts with the configuration held. It writes nothing.
 func (l *Log) Check(c vetchtrail.Change) error { return check(c, l.Rules()) }
 
-func check(c vetchtrail.Change, now *rules.Rules) error {
-	if c.Expect != 0 && c.Expect != now.Revision() {
-		return &vetchtrail.ConflictError{Expect: c.Expect, Now: now.Revision()}
+func check(c vetchtrail.Change, current *rules.Rules) error {
+	if c.Expect != 0 && c.Expect != current.Revision() {
+		return &vetchtrail.ConflictError{Expect: c.Expect, Now: current.Revision()}
 	}
-	_, err := now.Apply(c)
+	_, err := current.Apply(c)
 	return err
 }
 
-// Propose writes a change to the log. The order of the log decides between
-// racing writers; the loser is checked again against what stands. The errors
-// are *vetchtrail.ChangeError, *vetchtrail.ConflictError, ErrUnsettled, and
-// others where nothing was written.
+// Propose appends a change to the log and returns its revision. A change whose
+// id was accepted before isn't written again. If another host wins the next
+// revision, the change is checked against the new configuration and tried at
+// the revision after it.
+//
+// It returns a *vetchtrail.ChangeError for a change that isn't valid, a
+// *vetchtrail.ConflictError if the configuration has moved on, ErrUnsettled if
+// the change may take effect, and other errors if nothing was written.
 func (l *Log) Propose(ctx context.Context, c vetchtrail.Change) (uint64, error) {
 	if err := l.CatchUp(ctx); err != nil {
-		return 0, errors.Wrap(err, "changelog.Propose: read what stands")
+		return 0, errors.Wrap(err, "changelog.Propose: read the newest configuration")
 	}
-	for range writeTries {
-		if done, ok := l.find(c.ID); ok {
-			return done, nil
+	for range maxProposeAttempts {
+		if revision, ok := l.acceptedRevision(c.ID); ok {
+			return revision, nil
 		}
-		// The place is that after the rules it was checked against: the log may
-		// grow in between.
-		now := l.Rules()
-		if err := check(c, now); err != nil {
+		// The revision must follow from the configuration that the change was
+		// checked against, since Learn may apply other changes meanwhile.
+		current := l.Rules()
+		if err := check(c, current); err != nil {
 			return 0, err
 		}
-		c.Revision = now.Revision() + 1
-		settled, err := l.write(ctx, c)
+		c.Revision = current.Revision() + 1
+		accepted, err := l.write(ctx, c)
 		if err != nil {
 			return 0, err
 		}
-		if settled {
-			l.snapshot(ctx)
+		if accepted {
+			l.snapshotIfDue(ctx)
 			return c.Revision, nil
 		}
-		if err := l.readOn(ctx); err != nil {
-			return 0, errors.Wrap(err, "changelog.Propose: read after a lost race")
+		if err := l.readChanges(ctx); err != nil {
+			return 0, errors.Wrap(err, "changelog.Propose: read the change of another host")
 		}
 	}
-	return 0, &vetchtrail.ConflictError{Expect: c.Revision - 1, Now: l.Revision()} // lost every race
+	// Another host won every revision that was tried.
+	return 0, &vetchtrail.ConflictError{Expect: c.Revision - 1, Now: l.Revision()}
 }
 
-// find returns the revision of an accepted change by its id.
-func (l *Log) find(id string) (uint64, bool) {
+// acceptedRevision returns the revision of the change in memory that has the id.
+func (l *Log) acceptedRevision(id string) (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := len(l.recent) - 1; i >= 0; i-- {
@@ -75,61 +82,65 @@
 	return 0, false
 }
 
-// write tries one place of the log. It returns true when the change stands
-// there, false when another does. A lost answer is settled by writing again:
-// either it stands now, or the place is taken and can be read.
+// write tries to store a change at its revision. It returns true if the store
+// holds the change there, and false if it holds another one. A write without
+// an answer is repeated: the repetition either succeeds or conflicts with an
+// entry that can be read and compared.
 func (l *Log) write(ctx context.Context, c vetchtrail.Change) (bool, error) {
 	value, err := encode(c)
 	if err != nil {
 		return false, errors.Wrap(err, "changelog.Propose")
 	}
-	deadline := time.Now().Add(settleTime)
-	sent := false
+	deadline := time.Now().Add(writeTimeout)
+	mayBeWritten := false
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		err := l.store.CompareAndSwap(ctx, keyOf(c.Revision), value, 0)
+		err := l.store.CompareAndSwap(ctx, logKey(c.Revision), value, 0)
 		switch {
 		case err == nil:
-			return true, l.take(value)
+			return true, l.learnStored(value)
 		case errors.Is(err, vetchtrail.ErrConflict):
-			mine, err := l.readBack(ctx, c)
+			same, err := l.readBack(ctx, c)
 			if err == nil {
-				return mine, nil
+				return same, nil
 			}
 		case errors.Is(err, vetchtrail.ErrLimited):
-			// Refused by the store: this write did nothing.
+			// The store rejected the write for its rate limit: it had no effect.
 		default:
-			sent = true
+			mayBeWritten = true
 		}
-		l.wait(ctx)
+		l.sleep(ctx)
 	}
-	if !sent {
-		return false, errors.New("changelog.Propose: the store refused every write")
+	if !mayBeWritten {
+		return false, errors.New("changelog.Propose: the store rejected every write")
 	}
 	return false, ErrUnsettled
 }
 
-// readBack reads who holds a place of the log.
+// readBack reads and applies the change that the store holds at c's revision.
+// It reports whether that is c itself.
 func (l *Log) readBack(ctx context.Context, c vetchtrail.Change) (bool, error) {
-	e, err := l.store.Get(ctx, keyOf(c.Revision))
+	e, err := l.store.Get(ctx, logKey(c.Revision))
 	if err != nil {
 		return false, err
 	}
-	stands, err := decode(e.Value)
+	stored, err := decode(e.Value)
 	if err != nil {
 		return false, err
 	}
-	if err := l.Learn([]vetchtrail.Change{stands}); err != nil {
+	if err := l.Learn([]vetchtrail.Change{stored}); err != nil {
 		return false, err
 	}
-	return stands.ID == c.ID, nil
+	return stored.ID == c.ID, nil
 }
 
-// pointer is the value of the snapshot key: where the newest snapshot is.
+// pointer is the value of the snapshot key. It says where the parts of
+// the newest snapshot are.
 type pointer struct {
 	revision uint64
 	parts    int
 }
 
+// key returns the store's key for a part of the snapshot.
 func (p pointer) key(part int) string { return fmt.Sprintf("%s%012d/%d", partPrefix, p.revision, part) }
 
 func (p pointer) value() []byte { return fmt.Appendf(nil, "%d %d", p.revision, p.parts) }
@@ -138,34 +149,37 @@
 	first, second, _ := strings.Cut(string(value), " ")
 	revision, err := strconv.ParseUint(first, 10, 64)
 	if err != nil {
-		return errors.Wrap(err, "changelog: snapshot pointer")
+		return errors.Wrap(err, "changelog: revision of the snapshot pointer")
 	}
 	parts, err := strconv.Atoi(second)
 	if err != nil {
-		return errors.Wrap(err, "changelog: snapshot pointer")
+		return errors.Wrap(err, "changelog: number of parts of the snapshot pointer")
 	}
 	p.revision, p.parts = revision, parts
 	return nil
 }
 
-// snapshot writes the configuration whole now and then, so that a new host
-// reads little, and cuts the log two snapshots back. It is only a saving: when
-// it fails, the next one will do.
-func (l *Log) snapshot(ctx context.Context) {
+// snapshotIfDue stores a snapshot at every SnapshotEvery-th revision, so that a
+// new host need not read the whole log, and then deletes old changes. A failure
+// is only logged: the next snapshot takes this one's place.
+func (l *Log) snapshotIfDue(ctx context.Context) {
 	r := l.Rules()
 	if r.Revision()%SnapshotEvery != 0 {
 		return
 	}
 	if err := l.writeSnapshot(ctx); err != nil {
-		l.log.Warn("snapshot not written", "revision", r.Revision(), "error", err)
+		l.log.Warn("writing the snapshot failed", "revision", r.Revision(), "error", err)
 		return
 	}
-	l.cut(ctx, r.Revision())
+	l.deleteOldChanges(ctx, r.Revision())
 }
 
+// writeSnapshot stores the parts of a snapshot and then the pointer to them, so
+// that a reader never follows a pointer to missing parts. A conflict at a part
+// means that another host has stored the same part.
 func (l *Log) writeSnapshot(ctx context.Context) error {
 	r := l.Rules()
-	whole, err := proto.Marshal(snapshotOf(r))
+	data, err := proto.Marshal(snapshotOf(r))
 	if err != nil {
 		return err
 	}
@@ -177,9 +191,9 @@
 	if err != nil {
 		index = 0
 	}
-	p := pointer{revision: r.Revision(), parts: (len(whole) + partSize - 1) / partSize}
+	p := pointer{revision: r.Revision(), parts: (len(data) + partBytes - 1) / partBytes}
 	for i := range p.parts {
-		part := whole[i*partSize : min(len(whole), (i+1)*partSize)]
+		part := data[i*partBytes : min(len(data), (i+1)*partBytes)]
 		if err := l.store.CompareAndSwap(ctx, p.key(i), part, 0); err != nil && !errors.Is(err, vetchtrail.ErrConflict) {
 			return err
 		}
@@ -187,14 +201,16 @@
 	return l.store.CompareAndSwap(ctx, snapshotKey, p.value(), index)
 }
 
-// cut deletes the changes of one snapshot's length, three snapshots back.
-func (l *Log) cut(ctx context.Context, revision uint64) {
-	const back = 3 * SnapshotEvery
-	if revision < back {
+// deleteOldChanges keeps the changes of the last two snapshot intervals for
+// hosts that lag behind and deletes those of the interval before. It gives up
+// at the first error, and the remaining changes then stay in the store.
+func (l *Log) deleteOldChanges(ctx context.Context, revision uint64) {
+	const intervals = 3 * SnapshotEvery
+	if revision < intervals {
 		return
 	}
-	for n := revision - back + 1; n <= revision-back+SnapshotEvery; n++ {
-		if err := l.store.Delete(ctx, keyOf(n)); err != nil {
+	for n := revision - intervals + 1; n <= revision-intervals+SnapshotEvery; n++ {
+		if err := l.store.Delete(ctx, logKey(n)); err != nil {
 			return
 		}
 	}
