--- a/version/document/document.go
+++ b/version/document/document.go
@@ -1,5 +1,7 @@
-// Package document is the operators' written form of the whole configuration:
-// the YAML file that `vetchtrail config apply` takes and `config show` gives.
+// Package document defines the YAML file in which operators write and read the
+// whole configuration: `vetchtrail config apply` reads it, `config show` writes
+// it. It parses the file and converts it to and from the configuration that
+// daemons use. Whether the configuration is valid is checked in package rules.
 package document
 
 import (
@@ -14,7 +16,7 @@
 	"vetchtrail/version/rules"
 )
 
-// Document is the whole configuration.
+// Document is the content of the file.
 type Document struct {
 	Regions    []Region    `yaml:"regions"`
 	Services   []Service   `yaml:"services"`
@@ -23,69 +25,71 @@
 	Workspaces []Workspace `yaml:"workspaces,omitempty"`
 }
 
-// Region is a region; its id is its place in the list unless it is given.
+// Region is a region with its data centres.
 type Region struct {
 	Name        string   `yaml:"name"`
-	ID          *uint8   `yaml:"id,omitempty"`
+	ID          *uint8   `yaml:"id,omitempty"` // absent: the region's index in the list
 	DataCentres []string `yaml:"data_centres"`
 }
 
-// Service is a service.
+// Service is a model or a plain HTTP service.
 type Service struct {
 	Name         string        `yaml:"name"`
-	Kind         string        `yaml:"kind"` // model or plain
-	Allowed      []string      `yaml:"allowed,omitempty"`
+	Kind         string        `yaml:"kind"`              // model or plain
+	Allowed      []string      `yaml:"allowed,omitempty"` // regions that may process its requests; empty: only the caller's home
 	Weights      Weights       `yaml:"weights"`
-	AnswerWithin time.Duration `yaml:"answer_within"`
-	QueueLimit   int           `yaml:"queue_limit"`
-	EventTokens  int           `yaml:"event_tokens,omitempty"`
+	AnswerWithin time.Duration `yaml:"answer_within"`          // longest time of a request without a deadline
+	QueueLimit   int           `yaml:"queue_limit"`            // requests that one host lets wait for the service
+	EventTokens  int           `yaml:"event_tokens,omitempty"` // tokens per event of a streamed answer; 0: not known
 }
 
-// Weights are a service's weights.
+// Weights are the terms of the cost by which an endpoint is chosen for a
+// request. A weight of 0 switches its term off.
 type Weights struct {
-	Tail float64 `yaml:"tail"`
-	Away float64 `yaml:"away"`
-	Cost float64 `yaml:"cost"`
-	Read float64 `yaml:"read,omitempty"`
+	Tail float64 `yaml:"tail"`           // factor on the predicted seconds to the first token
+	Away float64 `yaml:"away"`           // seconds added for leaving the caller's region
+	Cost float64 `yaml:"cost"`           // factor on the seconds of engine time
+	Read float64 `yaml:"read,omitempty"` // factor on the seconds of reading prompt tokens that the endpoint has not cached
 }
 
-// Endpoint is an endpoint.
+// Endpoint is a back end of a service: a model engine or a plain HTTP server.
 type Endpoint struct {
 	Name       string         `yaml:"name"`
 	Service    string         `yaml:"service"`
 	Region     string         `yaml:"region"`
 	DataCentre string         `yaml:"data_centre"`
 	Addr       netip.AddrPort `yaml:"address"`
-	Slots      int            `yaml:"slots"`
-	Draining   bool           `yaml:"draining,omitempty"`
-	Fenced     bool           `yaml:"fenced,omitempty"`
+	Slots      int            `yaml:"slots"`              // requests that it runs at once
+	Draining   bool           `yaml:"draining,omitempty"` // it gets no new requests
+	Fenced     bool           `yaml:"fenced,omitempty"`   // it checks fencing tokens
 }
 
-// Route is a route.
+// Route selects requests by host name and path and says which services take
+// them and how.
 type Route struct {
 	Name         string        `yaml:"name"`
-	Host         string        `yaml:"host"`
-	PathPrefix   string        `yaml:"path_prefix"`
-	Kind         string        `yaml:"kind"` // unsafe, safe or stream
+	Host         string        `yaml:"host"`        // value of the request's Host field
+	PathPrefix   string        `yaml:"path_prefix"` // begins and ends with a slash
+	Kind         string        `yaml:"kind"`        // unsafe, safe or stream
 	Targets      []Target      `yaml:"targets"`
-	Attempts     int           `yaml:"attempts"`
-	AnswerWithin time.Duration `yaml:"answer_within"`
-	Goal         time.Duration `yaml:"goal"`
-	Rank         int8          `yaml:"rank"`
-	Homes        []string      `yaml:"homes,omitempty"`
-	Sticky       bool          `yaml:"sticky,omitempty"`
-	Resumable    bool          `yaml:"resumable,omitempty"`
-	Keyed        bool          `yaml:"keyed,omitempty"` // its callers must show a workspace's key
-	Pause        time.Duration `yaml:"pause,omitempty"` // longest between two events of a stream in time
+	Attempts     int           `yaml:"attempts"`            // endpoints that one request may be sent to
+	AnswerWithin time.Duration `yaml:"answer_within"`       // longest time that a request may be held
+	Goal         time.Duration `yaml:"goal"`                // latency objective
+	Rank         int8          `yaml:"rank"`                // 0 is the most urgent
+	Homes        []string      `yaml:"homes,omitempty"`     // regions that may process its requests; empty: all
+	Sticky       bool          `yaml:"sticky,omitempty"`    // requests name the parts of their prompts
+	Resumable    bool          `yaml:"resumable,omitempty"` // a stream may continue at another endpoint
+	Keyed        bool          `yaml:"keyed,omitempty"`     // callers must present a workspace's key
+	Pause        time.Duration `yaml:"pause,omitempty"`     // longest interval between two events of a stream that is in time
 }
 
 // Target is a service that takes a share of a route's requests.
 type Target struct {
 	Service string `yaml:"service"`
-	Weight  int    `yaml:"weight"`
+	Weight  int    `yaml:"weight"` // share, relative to the sum of the route's weights
 }
 
-// Parse reads a document. Unknown keys are errors that name the line.
+// Parse reads a document. An unknown key is an error that gives its line.
 func Parse(text []byte) (Document, error) {
 	var d Document
 	if err := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(&d); err != nil {
@@ -93,12 +97,12 @@
 	}
 	for i := range d.Services {
 		if _, ok := vetchtrail.ParseServiceKind(d.Services[i].Kind); !ok {
-			return d, errors.Errorf("document.Parse: service %s: kind %q is not model or plain", d.Services[i].Name, d.Services[i].Kind)
+			return d, errors.Errorf("document.Parse: service %s: kind %q must be model or plain", d.Services[i].Name, d.Services[i].Kind)
 		}
 	}
 	for i := range d.Routes {
 		if _, ok := vetchtrail.ParseRouteKind(d.Routes[i].Kind); !ok {
-			return d, errors.Errorf("document.Parse: route %s: kind %q is not unsafe, safe or stream", d.Routes[i].Name, d.Routes[i].Kind)
+			return d, errors.Errorf("document.Parse: route %s: kind %q must be unsafe, safe or stream", d.Routes[i].Name, d.Routes[i].Kind)
 		}
 	}
 	for i := range d.Workspaces {
@@ -109,19 +113,22 @@
 	return d, nil
 }
 
-// Rules returns the configuration that the document describes.
+// Rules returns the configuration that the document describes, or what makes
+// it invalid.
 func (d *Document) Rules() (*rules.Rules, error) {
 	return rules.Empty().Apply(vetchtrail.Change{Edits: d.edits()})
 }
 
+// edits returns the edits that make the document's configuration from an empty
+// one, in an order in which each refers to earlier ones only.
 func (d *Document) edits() []vetchtrail.Edit {
 	var out []vetchtrail.Edit
-	for i, g := range d.Regions {
+	for i, r := range d.Regions {
 		id := vetchtrail.RegionID(i)
-		if g.ID != nil {
-			id = vetchtrail.RegionID(*g.ID)
+		if r.ID != nil {
+			id = vetchtrail.RegionID(*r.ID)
 		}
-		out = append(out, vetchtrail.PutRegion{Region: vetchtrail.Region{ID: id, Name: g.Name, DataCentres: g.DataCentres}})
+		out = append(out, vetchtrail.PutRegion{Region: vetchtrail.Region{ID: id, Name: r.Name, DataCentres: r.DataCentres}})
 	}
 	for _, s := range d.Services {
 		kind, _ := vetchtrail.ParseServiceKind(s.Kind)
@@ -142,7 +149,7 @@
 	return out
 }
 
-// Of returns the document of a configuration.
+// Of returns the document that describes a configuration.
 func Of(r *rules.Rules) Document {
 	var d Document
 	for _, edit := range r.Edits() {
@@ -204,7 +211,7 @@
 	return out
 }
 
-// YAML returns the document as a file.
+// YAML returns the content of the file.
 func (d *Document) YAML() ([]byte, error) {
 	out, err := yaml.Marshal(d)
 	if err != nil {
--- a/version/document/workspace.go
+++ b/version/document/workspace.go
@@ -6,31 +6,33 @@
 	"vetchtrail"
 )
 
-// Workspace is a workspace.
+// Workspace is a customer's account.
 type Workspace struct {
 	Name     string               `yaml:"name"`
-	Home     string               `yaml:"home,omitempty"`
-	Allowed  []string             `yaml:"allowed,omitempty"`
-	Priority int8                 `yaml:"priority,omitempty"`
-	Keys     []vetchtrail.KeyHash `yaml:"key_hashes,omitempty"` // as `vetchtrail workspace key` gives them
-	Locked   bool                 `yaml:"locked,omitempty"`     // it needs a key, also when it has none
-	Quota    *Quota               `yaml:"quota,omitempty"`
+	Home     string               `yaml:"home,omitempty"`       // its region; empty: where its request enters
+	Allowed  []string             `yaml:"allowed,omitempty"`    // the only regions that may process its requests; empty: no limit
+	Priority int8                 `yaml:"priority,omitempty"`   // higher goes first
+	Keys     []vetchtrail.KeyHash `yaml:"key_hashes,omitempty"` // as `vetchtrail workspace key` prints them
+	Locked   bool                 `yaml:"locked,omitempty"`     // its callers need a key, even if the workspace has none
+	Quota    *Quota               `yaml:"quota,omitempty"`      // absent: no limit
 }
 
-// Quota bounds what all hosts together run for a workspace.
+// Quota limits the requests that all hosts together run for a workspace.
 type Quota struct {
-	Rate  float64 `yaml:"rate"`            // units a second
-	Burst float64 `yaml:"burst,omitempty"` // units at once beside it
+	Rate  float64 `yaml:"rate"`            // units per second
+	Burst float64 `yaml:"burst,omitempty"` // units at once in addition to the rate
 	Unit  string  `yaml:"unit"`            // requests or tokens
-	Plain float64 `yaml:"plain,omitempty"` // units of a request that names no tokens
+	Plain float64 `yaml:"plain,omitempty"` // cost, in units, of a request that states no tokens
 }
 
+// check reports an unknown quota unit. The other fields are checked in package
+// rules.
 func (w *Workspace) check() error {
 	if w.Quota == nil {
 		return nil
 	}
 	if _, ok := vetchtrail.ParseQuotaUnit(w.Quota.Unit); !ok {
-		return errors.Errorf("document.Parse: workspace %s: quota: unit %q is not requests or tokens", w.Name, w.Quota.Unit)
+		return errors.Errorf("document.Parse: workspace %s: quota: unit %q must be requests or tokens", w.Name, w.Quota.Unit)
 	}
 	return nil
 }
@@ -44,7 +46,7 @@
 	return out
 }
 
-// OfWorkspace returns the document of a workspace.
+// OfWorkspace returns a workspace as a document describes it.
 func OfWorkspace(w vetchtrail.Workspace) Workspace {
 	out := Workspace{Name: w.Name, Home: w.Home, Allowed: w.Allowed, Priority: w.Priority, Keys: w.Keys, Locked: w.Locked}
 	if q := w.Quota; q != (vetchtrail.Quota{}) {
