--- a/version/rules/apply.go
+++ b/version/rules/apply.go
@@ -8,25 +8,27 @@
 	"vetchtrail"
 )
 
-// maxName bounds the length of a name in the configuration, in bytes.
-const maxName = 128
+// maxNameBytes limits the name of an item of the configuration.
+const maxNameBytes = 128
 
-// Apply returns the rules after a change, or a *vetchtrail.ChangeError with
-// these rules untouched.
+// Apply returns the configuration after a change, at the next revision. It
+// returns a *vetchtrail.ChangeError if an edit or the resulting configuration
+// is not valid.
 func (r *Rules) Apply(c vetchtrail.Change) (*Rules, error) {
 	next, err := r.Build(c.Edits)
 	if err != nil {
 		return nil, err
 	}
-	if err := next.check(len(c.Edits)); err != nil {
+	if err := next.validate(len(c.Edits)); err != nil {
 		return nil, err
 	}
 	next.revision = r.revision + 1
 	return next, nil
 }
 
-// Restore returns the rules that a snapshot's edits make, at its revision. The
-// snapshot was checked when it was accepted.
+// Restore returns the configuration that the edits of a snapshot make, at the
+// snapshot's revision. It validates each edit but not the result, since every
+// change up to that revision was validated when it was accepted.
 func Restore(edits []vetchtrail.Edit, revision uint64) (*Rules, error) {
 	next, err := Empty().Build(edits)
 	if err != nil {
@@ -36,19 +38,21 @@
 	return next, nil
 }
 
-// Build returns the rules after edits, at the same revision, without checking
-// the whole.
+// Build returns the configuration after edits, at the same revision. It
+// validates each edit but not the result.
 func (r *Rules) Build(edits []vetchtrail.Edit) (*Rules, error) {
 	b := builder{next: r.copy()}
 	for i, e := range edits {
-		if item, text := b.edit(e); text != "" {
+		if item, text := b.applyEdit(e); text != "" {
 			return nil, &vetchtrail.ChangeError{Edit: i, Item: item, Text: text}
 		}
 	}
-	b.next.paths = pathsOf(b.next)
+	b.next.routesByHost = indexRoutes(b.next)
 	return b.next, nil
 }
 
+// copy returns a copy for a builder to change. The copy shares the shards of
+// workspaces and keys, which the builder clones before it changes them.
 func (r *Rules) copy() *Rules {
 	next := *r
 	next.regions = maps.Clone(r.regions)
@@ -58,15 +62,17 @@
 	return &next
 }
 
-// builder makes the next rules; it copies each shard of workspaces and keys once.
+// builder makes a configuration from a copy of the one before. Its methods that
+// apply an edit return what is wrong with the edit, or "".
 type builder struct {
-	next   *Rules
-	copied [workspaceShards]bool
-	shown  [workspaceShards]bool // shards of keys that were copied
+	next             *Rules
+	copiedWorkspaces [shardCount]bool // shards of next.workspaces that are no longer shared
+	copiedKeys       [shardCount]bool // shards of next.keyOwners that are no longer shared
 }
 
-// edit applies one edit. It returns the item and what is wrong with it.
-func (b *builder) edit(e vetchtrail.Edit) (item, text string) {
+// applyEdit applies one edit. It returns the item that the edit is about, and
+// what is wrong with the edit, or "".
+func (b *builder) applyEdit(e vetchtrail.Edit) (item, text string) {
 	switch e := e.(type) {
 	case vetchtrail.PutRegion:
 		return "region " + e.Region.Name, b.putRegion(e.Region)
@@ -79,74 +85,78 @@
 	case vetchtrail.PutWorkspace:
 		return "workspace " + e.Workspace.Name, b.putWorkspace(e.Workspace)
 	case vetchtrail.DrainEndpoint:
-		return "endpoint " + e.Endpoint, b.drain(e)
+		return "endpoint " + e.Endpoint, b.drainEndpoint(e)
 	case vetchtrail.Remove:
 		return string(e.Kind) + " " + e.Name, b.remove(e)
 	}
-	return "edit", "of an unknown kind"
+	return "edit", "is of an unknown kind"
 }
 
+// nameProblem returns what is wrong with the name of an item, or "".
 func nameProblem(name string) string {
 	if name == "" {
 		return "has no name"
 	}
-	if len(name) > maxName {
-		return fmt.Sprintf("its name is over %d bytes", maxName)
+	if len(name) > maxNameBytes {
+		return fmt.Sprintf("its name is longer than %d bytes", maxNameBytes)
 	}
 	return ""
 }
 
+// putRegion adds or replaces a region. The id of an existing region can't be
+// changed, since hosts identify regions by it when they forward a request.
 func (b *builder) putRegion(g vetchtrail.Region) string {
 	if p := nameProblem(g.Name); p != "" {
 		return p
 	}
 	if g.ID >= vetchtrail.MaxRegions {
-		return fmt.Sprintf("its id is over %d", vetchtrail.MaxRegions-1)
+		return fmt.Sprintf("its id is above %d", vetchtrail.MaxRegions-1)
 	}
-	if held := b.next.names[g.ID]; held != "" && held != g.Name {
-		return fmt.Sprintf("its id %d is that of region %s", g.ID, held)
+	if owner := b.next.names[g.ID]; owner != "" && owner != g.Name {
+		return fmt.Sprintf("its id %d belongs to region %s", g.ID, owner)
 	}
 	if old, ok := b.next.regions[g.Name]; ok && old.ID != g.ID {
-		return fmt.Sprintf("its id is %d and can't become %d", old.ID, g.ID)
+		return fmt.Sprintf("its id is %d and can't change to %d", old.ID, g.ID)
 	}
 	b.next.regions[g.Name] = g
 	b.next.names[g.ID] = g.Name
 	return ""
 }
 
-// set returns the regions of the names, or the first unknown one.
-func (b *builder) set(names []string) (set vetchtrail.RegionSet, unknown string) {
+// regionSet returns the set of the named regions, or the first name that is
+// unknown.
+func (b *builder) regionSet(names []string) (regionSet vetchtrail.RegionSet, unknown string) {
 	for _, n := range names {
 		g, ok := b.next.regions[n]
 		if !ok {
 			return 0, n
 		}
-		set |= vetchtrail.RegionsOf(g.ID)
+		regionSet |= vetchtrail.RegionsOf(g.ID)
 	}
-	return set, ""
+	return regionSet, ""
 }
 
 func (b *builder) putService(s vetchtrail.Service) string {
 	if p := nameProblem(s.Name); p != "" {
 		return p
 	}
-	set, unknown := b.set(s.Allowed)
+	regionSet, unknown := b.regionSet(s.Allowed)
 	if unknown != "" {
-		return "names the unknown region " + unknown
+		return "refers to unknown region " + unknown
 	}
 	if s.AnswerWithin <= 0 {
-		return "answer_within is not above 0"
+		return "answer_within must be above 0"
 	}
 	if s.EventTokens < 0 {
-		return "event_tokens is below 0"
+		return "event_tokens is negative"
 	}
 	if s.QueueLimit < 0 {
-		return "queue_limit is below 0"
+		return "queue_limit is negative"
 	}
 	if s.Weights.Tail < 0 || s.Weights.Away < 0 || s.Weights.Cost < 0 || s.Weights.Read < 0 {
-		return "a weight is below 0"
+		return "a weight is negative"
 	}
-	b.next.services[s.Name] = service{Service: s, allowed: set}
+	b.next.services[s.Name] = resolvedService{Service: s, allowed: regionSet}
 	return ""
 }
 
@@ -155,35 +165,37 @@
 		return p
 	}
 	if _, ok := b.next.services[e.Service]; !ok {
-		return "names the unknown service " + e.Service
+		return "refers to unknown service " + e.Service
 	}
 	g, ok := b.next.regions[e.Region]
 	if !ok {
-		return "names the unknown region " + e.Region
+		return "refers to unknown region " + e.Region
 	}
 	if !slices.Contains(g.DataCentres, e.DataCentre) {
-		return fmt.Sprintf("names data centre %s, which is not in region %s", e.DataCentre, e.Region)
+		return fmt.Sprintf("its data centre %s is not in region %s", e.DataCentre, e.Region)
 	}
 	if !e.Addr.IsValid() || e.Addr.Port() == 0 {
 		return "has no address"
 	}
 	if e.Slots <= 0 {
-		return "slots is not above 0"
+		return "slots must be above 0"
 	}
 	b.next.endpoints[e.Name] = e
 	return ""
 }
 
-func (b *builder) drain(e vetchtrail.DrainEndpoint) string {
-	end, ok := b.next.endpoints[e.Endpoint]
+func (b *builder) drainEndpoint(e vetchtrail.DrainEndpoint) string {
+	endpoint, ok := b.next.endpoints[e.Endpoint]
 	if !ok {
 		return "is unknown"
 	}
-	end.Draining = e.Draining
-	b.next.endpoints[e.Endpoint] = end
+	endpoint.Draining = e.Draining
+	b.next.endpoints[e.Endpoint] = endpoint
 	return ""
 }
 
+// remove removes an item. Endpoints and services that still refer to it are
+// found by validate, after all edits.
 func (b *builder) remove(e vetchtrail.Remove) string {
 	switch e.Kind {
 	case vetchtrail.ItemRegion:
@@ -211,6 +223,8 @@
 	return ""
 }
 
+// removeRegion removes a region unless a workspace refers to it. Workspaces hold
+// regions by id, so a region that was removed would silently drop out of them.
 func (b *builder) removeRegion(name string) string {
 	g, ok := b.next.regions[name]
 	if !ok {
@@ -218,7 +232,7 @@
 	}
 	for _, w := range b.next.Workspaces() {
 		if w.Home == name || slices.Contains(w.Allowed, name) {
-			return "is still named by workspace " + w.Name
+			return "is still used by workspace " + w.Name
 		}
 	}
 	delete(b.next.regions, name)
@@ -226,17 +240,20 @@
 	return ""
 }
 
-// check looks at the whole: every service needs an endpoint that may serve it.
-func (r *Rules) check(edit int) error {
+// validate checks the configuration as a whole: the services and regions that
+// endpoints and services refer to exist, and each service has an endpoint that
+// may serve its requests. The *vetchtrail.ChangeError that it returns gives
+// editIndex as the edit.
+func (r *Rules) validate(editIndex int) error {
 	served := map[string]bool{}
 	for _, e := range r.endpoints {
 		s, ok := r.services[e.Service]
 		if !ok {
-			return &vetchtrail.ChangeError{Edit: edit, Item: "endpoint " + e.Name, Text: "its service " + e.Service + " is gone"}
+			return &vetchtrail.ChangeError{Edit: editIndex, Item: "endpoint " + e.Name, Text: "its service " + e.Service + " was removed"}
 		}
 		g, ok := r.regions[e.Region]
 		if !ok {
-			return &vetchtrail.ChangeError{Edit: edit, Item: "endpoint " + e.Name, Text: "its region " + e.Region + " is gone"}
+			return &vetchtrail.ChangeError{Edit: editIndex, Item: "endpoint " + e.Name, Text: "its region " + e.Region + " was removed"}
 		}
 		if !e.Draining && (s.allowed == 0 || s.allowed.Has(g.ID)) {
 			served[e.Service] = true
@@ -245,11 +262,11 @@
 	for name, s := range r.services {
 		for _, n := range s.Allowed {
 			if _, ok := r.regions[n]; !ok {
-				return &vetchtrail.ChangeError{Edit: edit, Item: "service " + name, Text: "its region " + n + " is gone"}
+				return &vetchtrail.ChangeError{Edit: editIndex, Item: "service " + name, Text: "its region " + n + " was removed"}
 			}
 		}
 		if !served[name] {
-			return &vetchtrail.ChangeError{Edit: edit, Item: "service " + name, Text: "would be left without an allowed endpoint that is not draining"}
+			return &vetchtrail.ChangeError{Edit: editIndex, Item: "service " + name, Text: "would be left without an allowed endpoint that is not draining"}
 		}
 	}
 	return nil
--- a/version/rules/state.go
+++ b/version/rules/difference.go
@@ -6,29 +6,30 @@
 	"vetchtrail"
 )
 
-// Difference returns the edits that turn these rules into the wanted ones:
-// what the wanted ones lack is removed.
+// Difference returns the edits that turn this configuration into the wanted one.
+// Items that the wanted one doesn't have are removed.
 func (r *Rules) Difference(wanted *Rules) []vetchtrail.Edit {
-	have := map[string]vetchtrail.Edit{}
+	current := map[string]vetchtrail.Edit{}
 	for _, e := range r.Edits() {
-		have[Title(e)] = e
+		current[Title(e)] = e
 	}
 	var out []vetchtrail.Edit
 	for _, e := range wanted.Edits() {
-		if old, ok := have[Title(e)]; !ok || !reflect.DeepEqual(old, e) {
+		if old, ok := current[Title(e)]; !ok || !reflect.DeepEqual(old, e) {
 			out = append(out, e)
 		}
-		delete(have, Title(e))
+		delete(current, Title(e))
 	}
-	return append(out, removals(r, have)...)
+	return append(out, removals(r, current)...)
 }
 
-// removals goes from what depends to what is depended on.
-func removals(r *Rules, left map[string]vetchtrail.Edit) []vetchtrail.Edit {
+// removals returns the edits that remove the unwanted items. An item is removed
+// before the items that it refers to.
+func removals(r *Rules, unwanted map[string]vetchtrail.Edit) []vetchtrail.Edit {
 	edits := r.Edits()
 	var out []vetchtrail.Edit
 	for i := len(edits) - 1; i >= 0; i-- {
-		if _, ok := left[Title(edits[i])]; ok {
+		if _, ok := unwanted[Title(edits[i])]; ok {
 			kind, name := itemOf(edits[i])
 			out = append(out, vetchtrail.Remove{Kind: kind, Name: name})
 		}
@@ -36,12 +37,14 @@
 	return out
 }
 
-// Title names what an edit is about, as in "endpoint krk-1".
+// Title returns the kind and name of the item that an edit is about, as in
+// "endpoint krk-1".
 func Title(e vetchtrail.Edit) string {
 	kind, name := itemOf(e)
 	return string(kind) + " " + name
 }
 
+// itemOf returns the item that an edit is about.
 func itemOf(e vetchtrail.Edit) (vetchtrail.ItemKind, string) {
 	switch e := e.(type) {
 	case vetchtrail.PutRegion:
--- a/version/rules/route.go
+++ b/version/rules/route.go
@@ -10,31 +10,32 @@
 	"vetchtrail"
 )
 
-// path is a route with what a match needs looked up.
-type path struct {
+// routeMatcher is a route with the names of its homes resolved.
+type routeMatcher struct {
 	vetchtrail.Route
-	allowed vetchtrail.RegionSet
+	allowed vetchtrail.RegionSet // regions that may process its requests
 }
 
-// Match is what the rules say of a request that belongs to a route.
+// Match is the route that a request belongs to.
 type Match struct {
 	vetchtrail.Route
-	Allowed vetchtrail.RegionSet
+	Allowed vetchtrail.RegionSet // regions that may process the route's requests
 }
 
-// Match returns the route of a request: of its host name, the one with the
-// longest prefix of its path.
+// Match returns the route of a request. Among the routes of the host name, it
+// is the one with the longest prefix of the path.
 func (r *Rules) Match(host, urlPath string) (Match, bool) {
-	for i := range r.paths[host] {
-		p := &r.paths[host][i]
-		if strings.HasPrefix(urlPath, p.PathPrefix) {
-			return Match{Route: p.Route, Allowed: p.allowed}, true
+	for i := range r.routesByHost[host] {
+		m := &r.routesByHost[host][i]
+		if strings.HasPrefix(urlPath, m.PathPrefix) {
+			return Match{Route: m.Route, Allowed: m.allowed}, true
 		}
 	}
 	return Match{}, false
 }
 
-// Target draws one of the route's services by their weights; u is from 0 to 1.
+// Target selects one of the route's services, in proportion to their weights.
+// u is a random number from 0 up to but not including 1.
 func (m *Match) Target(u float64) string {
 	total := 0
 	for _, t := range m.Targets {
@@ -50,20 +51,22 @@
 	return m.Targets[len(m.Targets)-1].Service
 }
 
-// JudgeRoute says where a request of a route may be processed by these rules, or why it
-// may not at all: its service may have been taken from the route meanwhile, and its
-// workspace from the configuration. The homes of route and workspace both bind. The
-// workspace's priority goes before the route's rank.
+// JudgeRoute returns where a request of a route may be processed and with what
+// priority, or the reason why it may not be processed. The configuration may
+// have changed since the request was matched: its route, the route's target
+// service or its workspace may have been removed. Both the route's homes and
+// the workspace's allowed regions limit where it may be processed. The
+// workspace's priority takes precedence over the route's rank.
 func (r *Rules) JudgeRoute(name, service, workspaceName string, entry vetchtrail.RegionID) (Judgement, vetchtrail.Reason) {
 	t, ok := r.routes[name]
 	if !ok || !slices.ContainsFunc(t.Targets, func(x vetchtrail.Target) bool { return x.Service == service }) {
 		return Judgement{}, vetchtrail.ReasonNoRoute
 	}
-	j := Judgement{Home: entry, Allowed: r.homesOf(&t), Priority: -t.Rank}
+	j := Judgement{Home: entry, Allowed: r.allowedRegions(&t), Priority: -t.Rank}
 	if workspaceName == "" && !t.Keyed {
 		return j, ""
 	}
-	w, ok := r.workspaces[shardOf(workspaceName)][workspaceName]
+	w, ok := r.workspaces[workspaceShardOf(workspaceName)][workspaceName]
 	if !ok {
 		return Judgement{}, vetchtrail.ReasonNoWorkspace
 	}
@@ -76,24 +79,28 @@
 	if w.allowed != 0 {
 		j.Allowed &= w.allowed
 	}
-	j.Priority = priorityOf(w.priority, t.Rank)
+	j.Priority = combinedPriority(w.priority, t.Rank)
 	return j, ""
 }
 
-// ranks is how many ranks of routes are told apart within a workspace's priority. Routes
-// of lower ranks share the last: endpoints know ten urgencies for both together.
-const ranks = 3
+// ranksPerPriority is how many route ranks are distinguished within one
+// priority of a workspace. Lower ranks are treated as the last of them, since
+// endpoints distinguish only ten levels of urgency, for priority and rank
+// together.
+const ranksPerPriority = 3
 
-// priorityOf orders requests by their workspace's priority, and those of the same by their
-// route's rank.
-func priorityOf(workspace, rank int8) int8 {
-	p := int(workspace)*ranks - min(int(rank), ranks-1)
+// combinedPriority returns the priority of a request of a workspace and a
+// route. It orders requests by their workspace's priority, and requests of
+// equal priority by their route's rank.
+func combinedPriority(workspace, rank int8) int8 {
+	p := int(workspace)*ranksPerPriority - min(int(rank), ranksPerPriority-1)
 	return int8(max(math.MinInt8, min(math.MaxInt8, p)))
 }
 
-// homesOf returns the regions that may process a route's requests. A home that
-// is not known allows nothing.
-func (r *Rules) homesOf(t *vetchtrail.Route) vetchtrail.RegionSet {
+// allowedRegions returns the regions that may process a route's requests: its
+// homes, or all regions if it has none. A home that no longer exists is left
+// out, so a route whose homes were all removed may be processed nowhere.
+func (r *Rules) allowedRegions(t *vetchtrail.Route) vetchtrail.RegionSet {
 	if len(t.Homes) == 0 {
 		return vetchtrail.AllRegions
 	}
@@ -106,20 +113,21 @@
 	return set
 }
 
-// HomesOf returns the regions that suit the requests to a host name best: of its
-// routes that have homes, those regions that are homes of the most, each route
-// weighed by how much it is asked for. None: no route of it has homes.
-func (r *Rules) HomesOf(host string, asked func(route string) int) []string {
+// HomesOf returns the regions that serve the requests to a host name best. Each
+// route of the host name that has homes adds its number of requests, plus one,
+// to the weight of each of its homes; the result is the regions of the highest
+// weight, or none if no route of the host name has homes.
+func (r *Rules) HomesOf(host string, requestCount func(route string) int) []string {
 	var weights [vetchtrail.MaxRegions]int
 	most := 0
-	for i := range r.paths[host] {
-		p := &r.paths[host][i]
-		if len(p.Homes) == 0 {
+	for i := range r.routesByHost[host] {
+		m := &r.routesByHost[host][i]
+		if len(m.Homes) == 0 {
 			continue
 		}
 		for id := range weights {
-			if p.allowed.Has(vetchtrail.RegionID(id)) {
-				weights[id] += 1 + asked(p.Name)
+			if m.allowed.Has(vetchtrail.RegionID(id)) {
+				weights[id] += 1 + requestCount(m.Name)
 				most = max(most, weights[id])
 			}
 		}
@@ -133,7 +141,7 @@
 	return out
 }
 
-// Routes returns all routes in the order of their names.
+// Routes returns all routes, sorted by name.
 func (r *Rules) Routes() []vetchtrail.Route {
 	out := make([]vetchtrail.Route, 0, len(r.routes))
 	for _, n := range slices.Sorted(maps.Keys(r.routes)) {
@@ -142,14 +150,15 @@
 	return out
 }
 
-// pathsOf sorts the routes for Match.
-func pathsOf(r *Rules) map[string][]path {
-	out := map[string][]path{}
+// indexRoutes groups the routes by host name and sorts each group so that the
+// first prefix that matches a path is the longest one.
+func indexRoutes(r *Rules) map[string][]routeMatcher {
+	out := map[string][]routeMatcher{}
 	for _, t := range r.routes {
-		out[t.Host] = append(out[t.Host], path{Route: t, allowed: r.homesOf(&t)})
+		out[t.Host] = append(out[t.Host], routeMatcher{Route: t, allowed: r.allowedRegions(&t)})
 	}
 	for _, list := range out {
-		slices.SortFunc(list, func(a, b path) int {
+		slices.SortFunc(list, func(a, b routeMatcher) int {
 			return cmp.Or(len(b.PathPrefix)-len(a.PathPrefix), strings.Compare(a.PathPrefix, b.PathPrefix))
 		})
 	}
@@ -166,32 +175,33 @@
 	case !strings.HasPrefix(t.PathPrefix, "/") || !strings.HasSuffix(t.PathPrefix, "/"):
 		return "its path prefix does not begin and end with a slash"
 	case t.Attempts < 1:
-		return "attempts is not above 0"
+		return "attempts must be above 0"
 	case t.AnswerWithin <= 0:
-		return "answer_within is not above 0"
+		return "answer_within must be above 0"
 	case t.Goal < 0:
-		return "goal is below 0"
+		return "goal is negative"
 	case t.Pause < 0:
-		return "pause is below 0"
+		return "pause is negative"
 	}
 	if p := b.targetProblem(t.Targets); p != "" {
 		return p
 	}
-	if _, unknown := b.set(t.Homes); unknown != "" {
-		return "names the unknown region " + unknown
+	if _, unknown := b.regionSet(t.Homes); unknown != "" {
+		return "refers to unknown region " + unknown
 	}
 	b.next.routes[t.Name] = t
 	return ""
 }
 
+// targetProblem returns what is wrong with the targets of a route, or "".
 func (b *builder) targetProblem(targets []vetchtrail.Target) string {
 	total := 0
 	for _, t := range targets {
 		if _, ok := b.next.services[t.Service]; !ok {
-			return "names the unknown service " + t.Service
+			return "refers to unknown service " + t.Service
 		}
 		if t.Weight < 0 {
-			return "a weight is below 0"
+			return "a weight is negative"
 		}
 		total += t.Weight
 	}
--- a/version/rules/rules.go
+++ b/version/rules/rules.go
@@ -1,5 +1,8 @@
 // Package rules holds the configuration of one revision: regions, services,
-// endpoints and workspaces, checked and ready to judge requests by.
+// endpoints, routes and workspaces. It validates changes, and it answers the
+// questions that a request raises: which route and which workspace it belongs
+// to, in which regions it may be processed, and with what priority. It doesn't
+// choose an endpoint, and it knows nothing of the state of hosts and endpoints.
 package rules
 
 import (
@@ -9,45 +12,49 @@
 	"vetchtrail"
 )
 
-// Rules is the configuration at one revision. It never changes; Apply makes
-// the next.
+// Rules is the configuration at one revision. It is immutable: Apply returns a
+// new one. Many goroutines read one at the same time.
 type Rules struct {
-	revision   uint64
-	regions    map[string]vetchtrail.Region
-	names      [vetchtrail.MaxRegions]string
-	services   map[string]service
-	endpoints  map[string]vetchtrail.Endpoint
-	routes     map[string]vetchtrail.Route
-	paths      map[string][]path // by host name, longest prefix first
-	workspaces [workspaceShards]map[string]workspace
-	holders    [workspaceShards]map[vetchtrail.KeyHash]string // of keys
-	locked     int                                            // workspaces that need keys
+	revision     uint64
+	regions      map[string]vetchtrail.Region
+	names        [vetchtrail.MaxRegions]string // of the regions, by id; empty: no such region
+	services     map[string]resolvedService
+	endpoints    map[string]vetchtrail.Endpoint
+	routes       map[string]vetchtrail.Route
+	routesByHost map[string][]routeMatcher // the longest path prefix first
+
+	// Workspaces and their keys are sharded by hash, so that a change copies a
+	// few small maps instead of all entries.
+	workspaces [shardCount]map[string]workspace
+	keyOwners  [shardCount]map[vetchtrail.KeyHash]string // the workspace of each key
+	locked     int                                       // number of locked workspaces
 }
 
-// service is a service with its regions looked up.
-type service struct {
+// resolvedService is a service with the names of its allowed regions resolved.
+type resolvedService struct {
 	vetchtrail.Service
-	allowed vetchtrail.RegionSet
+	allowed vetchtrail.RegionSet // empty: only the home region of the request
 }
 
-// Judgement is what the rules say of a request.
+// Judgement says where and how urgently the configuration lets a request run.
 type Judgement struct {
-	Home     vetchtrail.RegionID
-	Allowed  vetchtrail.RegionSet
-	Priority int8
+	Home     vetchtrail.RegionID  // region that the request belongs to
+	Allowed  vetchtrail.RegionSet // regions that may process it
+	Priority int8                 // higher goes first
 }
 
-// Empty returns the configuration before the first change.
+// Empty returns the configuration at revision 0, before the first change.
 func Empty() *Rules {
 	return &Rules{
 		regions:   map[string]vetchtrail.Region{},
-		services:  map[string]service{},
+		services:  map[string]resolvedService{},
 		endpoints: map[string]vetchtrail.Endpoint{},
 		routes:    map[string]vetchtrail.Route{},
 	}
 }
 
-// Revision returns the number of changes that made these rules.
+// Revision returns the revision: the number of changes since the empty
+// configuration.
 func (r *Rules) Revision() uint64 { return r.revision }
 
 // Region returns a region by its name.
@@ -56,13 +63,13 @@
 	return g, ok
 }
 
-// RegionName returns the name of a region; empty if there is none.
+// RegionName returns the name of a region, or "" if no region has the id.
 func (r *Rules) RegionName(id vetchtrail.RegionID) string { return r.names[id%vetchtrail.MaxRegions] }
 
-// RegionNames returns the names of the regions in their order.
+// RegionNames returns the names of the regions, sorted.
 func (r *Rules) RegionNames() []string { return slices.Sorted(maps.Keys(r.regions)) }
 
-// RegionOf returns the region of a data centre.
+// RegionOf returns the region that a data centre is in.
 func (r *Rules) RegionOf(dataCentre string) (vetchtrail.Region, bool) {
 	for _, g := range r.regions {
 		if slices.Contains(g.DataCentres, dataCentre) {
@@ -78,7 +85,7 @@
 	return s.Service, ok
 }
 
-// Services returns all services in the order of their names.
+// Services returns all services, sorted by name.
 func (r *Rules) Services() []vetchtrail.Service {
 	out := make([]vetchtrail.Service, 0, len(r.services))
 	for _, n := range slices.Sorted(maps.Keys(r.services)) {
@@ -93,8 +100,8 @@
 	return e, ok
 }
 
-// Endpoints returns the endpoints of a data centre in the order of their
-// names; of all, if the data centre is empty.
+// Endpoints returns the endpoints of a data centre, sorted by name. An empty
+// data centre selects all endpoints.
 func (r *Rules) Endpoints(dataCentre string) []vetchtrail.Endpoint {
 	var out []vetchtrail.Endpoint
 	for _, n := range slices.Sorted(maps.Keys(r.endpoints)) {
@@ -106,16 +113,17 @@
 	return out
 }
 
-// Judge says where a request may be processed. A workspace without rules is at
-// home where its request entered, and a service without regions is only
-// processed at home: what can't be shown to be allowed is not.
+// Judge returns where a request that belongs to no route may be processed, or
+// false if the service is unknown. A workspace without a home has its home where
+// the request entered. A service without allowed regions is only processed in
+// the home region, since processing elsewhere needs an explicit permission.
 func (r *Rules) Judge(serviceName, workspaceName string, entry vetchtrail.RegionID) (Judgement, bool) {
 	s, ok := r.services[serviceName]
 	if !ok {
 		return Judgement{}, false
 	}
 	j := Judgement{Home: entry, Allowed: s.allowed}
-	w, known := r.workspaces[shardOf(workspaceName)][workspaceName]
+	w, known := r.workspaces[workspaceShardOf(workspaceName)][workspaceName]
 	if known && w.home != noHome {
 		j.Home = vetchtrail.RegionID(w.home)
 	}
@@ -129,7 +137,8 @@
 	return j, true
 }
 
-// Edits returns edits that make these rules from empty ones.
+// Edits returns edits that make this configuration from an empty one. Each edit
+// refers to items of earlier edits only.
 func (r *Rules) Edits() []vetchtrail.Edit {
 	var out []vetchtrail.Edit
 	for _, n := range slices.Sorted(maps.Keys(r.regions)) {
--- a/version/rules/rules_test.go
+++ b/version/rules/rules_test.go
@@ -14,7 +14,9 @@
 	"vetchtrail/standin/meter"
 )
 
-func base() []vetchtrail.Edit {
+// baseEdits makes a valid configuration: a service with one endpoint, in the
+// region south, and a second region north without endpoints.
+func baseEdits() []vetchtrail.Edit {
 	return []vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 0, Name: "south", DataCentres: []string{"krk"}}},
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 1, Name: "north", DataCentres: []string{"gdn"}}},
@@ -25,8 +27,11 @@
 	}
 }
 
+// TestApply checks that an invalid edit is rejected with an error that says what
+// is wrong with it, and that no edit, valid or not, modifies the configuration
+// that it is applied to: hosts go on using that one.
 func TestApply(t *testing.T) {
-	endpoint := base()[3].(vetchtrail.PutEndpoint).Endpoint
+	endpoint := baseEdits()[3].(vetchtrail.PutEndpoint).Endpoint
 	change := func(f func(*vetchtrail.Endpoint)) vetchtrail.Edit {
 		e := endpoint
 		f(&e)
@@ -36,46 +41,48 @@
 		edit vetchtrail.Edit
 		text string // empty: valid
 	}{
-		"a workspace":                  {vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w", Home: "north"}}, ""},
-		"unknown home":                 {vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w", Home: "east"}}, "names the unknown region east"},
-		"unknown allowed":              {vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w", Allowed: []string{"east"}}}, "names the unknown region east"},
-		"no name":                      {vetchtrail.PutWorkspace{}, "has no name"},
-		"region takes another's id":    {vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 1, Name: "east"}}, "its id 1 is that of region north"},
-		"region changes its id":        {vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 5, Name: "south"}}, "its id is 0 and can't become 5"},
-		"service without time":         {vetchtrail.PutService{Service: vetchtrail.Service{Name: "quotes"}}, "answer_within is not above 0"},
-		"service without endpoint":     {vetchtrail.PutService{Service: vetchtrail.Service{Name: "new", AnswerWithin: 1}}, "would be left without an allowed endpoint that is not draining"},
-		"service loses its regions":    {vetchtrail.PutService{Service: vetchtrail.Service{Name: "quotes", Allowed: []string{"north"}, AnswerWithin: 1}}, "would be left without an allowed endpoint that is not draining"},
-		"last endpoint drained":        {vetchtrail.DrainEndpoint{Endpoint: "e", Draining: true}, "would be left without an allowed endpoint that is not draining"},
-		"last endpoint removed":        {vetchtrail.Remove{Kind: vetchtrail.ItemEndpoint, Name: "e"}, "would be left without an allowed endpoint that is not draining"},
-		"region of an endpoint gone":   {vetchtrail.Remove{Kind: vetchtrail.ItemRegion, Name: "south"}, "its region south is gone"},
-		"unknown thing removed":        {vetchtrail.Remove{Kind: vetchtrail.ItemService, Name: "x"}, "is unknown"},
-		"unknown kind removed":         {vetchtrail.Remove{Kind: "thing", Name: "x"}, "is of an unknown kind"},
-		"endpoint in a foreign centre": {change(func(e *vetchtrail.Endpoint) { e.DataCentre = "gdn" }), "names data centre gdn, which is not in region south"},
-		"endpoint without slots":       {change(func(e *vetchtrail.Endpoint) { e.Slots = 0 }), "slots is not above 0"},
-		"endpoint without address":     {change(func(e *vetchtrail.Endpoint) { e.Addr = netip.AddrPort{} }), "has no address"},
-		"endpoint of unknown service":  {change(func(e *vetchtrail.Endpoint) { e.Service = "x" }), "names the unknown service x"},
+		"valid workspace":               {vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w", Home: "north"}}, ""},
+		"unknown home":                  {vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w", Home: "east"}}, "refers to unknown region east"},
+		"unknown allowed":               {vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w", Allowed: []string{"east"}}}, "refers to unknown region east"},
+		"no name":                       {vetchtrail.PutWorkspace{}, "has no name"},
+		"region with another's id":      {vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 1, Name: "east"}}, "its id 1 belongs to region north"},
+		"region with a new id":          {vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 5, Name: "south"}}, "its id is 0 and can't change to 5"},
+		"service without a time limit":  {vetchtrail.PutService{Service: vetchtrail.Service{Name: "quotes"}}, "answer_within must be above 0"},
+		"service without endpoints":     {vetchtrail.PutService{Service: vetchtrail.Service{Name: "new", AnswerWithin: 1}}, "would be left without an allowed endpoint that is not draining"},
+		"no endpoint in its regions":    {vetchtrail.PutService{Service: vetchtrail.Service{Name: "quotes", Allowed: []string{"north"}, AnswerWithin: 1}}, "would be left without an allowed endpoint that is not draining"},
+		"last endpoint drained":         {vetchtrail.DrainEndpoint{Endpoint: "e", Draining: true}, "would be left without an allowed endpoint that is not draining"},
+		"last endpoint removed":         {vetchtrail.Remove{Kind: vetchtrail.ItemEndpoint, Name: "e"}, "would be left without an allowed endpoint that is not draining"},
+		"region of an endpoint removed": {vetchtrail.Remove{Kind: vetchtrail.ItemRegion, Name: "south"}, "its region south was removed"},
+		"unknown item removed":          {vetchtrail.Remove{Kind: vetchtrail.ItemService, Name: "x"}, "is unknown"},
+		"unknown kind removed":          {vetchtrail.Remove{Kind: "thing", Name: "x"}, "is of an unknown kind"},
+		"data centre in another region": {change(func(e *vetchtrail.Endpoint) { e.DataCentre = "gdn" }), "its data centre gdn is not in region south"},
+		"endpoint without slots":        {change(func(e *vetchtrail.Endpoint) { e.Slots = 0 }), "slots must be above 0"},
+		"endpoint without address":      {change(func(e *vetchtrail.Endpoint) { e.Addr = netip.AddrPort{} }), "has no address"},
+		"endpoint of unknown service":   {change(func(e *vetchtrail.Endpoint) { e.Service = "x" }), "refers to unknown service x"},
 	}
-	first, err := Empty().Apply(vetchtrail.Change{Edits: base()})
+	first, err := Empty().Apply(vetchtrail.Change{Edits: baseEdits()})
 	assert.NilError(t, err)
 	before := fmt.Sprint(first.Edits())
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			next, err := first.Apply(vetchtrail.Change{Edits: []vetchtrail.Edit{c.edit}})
-			var wrong *vetchtrail.ChangeError
+			var changeErr *vetchtrail.ChangeError
 			if c.text == "" {
 				assert.NilError(t, err)
 				assert.Equal(t, next.Revision(), uint64(2))
 			} else {
-				assert.Assert(t, errors.As(err, &wrong), "%v", err)
-				assert.Equal(t, wrong.Text, c.text)
+				assert.Assert(t, errors.As(err, &changeErr), "%v", err)
+				assert.Equal(t, changeErr.Text, c.text)
 			}
-			assert.Equal(t, fmt.Sprint(first.Edits()), before, "the rules before were touched")
+			assert.Equal(t, fmt.Sprint(first.Edits()), before, "the configuration before the change was modified")
 		})
 	}
 }
 
+// TestJudge checks where a request without a route may be processed. A mistake
+// here would process a workspace's data in a region that isn't allowed for it.
 func TestJudge(t *testing.T) {
-	edits := append(base(),
+	edits := append(baseEdits(),
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "bound", Home: "north", Allowed: []string{"north"}, Priority: 3}},
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "homely", Home: "north"}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "home-only", AnswerWithin: 1}},
@@ -89,12 +96,12 @@
 		service, workspace string
 		want               Judgement
 	}{
-		"unknown workspace":          {"quotes", "x", Judgement{Home: 0, Allowed: both}},
-		"bound":                      {"quotes", "bound", Judgement{Home: 1, Allowed: north, Priority: 3}},
-		"home only, at entry":        {"home-only", "x", Judgement{Home: 0, Allowed: vetchtrail.RegionsOf(0)}},
-		"home only, of a workspace":  {"home-only", "homely", Judgement{Home: 1, Allowed: north}},
-		"both narrow to nothing":     {"home-only", "bound", Judgement{Home: 1, Allowed: north, Priority: 3}},
-		"workspace without a region": {"quotes", "homely", Judgement{Home: 1, Allowed: both}},
+		"unknown workspace":                 {"quotes", "x", Judgement{Home: 0, Allowed: both}},
+		"workspace with allowed region":     {"quotes", "bound", Judgement{Home: 1, Allowed: north, Priority: 3}},
+		"home-only service, no home":        {"home-only", "x", Judgement{Home: 0, Allowed: vetchtrail.RegionsOf(0)}},
+		"home-only service, home":           {"home-only", "homely", Judgement{Home: 1, Allowed: north}},
+		"home-only service, allowed region": {"home-only", "bound", Judgement{Home: 1, Allowed: north, Priority: 3}},
+		"workspace without allowed regions": {"quotes", "homely", Judgement{Home: 1, Allowed: both}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,49 +114,52 @@
 	assert.Assert(t, !ok)
 }
 
-// TestDifference: applying the difference gives the wanted rules.
+// TestDifference checks that applying the difference of two configurations to
+// the first gives the second, with additions as well as removals.
 func TestDifference(t *testing.T) {
-	have, err := Empty().Apply(vetchtrail.Change{Edits: append(base(), vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "gone", Home: "south"}})})
+	current, err := Empty().Apply(vetchtrail.Change{Edits: append(baseEdits(), vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "gone", Home: "south"}})})
 	assert.NilError(t, err)
-	wanted, err := Empty().Apply(vetchtrail.Change{Edits: append(base(), vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "new"}})})
+	wanted, err := Empty().Apply(vetchtrail.Change{Edits: append(baseEdits(), vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "new"}})})
 	assert.NilError(t, err)
-	got, err := have.Apply(vetchtrail.Change{Edits: have.Difference(wanted)})
+	got, err := current.Apply(vetchtrail.Change{Edits: current.Difference(wanted)})
 	assert.NilError(t, err)
 	assert.Equal(t, fmt.Sprint(got.Edits()), fmt.Sprint(wanted.Edits()))
 	assert.Equal(t, len(got.Difference(wanted)), 0)
 }
 
-func many(n int) []vetchtrail.Edit {
-	edits := base()
+// editsWithWorkspaces makes the base configuration with n workspaces.
+func editsWithWorkspaces(n int) []vetchtrail.Edit {
+	edits := baseEdits()
 	for i := range n {
 		edits = append(edits, vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: fmt.Sprintf("workspace-%06d", i), Home: "north"}})
 	}
 	return edits
 }
 
-// BenchmarkWorkspaces: memory of the rules and time of a change, by the number
-// of workspaces.
+// BenchmarkWorkspaces measures the memory of a configuration and the time of a
+// change to one workspace, for several numbers of workspaces.
 func BenchmarkWorkspaces(b *testing.B) {
 	for _, n := range []int{1000, 10000, 38000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			before := meter.Heap()
-			r, err := Empty().Apply(vetchtrail.Change{Edits: many(n)})
+			r, err := Empty().Apply(vetchtrail.Change{Edits: editsWithWorkspaces(n)})
 			assert.NilError(b, err)
-			held := meter.Heap() - before
+			heapBytes := meter.Heap() - before
 			c := vetchtrail.Change{Edits: []vetchtrail.Edit{vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "workspace-000001"}}}}
 			for b.Loop() {
 				_, err := r.Apply(c)
 				assert.NilError(b, err)
 			}
-			b.ReportMetric(float64(held), "heap-bytes")
+			b.ReportMetric(float64(heapBytes), "heap-bytes")
 			runtime.KeepAlive(r)
 		})
 	}
 }
 
-// TestRoutes: which route a request belongs to, and which regions suit a name.
+// TestRoutes checks which route a request belongs to, and which regions serve
+// the requests to a host name best.
 func TestRoutes(t *testing.T) {
-	held, err := Empty().Build([]vetchtrail.Edit{
+	config, err := Empty().Build([]vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 0, Name: "north", DataCentres: []string{"n"}}},
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 1, Name: "south", DataCentres: []string{"s"}}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", AnswerWithin: time.Second}},
@@ -160,39 +170,40 @@
 	})
 	assert.NilError(t, err)
 	cases := map[string]struct{ host, path, route string }{
-		"longest prefix":    {"h", "/a/b/c", "deep"},
-		"shorter":           {"h", "/a/x", "part"},
-		"not a whole part":  {"h", "/ab", "all"},
-		"of its host only":  {"g", "/a/b/c", "other"},
-		"no route":          {"g", "/x", ""},
-		"no such host":      {"f", "/a/", ""},
-		"the prefix itself": {"h", "/a/", "part"},
+		"longest prefix":         {"h", "/a/b/c", "deep"},
+		"shorter prefix":         {"h", "/a/x", "part"},
+		"part of a path segment": {"h", "/ab", "all"},
+		"other host name":        {"g", "/a/b/c", "other"},
+		"no matching prefix":     {"g", "/x", ""},
+		"unknown host name":      {"f", "/a/", ""},
+		"path equal to prefix":   {"h", "/a/", "part"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			m, ok := held.Match(c.host, c.path)
+			m, ok := config.Match(c.host, c.path)
 			assert.Equal(t, m.Name, c.route)
 			assert.Equal(t, ok, c.route != "")
 		})
 	}
 	homes := map[string]struct {
-		host  string
-		asked map[string]int
-		want  []string
+		host     string
+		requests map[string]int
+		want     []string
 	}{
-		"no route has homes":      {"g", nil, nil},
-		"homes that differ":       {"h", nil, []string{"north", "south"}},
-		"the one that is asked":   {"h", map[string]int{"deep": 9}, []string{"south"}},
-		"not by those without":    {"h", map[string]int{"all": 9, "part": 1}, []string{"north"}},
-		"a name that is not held": {"f", nil, nil},
+		"no route has homes":       {"g", nil, nil},
+		"no requests yet":          {"h", nil, []string{"north", "south"}},
+		"home of most requests":    {"h", map[string]int{"deep": 9}, []string{"south"}},
+		"routes without homes":     {"h", map[string]int{"all": 9, "part": 1}, []string{"north"}},
+		"host name without routes": {"f", nil, nil},
 	}
 	for name, c := range homes {
 		t.Run(name, func(t *testing.T) {
-			assert.DeepEqual(t, held.HomesOf(c.host, func(route string) int { return c.asked[route] }), c.want)
+			assert.DeepEqual(t, config.HomesOf(c.host, func(route string) int { return c.requests[route] }), c.want)
 		})
 	}
 }
 
+// someRoute returns a valid route to the service app.
 func someRoute(name, host, prefix string, homes ...string) vetchtrail.Route {
 	return vetchtrail.Route{
 		Name: name, Host: host, PathPrefix: prefix, Homes: homes, Attempts: 1, AnswerWithin: time.Second,
@@ -200,20 +211,21 @@
 	}
 }
 
-// TestBadRoutes: each is refused with what is wrong with it.
-func TestBadRoutes(t *testing.T) {
+// TestInvalidRoutes checks that a route with one wrong field is rejected with an
+// error that says which.
+func TestInvalidRoutes(t *testing.T) {
 	cases := map[string]struct {
 		change func(*vetchtrail.Route)
 		text   string
 	}{
-		"no host":          {func(r *vetchtrail.Route) { r.Host = "" }, "has no host name"},
-		"prefix":           {func(r *vetchtrail.Route) { r.PathPrefix = "/a" }, "path prefix"},
-		"attempts":         {func(r *vetchtrail.Route) { r.Attempts = 0 }, "attempts"},
-		"time":             {func(r *vetchtrail.Route) { r.AnswerWithin = 0 }, "answer_within"},
-		"unknown service":  {func(r *vetchtrail.Route) { r.Targets[0].Service = "x" }, "unknown service x"},
-		"no weight":        {func(r *vetchtrail.Route) { r.Targets[0].Weight = 0 }, "weight above 0"},
-		"unknown home":     {func(r *vetchtrail.Route) { r.Homes = []string{"x"} }, "unknown region x"},
-		"a weight below 0": {func(r *vetchtrail.Route) { r.Targets[0].Weight = -1 }, "below 0"},
+		"no host name":    {func(r *vetchtrail.Route) { r.Host = "" }, "has no host name"},
+		"no final slash":  {func(r *vetchtrail.Route) { r.PathPrefix = "/a" }, "path prefix"},
+		"no attempts":     {func(r *vetchtrail.Route) { r.Attempts = 0 }, "attempts"},
+		"no time limit":   {func(r *vetchtrail.Route) { r.AnswerWithin = 0 }, "answer_within"},
+		"unknown service": {func(r *vetchtrail.Route) { r.Targets[0].Service = "x" }, "unknown service x"},
+		"no weights":      {func(r *vetchtrail.Route) { r.Targets[0].Weight = 0 }, "weight above 0"},
+		"unknown home":    {func(r *vetchtrail.Route) { r.Homes = []string{"x"} }, "unknown region x"},
+		"negative weight": {func(r *vetchtrail.Route) { r.Targets[0].Weight = -1 }, "a weight is negative"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/version/rules/workspace.go
+++ b/version/rules/workspace.go
@@ -11,55 +11,57 @@
 	"vetchtrail"
 )
 
-// workspaceShards is how many maps hold the workspaces, so that a change
-// copies one small map and not all of them.
-const workspaceShards = 256
+// shardCount is the number of maps over which workspaces are spread, and keys
+// too, so that a change copies a few small maps instead of all entries.
+const shardCount = 256
 
-// noHome stands for a workspace without a home of its own.
+// noHome is the home of a workspace for which none is configured.
 const noHome = vetchtrail.MaxRegions
 
-// workspace is kept small: there are tens of thousands.
+// workspace is the compact form of a vetchtrail.Workspace, since there are tens
+// of thousands. Its regions are held by id, and its name is the map's key.
 type workspace struct {
-	allowed  vetchtrail.RegionSet // 0: does not narrow
-	home     uint8
+	allowed  vetchtrail.RegionSet // the only regions that may process its requests; 0: no limit
+	home     uint8                // region id, or noHome
 	priority int8
-	locked   bool
+	locked   bool // its callers need a key
 	keys     []vetchtrail.KeyHash
 	quota    vetchtrail.Quota
 }
 
-// maxKeys bounds the keys of a workspace: two while one replaces the other, and some more.
+// maxKeys limits the keys of a workspace. To replace a key takes two at a time;
+// the limit leaves room for more.
 const maxKeys = 32
 
-// Workspace returns what is configured of a workspace.
+// Workspace returns a workspace by its name.
 func (r *Rules) Workspace(name string) (vetchtrail.Workspace, bool) {
-	w, ok := r.workspaces[shardOf(name)][name]
+	w, ok := r.workspaces[workspaceShardOf(name)][name]
 	if !ok {
 		return vetchtrail.Workspace{}, false
 	}
 	return r.expand(name, w), true
 }
 
-// Holder returns the name of the workspace that a key belongs to.
+// Holder returns the name of the workspace that owns a key.
 func (r *Rules) Holder(key vetchtrail.KeyHash) (workspace string, ok bool) {
-	workspace, ok = r.holders[keyShardOf(key)][key]
+	workspace, ok = r.keyOwners[keyShardOf(key)][key]
 	return workspace, ok
 }
 
-// Quota returns the bound on a workspace; without one it has no rate.
+// Quota returns the quota of a workspace. Its rate is 0 if there is none.
 func (r *Rules) Quota(workspace string) vetchtrail.Quota {
-	return r.workspaces[shardOf(workspace)][workspace].quota
+	return r.workspaces[workspaceShardOf(workspace)][workspace].quota
 }
 
-// AnyLocked says whether some workspace is locked, so that callers show keys.
+// AnyLocked reports whether at least one workspace is locked.
 func (r *Rules) AnyLocked() bool { return r.locked > 0 }
 
-// Locked says whether a workspace needs a key, so that nobody may name it without one.
+// Locked reports whether a caller must present a key to act for a workspace.
 func (r *Rules) Locked(workspace string) bool {
-	return r.workspaces[shardOf(workspace)][workspace].locked
+	return r.workspaces[workspaceShardOf(workspace)][workspace].locked
 }
 
-// Workspaces returns all workspaces in the order of their names.
+// Workspaces returns all workspaces, sorted by name.
 func (r *Rules) Workspaces() []vetchtrail.Workspace {
 	var out []vetchtrail.Workspace
 	for _, shard := range r.workspaces {
@@ -76,6 +78,7 @@
 	return out
 }
 
+// expand returns the full form of a workspace.
 func (r *Rules) expand(name string, w workspace) vetchtrail.Workspace {
 	out := vetchtrail.Workspace{Name: name, Priority: w.priority, Keys: w.keys, Locked: w.locked, Quota: w.quota}
 	if w.home != noHome {
@@ -93,39 +96,39 @@
 	if p := nameProblem(w.Name); p != "" {
 		return p
 	}
-	set, unknown := b.set(w.Allowed)
+	regionSet, unknown := b.regionSet(w.Allowed)
 	if unknown != "" {
-		return "names the unknown region " + unknown
+		return "refers to unknown region " + unknown
 	}
-	kept := workspace{allowed: set, home: noHome, priority: w.Priority}
+	compact := workspace{allowed: regionSet, home: noHome, priority: w.Priority}
 	if w.Home != "" {
 		g, ok := b.next.regions[w.Home]
 		if !ok {
-			return "names the unknown region " + w.Home
+			return "refers to unknown region " + w.Home
 		}
-		kept.home = uint8(g.ID)
+		compact.home = uint8(g.ID)
 	}
 	if p := quotaProblem(w.Quota); p != "" {
 		return p
 	}
-	kept.quota = w.Quota
+	compact.quota = w.Quota
 	shard := b.shard(w.Name)
-	b.takeKeys(w.Name, shard[w.Name].keys)
-	if p := b.giveKeys(w.Name, w.Keys); p != "" {
+	b.releaseKeys(w.Name, shard[w.Name].keys)
+	if p := b.assignKeys(w.Name, w.Keys); p != "" {
 		return p
 	}
-	kept.keys = slices.Clone(w.Keys)
-	kept.locked = w.Locked || len(w.Keys) > 0
-	b.next.locked += count(kept.locked) - count(shard[w.Name].locked)
-	shard[w.Name] = kept
+	compact.keys = slices.Clone(w.Keys)
+	compact.locked = w.Locked || len(w.Keys) > 0
+	b.next.locked += boolToInt(compact.locked) - boolToInt(shard[w.Name].locked)
+	shard[w.Name] = compact
 	return ""
 }
 
-// quotaProblem says what is wrong with a quota.
+// quotaProblem returns what is wrong with a quota, or "".
 func quotaProblem(q vetchtrail.Quota) string {
 	for _, n := range []float64{q.Rate, q.Burst, q.Plain} {
 		if !(n >= 0) || math.IsInf(n, 0) {
-			return "a number of its quota is below 0 or no number"
+			return "a number of its quota is negative or not finite"
 		}
 	}
 	if q.Rate == 0 && q.Burst > 0 {
@@ -134,8 +137,8 @@
 	return ""
 }
 
-// takeKeys takes keys away from a workspace.
-func (b *builder) takeKeys(workspace string, keys []vetchtrail.KeyHash) {
+// releaseKeys ends a workspace's ownership of keys.
+func (b *builder) releaseKeys(workspace string, keys []vetchtrail.KeyHash) {
 	for _, k := range keys {
 		shard := b.keyShard(k)
 		if shard[k] == workspace {
@@ -144,15 +147,16 @@
 	}
 }
 
-// giveKeys gives keys to a workspace. A key shows one workspace only.
-func (b *builder) giveKeys(workspace string, keys []vetchtrail.KeyHash) string {
+// assignKeys makes a workspace the owner of keys. It returns what is wrong with
+// them, or "". A key has one owner only, since it identifies the workspace.
+func (b *builder) assignKeys(workspace string, keys []vetchtrail.KeyHash) string {
 	if len(keys) > maxKeys {
-		return fmt.Sprintf("it has over %d keys", maxKeys)
+		return fmt.Sprintf("it has more than %d keys", maxKeys)
 	}
 	for _, k := range keys {
 		shard := b.keyShard(k)
-		if held, ok := shard[k]; ok && held != workspace {
-			return "one of its keys is that of workspace " + held
+		if owner, ok := shard[k]; ok && owner != workspace {
+			return "one of its keys belongs to workspace " + owner
 		}
 		shard[k] = workspace
 	}
@@ -165,42 +169,46 @@
 	if !ok {
 		return "is unknown"
 	}
-	b.takeKeys(name, w.keys)
-	b.next.locked -= count(w.locked)
+	b.releaseKeys(name, w.keys)
+	b.next.locked -= boolToInt(w.locked)
 	delete(shard, name)
 	return ""
 }
 
-// keyShard returns the map for a key, safe to write.
+// keyShard returns the map that holds a key, as a copy that the builder may
+// change.
 func (b *builder) keyShard(key vetchtrail.KeyHash) map[vetchtrail.KeyHash]string {
 	i := keyShardOf(key)
-	if !b.shown[i] {
-		b.shown[i] = true
-		b.next.holders[i] = maps.Clone(b.next.holders[i])
-		if b.next.holders[i] == nil {
-			b.next.holders[i] = map[vetchtrail.KeyHash]string{}
+	if !b.copiedKeys[i] {
+		b.copiedKeys[i] = true
+		b.next.keyOwners[i] = maps.Clone(b.next.keyOwners[i])
+		if b.next.keyOwners[i] == nil {
+			b.next.keyOwners[i] = map[vetchtrail.KeyHash]string{}
 		}
 	}
-	return b.next.holders[i]
+	return b.next.keyOwners[i]
 }
 
-func count(is bool) int {
-	if is {
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-func shardOf(name string) int { return int(xxhash.Sum64String(name) % workspaceShards) }
+// workspaceShardOf returns the index of the shard that holds a workspace.
+func workspaceShardOf(name string) int { return int(xxhash.Sum64String(name) % shardCount) }
 
-// keyShardOf takes a byte of the hash, which is as good as random.
-func keyShardOf(key vetchtrail.KeyHash) int { return int(key[0]) % workspaceShards }
+// keyShardOf returns the index of the shard that holds a key. The first byte of
+// the hash spreads keys evenly.
+func keyShardOf(key vetchtrail.KeyHash) int { return int(key[0]) % shardCount }
 
-// shard returns the map for a workspace, safe to write.
+// shard returns the map that holds a workspace, as a copy that the
+// builder may change.
 func (b *builder) shard(name string) map[string]workspace {
-	i := shardOf(name)
-	if !b.copied[i] {
-		b.copied[i] = true
+	i := workspaceShardOf(name)
+	if !b.copiedWorkspaces[i] {
+		b.copiedWorkspaces[i] = true
 		b.next.workspaces[i] = maps.Clone(b.next.workspaces[i])
 		if b.next.workspaces[i] == nil {
 			b.next.workspaces[i] = map[string]workspace{}
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -14,7 +14,7 @@
 
 func put(w vetchtrail.Workspace) vetchtrail.Edit { return vetchtrail.PutWorkspace{Workspace: w} }
 
-func keys(texts ...string) []vetchtrail.KeyHash {
+func keyHashes(texts ...string) []vetchtrail.KeyHash {
 	var out []vetchtrail.KeyHash
 	for _, text := range texts {
 		out = append(out, vetchtrail.HashKey(text))
@@ -22,42 +22,46 @@
 	return out
 }
 
-// TestHolder: whose a key is, after changes.
-func TestHolder(t *testing.T) {
-	first := put(vetchtrail.Workspace{Name: "w", Keys: keys("old", "stays")})
+// TestKeyOwner checks which workspace owns a key after changes. A removed key
+// must not identify its former workspace any longer, the configuration before
+// the change must be unmodified, and a snapshot must give the same keys again.
+func TestKeyOwner(t *testing.T) {
+	first := put(vetchtrail.Workspace{Name: "w", Keys: keyHashes("old", "stays")})
 	cases := map[string]struct {
-		edits   []vetchtrail.Edit
-		holders map[string]string // by key; empty: nobody's
+		edits  []vetchtrail.Edit
+		owners map[string]string // workspace by key; empty: none
 	}{
-		"added":           {nil, map[string]string{"old": "w", "stays": "w", "new": ""}},
-		"replaced":        {[]vetchtrail.Edit{put(vetchtrail.Workspace{Name: "w", Keys: keys("stays", "new")})}, map[string]string{"old": "", "stays": "w", "new": "w"}},
-		"all taken away":  {[]vetchtrail.Edit{put(vetchtrail.Workspace{Name: "w"})}, map[string]string{"old": "", "stays": ""}},
-		"workspace gone":  {[]vetchtrail.Edit{vetchtrail.Remove{Kind: vetchtrail.ItemWorkspace, Name: "w"}}, map[string]string{"old": "", "stays": ""}},
-		"given elsewhere": {[]vetchtrail.Edit{put(vetchtrail.Workspace{Name: "w", Keys: keys("stays")}), put(vetchtrail.Workspace{Name: "x", Keys: keys("old")})}, map[string]string{"old": "x", "stays": "w"}},
+		"no change":    {nil, map[string]string{"old": "w", "stays": "w", "new": ""}},
+		"key replaced": {[]vetchtrail.Edit{put(vetchtrail.Workspace{Name: "w", Keys: keyHashes("stays", "new")})}, map[string]string{"old": "", "stays": "w", "new": "w"}},
+		"all removed":  {[]vetchtrail.Edit{put(vetchtrail.Workspace{Name: "w"})}, map[string]string{"old": "", "stays": ""}},
+		"no workspace": {[]vetchtrail.Edit{vetchtrail.Remove{Kind: vetchtrail.ItemWorkspace, Name: "w"}}, map[string]string{"old": "", "stays": ""}},
+		"key moved":    {[]vetchtrail.Edit{put(vetchtrail.Workspace{Name: "w", Keys: keyHashes("stays")}), put(vetchtrail.Workspace{Name: "x", Keys: keyHashes("old")})}, map[string]string{"old": "x", "stays": "w"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			before, err := Empty().Apply(vetchtrail.Change{Edits: append(base(), first)})
+			before, err := Empty().Apply(vetchtrail.Change{Edits: append(baseEdits(), first)})
 			assert.NilError(t, err)
 			after, err := before.Build(c.edits)
 			assert.NilError(t, err)
-			for key, want := range c.holders {
+			for key, want := range c.owners {
 				got, _ := after.Holder(vetchtrail.HashKey(key))
 				assert.Equal(t, got, want, key)
 			}
 			got, _ := before.Holder(vetchtrail.HashKey("old"))
-			assert.Equal(t, got, "w", "the rules before were touched")
+			assert.Equal(t, got, "w", "the configuration before the change was modified")
 			assert.Assert(t, before.Locked("w") && before.AnyLocked())
-			again, err := Restore(after.Edits(), 1)
+			restored, err := Restore(after.Edits(), 1)
 			assert.NilError(t, err)
-			assert.Equal(t, fmt.Sprint(again.Edits()), fmt.Sprint(after.Edits()))
+			assert.Equal(t, fmt.Sprint(restored.Edits()), fmt.Sprint(after.Edits()))
 		})
 	}
 }
 
-// TestBadWorkspaces: each is a typed error, without the key, and changes nothing.
-func TestBadWorkspaces(t *testing.T) {
-	held, err := Empty().Apply(vetchtrail.Change{Edits: append(base(), put(vetchtrail.Workspace{Name: "w", Keys: keys("secret")}))})
+// TestInvalidWorkspaces checks that an invalid workspace is rejected with a
+// ChangeError. Its text must not contain the key, since it goes to logs and to
+// other operators, and the key must stay with its workspace.
+func TestInvalidWorkspaces(t *testing.T) {
+	config, err := Empty().Apply(vetchtrail.Change{Edits: append(baseEdits(), put(vetchtrail.Workspace{Name: "w", Keys: keyHashes("secret")}))})
 	assert.NilError(t, err)
 	many := make([]vetchtrail.KeyHash, maxKeys+1)
 	for i := range many {
@@ -67,28 +71,30 @@
 		workspace vetchtrail.Workspace
 		text      string
 	}{
-		"another's key":   {vetchtrail.Workspace{Name: "x", Keys: keys("secret")}, "one of its keys is that of workspace w"},
-		"too many keys":   {vetchtrail.Workspace{Name: "x", Keys: many}, "it has over 32 keys"},
-		"negative rate":   {vetchtrail.Workspace{Name: "x", Quota: vetchtrail.Quota{Rate: -1}}, "a number of its quota is below 0 or no number"},
-		"rate no number":  {vetchtrail.Workspace{Name: "x", Quota: vetchtrail.Quota{Rate: math.NaN()}}, "a number of its quota is below 0 or no number"},
-		"endless burst":   {vetchtrail.Workspace{Name: "x", Quota: vetchtrail.Quota{Rate: 1, Burst: math.Inf(1)}}, "a number of its quota is below 0 or no number"},
+		"another's key":   {vetchtrail.Workspace{Name: "x", Keys: keyHashes("secret")}, "one of its keys belongs to workspace w"},
+		"too many keys":   {vetchtrail.Workspace{Name: "x", Keys: many}, "it has more than 32 keys"},
+		"negative rate":   {vetchtrail.Workspace{Name: "x", Quota: vetchtrail.Quota{Rate: -1}}, "a number of its quota is negative or not finite"},
+		"rate not finite": {vetchtrail.Workspace{Name: "x", Quota: vetchtrail.Quota{Rate: math.NaN()}}, "a number of its quota is negative or not finite"},
+		"infinite burst":  {vetchtrail.Workspace{Name: "x", Quota: vetchtrail.Quota{Rate: 1, Burst: math.Inf(1)}}, "a number of its quota is negative or not finite"},
 		"burst, no rate":  {vetchtrail.Workspace{Name: "x", Quota: vetchtrail.Quota{Burst: 1}}, "its quota has a burst but no rate"},
-		"unknown home":    {vetchtrail.Workspace{Name: "x", Home: "east"}, "names the unknown region east"},
-		"unknown allowed": {vetchtrail.Workspace{Name: "x", Allowed: []string{"east"}}, "names the unknown region east"},
+		"unknown home":    {vetchtrail.Workspace{Name: "x", Home: "east"}, "refers to unknown region east"},
+		"unknown allowed": {vetchtrail.Workspace{Name: "x", Allowed: []string{"east"}}, "refers to unknown region east"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := held.Build([]vetchtrail.Edit{put(c.workspace)})
-			var wrong *vetchtrail.ChangeError
-			assert.Assert(t, errors.As(err, &wrong), "%v", err)
-			assert.Equal(t, wrong.Text, c.text)
-			got, _ := held.Holder(vetchtrail.HashKey("secret"))
+			_, err := config.Build([]vetchtrail.Edit{put(c.workspace)})
+			var changeErr *vetchtrail.ChangeError
+			assert.Assert(t, errors.As(err, &changeErr), "%v", err)
+			assert.Equal(t, changeErr.Text, c.text)
+			got, _ := config.Holder(vetchtrail.HashKey("secret"))
 			assert.Equal(t, got, "w")
 		})
 	}
 }
 
-// TestJudgeRoute: where requests of a route with a workspace may run, and in what order.
+// TestJudgeRoute checks where requests of a route may be processed and with what
+// priority. The homes of the route and the allowed regions of the workspace must
+// both hold, and a request must not run if its route or its workspace is gone.
 func TestJudgeRoute(t *testing.T) {
 	route := func(name string, rank int8, keyed bool, homes ...string) vetchtrail.Edit {
 		return vetchtrail.PutRoute{Route: vetchtrail.Route{
@@ -96,51 +102,51 @@
 			Targets: []vetchtrail.Target{{Service: "quotes", Weight: 1}},
 		}}
 	}
-	r, err := Empty().Build(append(base(), route("open", 1, false), route("keyed", 1, true), route("south", 0, true, "south"), route("low", 7, true),
+	r, err := Empty().Build(append(baseEdits(), route("open", 1, false), route("keyed", 1, true), route("south", 0, true, "south"), route("low", 7, true),
 		put(vetchtrail.Workspace{Name: "usual"}), put(vetchtrail.Workspace{Name: "first", Priority: 1}),
 		put(vetchtrail.Workspace{Name: "northern", Allowed: []string{"north"}})))
 	assert.NilError(t, err)
 	cases := map[string]struct {
 		route, workspace string
 		want             Judgement
-		why              vetchtrail.Reason
+		reason           vetchtrail.Reason
 	}{
-		"open, nobody's":         {"open", "", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
-		"keyed":                  {"keyed", "usual", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
-		"keyed, nobody's":        {"keyed", "", Judgement{}, vetchtrail.ReasonNoWorkspace},
-		"workspace gone":         {"keyed", "gone", Judgement{}, vetchtrail.ReasonNoWorkspace},
-		"priority before rank":   {"keyed", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 2}, ""},
-		"low ranks are one":      {"low", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 1}, ""},
-		"home of the workspace":  {"keyed", "northern", Judgement{Allowed: vetchtrail.RegionsOf(1), Priority: -1}, ""},
-		"home of the route":      {"south", "usual", Judgement{Allowed: vetchtrail.RegionsOf(0)}, ""},
-		"homes that don't meet":  {"south", "northern", Judgement{}, vetchtrail.ReasonNoHome},
-		"no such route any more": {"none", "usual", Judgement{}, vetchtrail.ReasonNoRoute},
+		"no key needed":            {"open", "", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
+		"key needed":               {"keyed", "usual", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
+		"key needed, no workspace": {"keyed", "", Judgement{}, vetchtrail.ReasonNoWorkspace},
+		"workspace removed":        {"keyed", "gone", Judgement{}, vetchtrail.ReasonNoWorkspace},
+		"priority before rank":     {"keyed", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 2}, ""},
+		"rank below the last":      {"low", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 1}, ""},
+		"workspace's region":       {"keyed", "northern", Judgement{Allowed: vetchtrail.RegionsOf(1), Priority: -1}, ""},
+		"home of the route":        {"south", "usual", Judgement{Allowed: vetchtrail.RegionsOf(0)}, ""},
+		"no common region":         {"south", "northern", Judgement{}, vetchtrail.ReasonNoHome},
+		"route removed":            {"none", "usual", Judgement{}, vetchtrail.ReasonNoRoute},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			j, why := r.JudgeRoute(c.route, "quotes", c.workspace, 0)
-			assert.Equal(t, why, c.why)
+			j, reason := r.JudgeRoute(c.route, "quotes", c.workspace, 0)
+			assert.Equal(t, reason, c.reason)
 			assert.Equal(t, j, c.want)
 		})
 	}
 }
 
-// BenchmarkHolder looks up a key among 38,000 workspaces of two keys each: 190 ns and no
-// allocation, of which the hash is the most.
+// BenchmarkHolder measures the lookup of a key among 38,000 workspaces of two
+// keys each. Most of the time goes into hashing the key; nothing is allocated.
 func BenchmarkHolder(b *testing.B) {
 	var edits []vetchtrail.Edit
 	for i := range 38_000 {
-		edits = append(edits, put(vetchtrail.Workspace{Name: fmt.Sprint("w", i), Keys: keys(fmt.Sprint("key-number-", i), fmt.Sprint("other-key-", i))}))
+		edits = append(edits, put(vetchtrail.Workspace{Name: fmt.Sprint("w", i), Keys: keyHashes(fmt.Sprint("key-number-", i), fmt.Sprint("other-key-", i))}))
 	}
 	r, err := Empty().Build(edits)
 	assert.NilError(b, err)
-	shown := make([]string, 1024)
-	for i := range shown {
-		shown[i] = fmt.Sprint("key-number-", i*37)
+	lookups := make([]string, 1024)
+	for i := range lookups {
+		lookups[i] = fmt.Sprint("key-number-", i*37)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, ok := r.Holder(vetchtrail.HashKey(shown[i%len(shown)])); !ok {
+		if _, ok := r.Holder(vetchtrail.HashKey(lookups[i%len(lookups)])); !ok {
 			b.Fatal("not found")
 		}
 	}
