--- a/schema/convert.go
+++ b/schema/convert.go
@@ -9,7 +9,7 @@
 	"vetchtrail"
 )
 
-// FromChange returns the message for a change.
+// FromChange returns the message for a change of the configuration.
 func FromChange(c vetchtrail.Change) *Change {
 	return &Change{
 		Id:       c.ID,
@@ -22,7 +22,7 @@
 	}
 }
 
-// ToChange returns the change of a message.
+// ToChange returns the change that a message contains.
 func ToChange(m *Change) (vetchtrail.Change, error) {
 	edits, err := ToEdits(m.GetEdits())
 	if err != nil {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// ToEdits returns the edits of messages.
+// ToEdits returns the edits that messages contain.
 func ToEdits(in []*Edit) ([]vetchtrail.Edit, error) {
 	out := make([]vetchtrail.Edit, 0, len(in))
 	for i, m := range in {
@@ -88,7 +88,7 @@
 	case *Edit_PutRegion:
 		p := e.PutRegion
 		if p.GetId() >= vetchtrail.MaxRegions {
-			return nil, errors.Errorf("region id %d: at most %d", p.GetId(), vetchtrail.MaxRegions-1)
+			return nil, errors.Errorf("region id %d is above %d", p.GetId(), vetchtrail.MaxRegions-1)
 		}
 		return vetchtrail.PutRegion{Region: vetchtrail.Region{
 			ID: vetchtrail.RegionID(p.GetId()), Name: p.GetName(), DataCentres: p.GetDataCentres(),
@@ -96,8 +96,8 @@
 	case *Edit_PutService:
 		return vetchtrail.PutService{Service: toService(e.PutService)}, nil
 	case *Edit_PutEndpoint:
-		end, err := toEndpoint(e.PutEndpoint)
-		return vetchtrail.PutEndpoint{Endpoint: end}, err
+		endpoint, err := toEndpoint(e.PutEndpoint)
+		return vetchtrail.PutEndpoint{Endpoint: endpoint}, err
 	case *Edit_PutWorkspace:
 		w, err := toWorkspace(e.PutWorkspace)
 		return vetchtrail.PutWorkspace{Workspace: w}, err
@@ -108,7 +108,7 @@
 	case *Edit_Remove:
 		return vetchtrail.Remove{Kind: vetchtrail.ItemKind(e.Remove.GetKind()), Name: e.Remove.GetName()}, nil
 	}
-	return nil, errors.New("an edit of a kind unknown to this version")
+	return nil, errors.New("unknown kind of edit: it may come from a newer version")
 }
 
 func fromRoute(r vetchtrail.Route) *Route {
@@ -152,7 +152,7 @@
 	}
 	for _, k := range m.GetKeyHashes() {
 		if len(k) != len(vetchtrail.KeyHash{}) {
-			return w, errors.Errorf("workspace %s: the hash of a key has %d bytes", m.GetName(), len(k))
+			return w, errors.Errorf("workspace %s: a key hash has %d bytes", m.GetName(), len(k))
 		}
 		w.Keys = append(w.Keys, vetchtrail.KeyHash(k))
 	}
@@ -189,7 +189,7 @@
 func toEndpoint(m *Endpoint) (vetchtrail.Endpoint, error) {
 	addr, err := netip.ParseAddrPort(m.GetAddr())
 	if err != nil {
-		return vetchtrail.Endpoint{}, errors.Wrapf(err, "endpoint %s: address", m.GetName())
+		return vetchtrail.Endpoint{}, errors.Wrapf(err, "address of endpoint %s", m.GetName())
 	}
 	return vetchtrail.Endpoint{
 		Name: m.GetName(), Service: m.GetService(), Region: m.GetRegion(), DataCentre: m.GetDataCentre(),
@@ -197,8 +197,9 @@
 	}, nil
 }
 
-// FromRequest returns the message that passes a request on. Its times are told
-// as what is left of them at now, as clocks of hosts differ.
+// FromRequest returns the message that forwards a request to another host.
+// Deadlines are sent as the time that remains at now, since hosts' clocks differ.
+// The caller's credential is not sent: the receiver relies on the workspace.
 func FromRequest(r *vetchtrail.Request, now time.Time) *ForwardRequest {
 	return &ForwardRequest{
 		Id: r.ID, Service: r.Service, Kind: uint32(r.Kind), Workspace: r.Workspace,
@@ -207,20 +208,21 @@
 		Method: r.Method, Path: r.Path, Header: FromHeader(r.Header), Body: r.Body,
 		Stream: r.Stream, Tokens: int32(r.Tokens), Key: r.Key, Repeats: r.Repeats,
 		Resume: &StreamPosition{Endpoint: r.Resume.Endpoint, Stream: r.Resume.Stream, Offset: int32(r.Resume.Offset)},
-		Route:  r.Route, GoalRemaining: left(r.Goal, now), Prompt: fromPrompt(r.Prompt), Resumable: r.Resumable, LastEvent: r.LastEvent,
-		Begun: r.Begun, PatienceRemaining: left(r.Patience, now),
+		Route:  r.Route, GoalRemaining: remaining(r.Goal, now), Prompt: fromPrompt(r.Prompt), Resumable: r.Resumable, LastEvent: r.LastEvent,
+		Begun: r.Begun, PatienceRemaining: remaining(r.Patience, now),
 		AnswerTokens: uint32(r.AnswerTokens), MostTokens: uint32(r.MostTokens), Fresh: r.Fresh,
-		BeginRemaining: left(r.BeginBy, now), Digest: fromDigest(r),
+		BeginRemaining: remaining(r.BeginBy, now), Digest: contentHashOf(r),
 	}
 }
 
-// fromDigest is a request's digest if it was taken, so that no other host takes it again.
-func fromDigest(r *vetchtrail.Request) []byte {
-	d, ok := r.KnownDigest()
+// contentHashOf returns the content hash of a request if it is known already, so
+// that the receiver need not compute it again.
+func contentHashOf(r *vetchtrail.Request) []byte {
+	hash, ok := r.KnownDigest()
 	if !ok {
 		return nil
 	}
-	return d[:]
+	return hash[:]
 }
 
 func fromPrompt(in []vetchtrail.PromptPart) []*PromptPart {
@@ -239,28 +241,30 @@
 	return out
 }
 
-// left is the time from now to a moment; 0 for none.
-func left(t, now time.Time) int64 {
+// remaining returns the nanoseconds from now to a moment, or 0 for the zero time.
+func remaining(t, now time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return int64(t.Sub(now))
 }
 
-// after is the moment that is left away from now; none for 0.
-func after(left int64, now time.Time) time.Time {
-	if left == 0 {
+// timeAfter reverses remaining: it returns the moment some nanoseconds after now,
+// or the zero time for 0.
+func timeAfter(nanos int64, now time.Time) time.Time {
+	if nanos == 0 {
 		return time.Time{}
 	}
-	return now.Add(time.Duration(left))
+	return now.Add(time.Duration(nanos))
 }
 
-// ToRequest returns the request of a message that arrived now.
+// ToRequest returns the request of a message that arrived now. A content hash of
+// the wrong length is ignored, and is then computed again when it is needed.
 func ToRequest(m *ForwardRequest, now time.Time) (*vetchtrail.Request, error) {
 	if m.GetHome() >= vetchtrail.MaxRegions || m.GetEntry() >= vetchtrail.MaxRegions {
 		return nil, errors.New("schema.ToRequest: region id out of range")
 	}
-	p := m.GetResume()
+	position := m.GetResume()
 	r := &vetchtrail.Request{
 		ID: m.GetId(), Service: m.GetService(), Kind: vetchtrail.ServiceKind(m.GetKind()), Workspace: m.GetWorkspace(),
 		Home: vetchtrail.RegionID(m.GetHome()), Entry: vetchtrail.RegionID(m.GetEntry()),
@@ -268,15 +272,15 @@
 		Deadline: now.Add(time.Duration(m.GetRemaining())), Hops: int(m.GetHops()), Revision: m.GetRevision(),
 		Method: m.GetMethod(), Path: m.GetPath(), Header: ToHeader(m.GetHeader()), Body: m.GetBody(),
 		Stream: m.GetStream(), Tokens: int(m.GetTokens()), Key: m.GetKey(), Repeats: m.GetRepeats(),
-		Resume: vetchtrail.StreamPosition{Endpoint: p.GetEndpoint(), Stream: p.GetStream(), Offset: int(p.GetOffset())},
-		Route:  m.GetRoute(), Goal: after(m.GetGoalRemaining(), now), Prompt: toPrompt(m.GetPrompt()),
+		Resume: vetchtrail.StreamPosition{Endpoint: position.GetEndpoint(), Stream: position.GetStream(), Offset: int(position.GetOffset())},
+		Route:  m.GetRoute(), Goal: timeAfter(m.GetGoalRemaining(), now), Prompt: toPrompt(m.GetPrompt()),
 		Resumable: m.GetResumable(), LastEvent: m.GetLastEvent(),
-		Begun: m.GetBegun(), Patience: after(m.GetPatienceRemaining(), now),
+		Begun: m.GetBegun(), Patience: timeAfter(m.GetPatienceRemaining(), now),
 		AnswerTokens: int(m.GetAnswerTokens()), MostTokens: int(m.GetMostTokens()), Fresh: m.GetFresh(),
-		BeginBy: after(m.GetBeginRemaining(), now),
+		BeginBy: timeAfter(m.GetBeginRemaining(), now),
 	}
-	if d, err := ToDigest(m.GetDigest()); err == nil {
-		r.Digested(d)
+	if hash, err := ToDigest(m.GetDigest()); err == nil {
+		r.Digested(hash)
 	}
 	return r, nil
 }
@@ -290,7 +294,7 @@
 	return out
 }
 
-// ToHeader returns the header fields of messages.
+// ToHeader returns the header fields that messages contain.
 func ToHeader(in []*HeaderField) []vetchtrail.HeaderField {
 	out := make([]vetchtrail.HeaderField, 0, len(in))
 	for _, f := range in {
@@ -299,11 +303,11 @@
 	return out
 }
 
-// FromOutcome returns the message for an outcome.
+// FromOutcome returns the message for the outcome of a forwarded request.
 func FromOutcome(o vetchtrail.Outcome, now time.Time) *Outcome {
 	m := &Outcome{
 		Kind: uint32(o.Kind), Status: int32(o.Status), Step: string(o.Step), Peer: o.Peer,
-		Reason: string(o.Reason), RetryAfter: left(o.RetryAt, now), Begun: o.Begun,
+		Reason: string(o.Reason), RetryAfter: remaining(o.RetryAt, now), Begun: o.Begun,
 	}
 	if o.Err != nil {
 		m.Error = o.Err.Error()
@@ -311,11 +315,11 @@
 	return m
 }
 
-// ToOutcome returns the outcome of a message.
+// ToOutcome returns the outcome of a message that arrived now.
 func ToOutcome(m *Outcome, now time.Time) vetchtrail.Outcome {
 	o := vetchtrail.Outcome{
 		Kind: vetchtrail.OutcomeKind(m.GetKind()), Status: int(m.GetStatus()), Step: vetchtrail.Step(m.GetStep()),
-		Peer: m.GetPeer(), Reason: vetchtrail.Reason(m.GetReason()), RetryAt: after(m.GetRetryAfter(), now), Begun: m.GetBegun(),
+		Peer: m.GetPeer(), Reason: vetchtrail.Reason(m.GetReason()), RetryAt: timeAfter(m.GetRetryAfter(), now), Begun: m.GetBegun(),
 	}
 	if m.GetError() != "" {
 		o.Err = errors.New(m.GetError())
@@ -323,7 +327,8 @@
 	return o
 }
 
-// Nanos is a moment as messages hold it; 0: none.
+// Nanos returns a moment as messages contain it: Unix nanoseconds, or 0 for the
+// zero time.
 func Nanos(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -331,7 +336,7 @@
 	return t.UnixNano()
 }
 
-// Moment is the moment that messages hold so.
+// Moment reverses Nanos.
 func Moment(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
--- a/schema/convert_test.go
+++ b/schema/convert_test.go
@@ -9,31 +9,34 @@
 	"vetchtrail"
 )
 
-// TestPassedOn: what a host that is passed a request knows of it, by its own clock.
-func TestPassedOn(t *testing.T) {
-	there := time.Unix(1_800_000_000, 0)
-	here := there.Add(-3 * time.Hour) // clocks differ
-	cases := map[string]struct{ fresh bool }{"a first try": {true}, "one that came back": {false}}
+// TestForwardedRequest checks a request that is forwarded to a host whose clock
+// differs by hours. Its deadlines must be as far away there as here, and the hash
+// of the caller's key must not leave the host.
+func TestForwardedRequest(t *testing.T) {
+	senderNow := time.Unix(1_800_000_000, 0)
+	receiverNow := senderNow.Add(-3 * time.Hour)
+	cases := map[string]struct{ fresh bool }{"first attempt": {true}, "retry": {false}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := &vetchtrail.Request{
-				ID: "x", Workspace: "w", Credential: vetchtrail.HashKey("secret"), Fresh: c.fresh, Deadline: there.Add(9 * time.Second),
-				Goal: there.Add(time.Second), BeginBy: there.Add(3 * time.Second),
+				ID: "x", Workspace: "w", Credential: vetchtrail.HashKey("secret"), Fresh: c.fresh, Deadline: senderNow.Add(9 * time.Second),
+				Goal: senderNow.Add(time.Second), BeginBy: senderNow.Add(3 * time.Second),
 			}
-			got, err := ToRequest(FromRequest(r, there), here)
+			got, err := ToRequest(FromRequest(r, senderNow), receiverNow)
 			assert.NilError(t, err)
 			assert.Equal(t, got.Fresh, c.fresh)
-			assert.Equal(t, got.BeginBy, here.Add(3*time.Second))
-			assert.Equal(t, got.Deadline, here.Add(9*time.Second))
+			assert.Equal(t, got.BeginBy, receiverNow.Add(3*time.Second))
+			assert.Equal(t, got.Deadline, receiverNow.Add(9*time.Second))
 			assert.Equal(t, got.Workspace, "w")
-			assert.Equal(t, got.Credential, vetchtrail.KeyHash{}, "the key's hash is passed on")
+			assert.Equal(t, got.Credential, vetchtrail.KeyHash{}, "the hash of the caller's key was forwarded")
 		})
 	}
 }
 
-// TestWorkspaces: a configuration's workspaces and routes are the same after the way to
-// another host.
-func TestWorkspaces(t *testing.T) {
+// TestEditsRoundTrip checks that the edits of workspaces and routes are the same
+// after conversion to messages and back, so that no field gets lost on the way to
+// another host. A key hash of the wrong length must be an error.
+func TestEditsRoundTrip(t *testing.T) {
 	edits := []vetchtrail.Edit{
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{
 			Name: "w", Home: "a", Allowed: []string{"a"}, Priority: -1, Keys: []vetchtrail.KeyHash{vetchtrail.HashKey("secret")}, Locked: true,
@@ -44,8 +47,8 @@
 	got, err := ToEdits(FromEdits(edits))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, edits)
-	bad := FromEdits(edits)
-	bad[0].GetPutWorkspace().KeyHashes[0] = []byte("short")
-	_, err = ToEdits(bad)
-	assert.ErrorContains(t, err, "the hash of a key has 5 bytes")
+	invalid := FromEdits(edits)
+	invalid[0].GetPutWorkspace().KeyHashes[0] = []byte("short")
+	_, err = ToEdits(invalid)
+	assert.ErrorContains(t, err, "a key hash has 5 bytes")
 }
--- a/schema/doc.go
+++ b/schema/doc.go
@@ -1,4 +1,9 @@
-// Package schema holds the one schema file of operators' calls and of the
-// messages between hosts, its generated code, and the conversions to the
-// domain types of the root package.
+// Package schema defines the messages of the calls between hosts and between
+// operators and hosts. It consists of the protobuf file, the code generated from
+// it, and conversions between messages and the domain types of the root package.
+//
+// Hosts' clocks differ, so messages between hosts give a moment as its distance
+// from the time of sending. Receivers add it to the time of arrival and thereby
+// neglect the time on the way. A moment that only identifies or describes
+// something, such as an endpoint's start time, is sent as Unix nanoseconds.
 package schema
--- a/schema/generate.sh
+++ b/schema/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Makes the generated code again from the schema. Not needed to build.
+# Regenerates the Go code from vetchtrail.proto. A build doesn't need it.
 set -eu
 cd "$(dirname "$0")"
 protoc --go_out=. --go_opt=paths=source_relative \
--- /dev/null
+++ b/schema/leaving.go
@@ -0,0 +1,28 @@
+package schema
+
+import (
+	"time"
+
+	"vetchtrail"
+)
+
+// FromLeaves returns the message which reports that a process instance of an
+// endpoint announced at a moment that it is leaving. The endpoint is identified
+// by the short form of its name, and the moment is sent as its age at now.
+func FromLeaves(short uint32, startedAt, announcedAt, now time.Time) *EndpointLeaves {
+	m := &EndpointLeaves{Endpoint: short, AgeMillis: uint32(max(0, now.Sub(announcedAt).Milliseconds()))}
+	if !startedAt.IsZero() {
+		m.Born = startedAt.UnixNano()
+	}
+	return m
+}
+
+// ToLeaves returns what a message that arrived now reports, and the start time of
+// the process instance that is leaving; zero: not known.
+func ToLeaves(m *EndpointLeaves, now time.Time) (n vetchtrail.Notice, startedAt time.Time) {
+	if m.GetBorn() != 0 {
+		startedAt = time.Unix(0, m.GetBorn())
+	}
+	announcedAt := now.Add(-time.Duration(m.GetAgeMillis()) * time.Millisecond)
+	return vetchtrail.Notice{Leaving: true, Asked: announcedAt, Heard: announcedAt}, startedAt
+}
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// digestSize is the length of a digest, in bytes.
-	digestSize = len(vetchtrail.Digest{})
-	// mostStrikes bounds a strike that another host tells: each doubles the time of a hold.
-	mostStrikes = 1 << 16
+	// contentHashBytes is the length of a request's content hash, which
+	// messages call its digest.
+	contentHashBytes = len(vetchtrail.Digest{})
+	// maxTimesQuarantined limits how often another host may report that a
+	// request was quarantined. Each time doubles the length of a quarantine.
+	maxTimesQuarantined = 1 << 16
 )
 
-// ErrDigest is a digest of another length.
-var ErrDigest = errors.Errorf("a digest has %d bytes", digestSize)
+// ErrContentHash means that a content hash doesn't have the right length.
+var ErrContentHash = errors.Errorf("a content hash must have %d bytes", contentHashBytes)
 
-// FromHolds returns the messages for holds, whose times are told as what is left of them at
-// now.
+// FromHolds returns the messages for quarantine entries. Moments are sent as
+// their distance from now, which is on the clock that also runs while the
+// machine is suspended, as the entries are.
 func FromHolds(holds []vetchtrail.Hold, now time.Time) []*Hold {
 	out := make([]*Hold, 0, len(holds))
 	for _, h := range holds {
@@ -28,7 +31,7 @@
 	return out
 }
 
-// FromHold returns the message for a hold.
+// FromHold returns the message for a quarantine entry, as FromHolds does.
 func FromHold(h vetchtrail.Hold, now time.Time) *Hold {
 	return &Hold{
 		Digest: h.Digest[:], Strike: h.Strike, Ends: uint32(h.Ends), Age: int64(now.Sub(h.Since)),
@@ -36,8 +39,8 @@
 	}
 }
 
-// ToHolds returns the holds of messages that arrived now. One that can't be read is an error:
-// none is taken.
+// ToHolds returns the quarantine entries of messages that arrived now. If one of
+// them is invalid, it returns an error and no entries.
 func ToHolds(in []*Hold, now time.Time) ([]vetchtrail.Hold, error) {
 	out := make([]vetchtrail.Hold, 0, len(in))
 	for _, m := range in {
@@ -50,25 +53,25 @@
 	return out, nil
 }
 
-// ToHold returns the hold of a message that arrived now.
+// ToHold returns the quarantine entry of a message that arrived now.
 func ToHold(m *Hold, now time.Time) (vetchtrail.Hold, error) {
-	d, err := ToDigest(m.GetDigest())
+	hash, err := ToDigest(m.GetDigest())
 	if err != nil {
 		return vetchtrail.Hold{}, errors.Wrap(err, "schema.ToHold")
 	}
-	if m.GetStrike() == 0 || m.GetStrike() > mostStrikes {
-		return vetchtrail.Hold{}, errors.Errorf("schema.ToHold: strike %d of a hold", m.GetStrike())
+	if m.GetStrike() == 0 || m.GetStrike() > maxTimesQuarantined {
+		return vetchtrail.Hold{}, errors.Errorf("schema.ToHold: strike %d is out of range", m.GetStrike())
 	}
 	return vetchtrail.Hold{
-		Digest: d, Strike: m.GetStrike(), Ends: int(m.GetEnds()), Since: now.Add(-time.Duration(max(0, m.GetAge()))),
+		Digest: hash, Strike: m.GetStrike(), Ends: int(m.GetEnds()), Since: now.Add(-time.Duration(max(0, m.GetAge()))),
 		Until: now.Add(time.Duration(m.GetRemaining())), Released: m.GetReleased(),
 	}, nil
 }
 
-// ToDigest reads a digest.
+// ToDigest returns the content hash of a request from its bytes in a message.
 func ToDigest(in []byte) (vetchtrail.Digest, error) {
-	if len(in) != digestSize {
-		return vetchtrail.Digest{}, ErrDigest
+	if len(in) != contentHashBytes {
+		return vetchtrail.Digest{}, ErrContentHash
 	}
 	return vetchtrail.Digest(in), nil
 }
--- a/schema/rate.go
+++ b/schema/rate.go
@@ -9,27 +9,30 @@
 	"vetchtrail"
 )
 
-// longestAge bounds the ages that another host tells of an endpoint's word: one that is older than
-// any process is no word.
-const longestAge = 365 * 24 * time.Hour
+// maxRateAge limits the age of a rate limit that another host reports. No process
+// of an endpoint runs for a year, so the limit of an older one can't be in force.
+const maxRateAge = 365 * 24 * time.Hour
 
-// FromRateLimit returns the message for what an endpoint said of the requests that it takes.
-func FromRateLimit(name string, born time.Time, l vetchtrail.RateLimit, now time.Time) *EndpointRate {
+// FromRateLimit returns the message for the rate limit that a process instance of
+// an endpoint advertised in an answer. The moments of the request and of the
+// answer are sent as their ages at now.
+func FromRateLimit(name string, startedAt time.Time, l vetchtrail.RateLimit, now time.Time) *EndpointRate {
 	m := &EndpointRate{Endpoint: name, Named: l.Named, Rate: l.Rate, AskedAge: int64(now.Sub(l.Asked)), HeardAge: int64(now.Sub(l.Heard))}
-	if !born.IsZero() {
-		m.Born = born.UnixNano()
+	if !startedAt.IsZero() {
+		m.Born = startedAt.UnixNano()
 	}
 	return m
 }
 
-// ToRateLimit returns what a message that arrived now tells, and the start of the life that said so.
-func ToRateLimit(m *EndpointRate, now time.Time) (l vetchtrail.RateLimit, born time.Time, err error) {
-	asked, heard := time.Duration(m.GetAskedAge()), time.Duration(m.GetHeardAge())
-	if !(m.GetRate() >= 0) || math.IsInf(m.GetRate(), 0) || heard < 0 || asked < heard || asked > longestAge {
-		return l, born, errors.Errorf("schema.ToRateLimit: rate %g of %s to %s ago", m.GetRate(), asked, heard)
+// ToRateLimit returns the rate limit of a message that arrived now, and the start
+// time of the process instance that advertised it; zero: not known.
+func ToRateLimit(m *EndpointRate, now time.Time) (l vetchtrail.RateLimit, startedAt time.Time, err error) {
+	requestAge, answerAge := time.Duration(m.GetAskedAge()), time.Duration(m.GetHeardAge())
+	if !(m.GetRate() >= 0) || math.IsInf(m.GetRate(), 0) || answerAge < 0 || requestAge < answerAge || requestAge > maxRateAge {
+		return l, startedAt, errors.Errorf("schema.ToRateLimit: invalid rate %g, or invalid ages of request (%s) and answer (%s)", m.GetRate(), requestAge, answerAge)
 	}
 	if m.GetBorn() != 0 {
-		born = time.Unix(0, m.GetBorn())
+		startedAt = time.Unix(0, m.GetBorn())
 	}
-	return vetchtrail.RateLimit{Named: m.GetNamed(), Rate: m.GetRate(), Asked: now.Add(-asked), Heard: now.Add(-heard)}, born, nil
+	return vetchtrail.RateLimit{Named: m.GetNamed(), Rate: m.GetRate(), Asked: now.Add(-requestAge), Heard: now.Add(-answerAge)}, startedAt, nil
 }
--- a/schema/rate_test.go
+++ b/schema/rate_test.go
@@ -10,30 +10,31 @@
 	"vetchtrail"
 )
 
-// TestRateLimit: what a host knows of an endpoint's rate arrives with the moments between which it was
-// said, and what can't be is an error.
+// TestRateLimit checks that a rate limit arrives at another host with the same
+// age, although that host's clock differs, and that a message with an impossible
+// rate or age is an error. A wrong age would let an old limit replace a newer one.
 func TestRateLimit(t *testing.T) {
 	sent := time.Unix(1_800_000_000, 0)
-	arrived := sent.Add(time.Hour) // by another clock
-	born := sent.Add(-time.Minute)
+	arrived := sent.Add(time.Hour) // on the receiver's clock
+	startedAt := sent.Add(-time.Minute)
 	l := vetchtrail.RateLimit{Named: true, Rate: 1.9, Asked: sent.Add(-3 * time.Second), Heard: sent.Add(-2 * time.Second)}
-	got, life, err := ToRateLimit(FromRateLimit("e", born, l, sent), arrived)
+	got, gotStartedAt, err := ToRateLimit(FromRateLimit("e", startedAt, l, sent), arrived)
 	assert.NilError(t, err)
 	assert.Equal(t, got, vetchtrail.RateLimit{Named: true, Rate: 1.9, Asked: arrived.Add(-3 * time.Second), Heard: arrived.Add(-2 * time.Second)})
-	assert.Assert(t, life.Equal(born))
-	_, life, err = ToRateLimit(FromRateLimit("e", time.Time{}, l, sent), arrived)
+	assert.Assert(t, gotStartedAt.Equal(startedAt))
+	_, gotStartedAt, err = ToRateLimit(FromRateLimit("e", time.Time{}, l, sent), arrived)
 	assert.NilError(t, err)
-	assert.Assert(t, life.IsZero())
+	assert.Assert(t, gotStartedAt.IsZero())
 	for name, change := range map[string]func(m *EndpointRate){
-		"negative":            func(m *EndpointRate) { m.Rate = -1 },
-		"not a number":        func(m *EndpointRate) { m.Rate = math.NaN() },
-		"infinite":            func(m *EndpointRate) { m.Rate = math.Inf(1) },
-		"heard before asked":  func(m *EndpointRate) { m.HeardAge = m.AskedAge + 1 },
-		"heard in the future": func(m *EndpointRate) { m.HeardAge = -1 },
-		"older than anything": func(m *EndpointRate) { m.AskedAge = math.MaxInt64 },
+		"negative":                  func(m *EndpointRate) { m.Rate = -1 },
+		"not a number":              func(m *EndpointRate) { m.Rate = math.NaN() },
+		"infinite":                  func(m *EndpointRate) { m.Rate = math.Inf(1) },
+		"received before requested": func(m *EndpointRate) { m.HeardAge = m.AskedAge + 1 },
+		"received in the future":    func(m *EndpointRate) { m.HeardAge = -1 },
+		"older than a year":         func(m *EndpointRate) { m.AskedAge = math.MaxInt64 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := FromRateLimit("e", born, l, sent)
+			m := FromRateLimit("e", startedAt, l, sent)
 			change(m)
 			_, _, err := ToRateLimit(m, arrived)
 			assert.Assert(t, err != nil)
