--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -53,7 +53,7 @@
 	store         vetchtrail.Store
 	log           *slog.Logger
 	retryInterval time.Duration
-	current       atomic.Pointer[rules.Rules] // newest configuration held
+	current       atomic.Pointer[rules.Rules] // newest configuration that the host has
 	lastAnswer    atomic.Int64                // when the store last answered, Unix nanoseconds; 0: never
 
 	mu      sync.Mutex          // guards the fields below and every update of current
@@ -175,8 +175,9 @@
 	l.log.Info("configuration in force", "revision", next.Revision())
 }
 
-// LearnSnapshot puts a snapshot in force if it is newer than the configuration
-// held. The changes in memory are dropped, since they end before the snapshot.
+// LearnSnapshot puts a snapshot in force if it is newer than the host's
+// configuration. The changes in memory are dropped, since those between them and
+// the snapshot may be missing.
 func (l *Log) LearnSnapshot(s *schema.Snapshot) error {
 	if s == nil {
 		return nil
@@ -236,8 +237,8 @@
 	return l.Learn([]vetchtrail.Change{c})
 }
 
-// readSnapshot reads the newest snapshot from the store if it is newer than
-// the configuration held.
+// readSnapshot reads the newest snapshot from the store and applies it if it is
+// newer than the host's configuration.
 func (l *Log) readSnapshot(ctx context.Context) error {
 	e, err := l.store.Get(ctx, snapshotKey)
 	if errors.Is(err, vetchtrail.ErrNotFound) {
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -19,8 +19,8 @@
 // the same id shows whether it did.
 var ErrUnsettled = errors.New("the store stopped answering during the write: the change may take effect")
 
-// Check returns the error that Propose would return for a change that isn't
-// valid or conflicts with the configuration held. It writes nothing.
+// Check reports whether a change is valid and fits the configuration that this
+// host holds. It returns the errors of Propose, but writes nothing.
 func (l *Log) Check(c vetchtrail.Change) error { return check(c, l.Rules()) }
 
 func check(c vetchtrail.Change, current *rules.Rules) error {
@@ -31,10 +31,10 @@
 	return err
 }
 
-// Propose appends a change to the log and returns its revision. A change whose
-// id was accepted before isn't written again. If another host wins the next
-// revision, the change is checked against the new configuration and tried at
-// the revision after it.
+// Propose appends a change to the log and returns its revision. If the host's
+// recent changes contain one with the same id, Propose returns its revision and
+// writes nothing. If another host wins the next revision, the change is checked
+// against the new configuration and tried at the revision after it.
 //
 // It returns a *vetchtrail.ChangeError for a change that isn't valid, a
 // *vetchtrail.ConflictError if the configuration has moved on, ErrUnsettled if
@@ -133,8 +133,8 @@
 	return stored.ID == c.ID, nil
 }
 
-// pointer is the value of the snapshot key. It says where the parts of
-// the newest snapshot are.
+// pointer is the value of the snapshot key: it identifies the newest snapshot
+// and how many parts it is stored in.
 type pointer struct {
 	revision uint64
 	parts    int
--- a/version/document/document.go
+++ b/version/document/document.go
@@ -73,7 +73,7 @@
 	Kind         string        `yaml:"kind"`        // unsafe, safe or stream
 	Targets      []Target      `yaml:"targets"`
 	Attempts     int           `yaml:"attempts"`            // endpoints that one request may be sent to
-	AnswerWithin time.Duration `yaml:"answer_within"`       // longest time that a request may be held
+	AnswerWithin time.Duration `yaml:"answer_within"`       // longest time until a request is answered
 	Goal         time.Duration `yaml:"goal"`                // latency objective
 	Rank         int8          `yaml:"rank"`                // 0 is the most urgent
 	Homes        []string      `yaml:"homes,omitempty"`     // regions that may process its requests; empty: all
--- a/version/rules/rules.go
+++ b/version/rules/rules.go
@@ -53,8 +53,7 @@
 	}
 }
 
-// Revision returns the revision: the number of changes since the empty
-// configuration.
+// Revision returns the revision. Apply makes the next one, and Restore sets it.
 func (r *Rules) Revision() uint64 { return r.revision }
 
 // Region returns a region by its name.
--- a/version/rules/workspace.go
+++ b/version/rules/workspace.go
@@ -19,7 +19,7 @@
 const noHome = vetchtrail.MaxRegions
 
 // workspace is the compact form of a vetchtrail.Workspace, since there are tens
-// of thousands. Its regions are held by id, and its name is the map's key.
+// of thousands. It refers to regions by id, and its name is the map's key.
 type workspace struct {
 	allowed  vetchtrail.RegionSet // the only regions that may process its requests; 0: no limit
 	home     uint8                // region id, or noHome
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -93,8 +93,8 @@
 }
 
 // TestJudgeRoute checks where requests of a route may be processed and with what
-// priority. The homes of the route and the allowed regions of the workspace must
-// both hold, and a request must not run if its route or its workspace is gone.
+// priority. Both the homes of the route and the allowed regions of the workspace
+// limit it, and a request must not run if its route or workspace was removed.
 func TestJudgeRoute(t *testing.T) {
 	route := func(name string, rank int8, keyed bool, homes ...string) vetchtrail.Edit {
 		return vetchtrail.PutRoute{Route: vetchtrail.Route{
