--- a/cmd/vetchtraild/main.go
+++ b/cmd/vetchtraild/main.go
@@ -1,14 +1,17 @@
-// Command vetchtraild is the daemon of an entry host.
+// Command vetchtraild is the daemon that runs on each entry host. It receives
+// callers' requests and routes them to endpoints. The package parses the command
+// line, sets up logging and signals, and wires the connections to the platform;
+// the daemon itself is in package process/daemon.
 package main
 
 import (
 	"github.com/alecthomas/kong"
 )
 
-// arguments are the daemon's subcommands.
+// arguments lists the subcommands for the command-line parser (kong).
 type arguments struct {
-	Serve    serveCommand    `cmd:"" help:"Serve callers, peers and operators until told to stop."`
-	Settings settingsCommand `cmd:"" help:"Print the settings that stand, defaults written out."`
+	Serve    serveCommand    `cmd:"" help:"Serve callers, peers and operators until the process gets SIGTERM or SIGINT."`
+	Settings settingsCommand `cmd:"" help:"Print the effective settings, including defaults."`
 }
 
 func main() {
--- a/cmd/vetchtraild/reload.go
+++ b/cmd/vetchtraild/reload.go
@@ -12,62 +12,66 @@
 	"vetchtrail/process/settings"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without
-// a signal, and none of what can change is urgent.
-const lookEvery = 5 * time.Second
+// filePollInterval is how often the settings file is checked for changes that come
+// without a SIGHUP. None of the settings that can be reloaded is urgent.
+const filePollInterval = 5 * time.Second
 
-// reloader takes changes of the settings file, on SIGHUP or when it is seen to
-// have changed. A file that is not valid leaves what stands.
+// reloader reloads the settings file on SIGHUP and when its modification time
+// changes. If the file is invalid, the current settings stay in force.
 type reloader struct {
 	file    string
 	daemon  *daemon.Daemon
 	level   *slog.LevelVar
 	log     *slog.Logger
-	changed time.Time // of the file, as last seen
+	modTime time.Time // modification time of the file at the last check
 }
 
+// run reloads the settings file until ctx ends.
 func (r *reloader) run(ctx context.Context) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	r.look()
-	t := time.NewTicker(lookEvery)
+	r.updateModTime()
+	t := time.NewTicker(filePollInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
-			r.look()
+			r.updateModTime()
 			r.reload("signal")
 		case <-t.C:
-			if r.look() {
+			if r.updateModTime() {
 				r.reload("file changed")
 			}
 		}
 	}
 }
 
-// look says whether the file has changed since it was last looked at.
-func (r *reloader) look() bool {
+// updateModTime records the file's modification time and reports whether it differs
+// from the time recorded before.
+func (r *reloader) updateModTime() bool {
 	info, err := os.Stat(r.file)
 	if err != nil {
-		r.log.Warn("settings file not seen", "file", r.file, "error", err)
+		r.log.Warn("cannot check the settings file for changes", "file", r.file, "error", err)
 		return false
 	}
-	changed := !info.ModTime().Equal(r.changed)
-	r.changed = info.ModTime()
+	changed := !info.ModTime().Equal(r.modTime)
+	r.modTime = info.ModTime()
 	return changed
 }
 
-func (r *reloader) reload(why string) {
+// reload reads the file and applies the settings that can change at run time. It
+// logs the trigger and the names of changed settings that need a restart.
+func (r *reloader) reload(trigger string) {
 	s, err := settings.Load(r.file)
 	if err != nil {
-		r.log.Error("settings not reloaded", "why", why, "error", err)
+		r.log.Error("settings not reloaded", "why", trigger, "error", err)
 		return
 	}
 	setLevel(s.Log, r.level)
 	limitMemory(s.Limits.Memory)
-	waits := r.daemon.Reload(s)
-	r.log.Info("settings reloaded", "why", why, "needs_restart", waits)
+	needRestart := r.daemon.Reload(s)
+	r.log.Info("settings reloaded", "why", trigger, "needs_restart", needRestart)
 }
--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -18,24 +18,25 @@
 	"vetchtrail/process/settings"
 )
 
-// serveCommand runs the daemon. SIGTERM and SIGINT make it leave: it announces
-// that, finishes the requests it has, and stops. A second one stops it at once.
+// serveCommand runs the daemon. On the first SIGTERM or SIGINT the daemon leaves the
+// system: it announces that it is leaving, finishes the requests in flight and stops.
+// A second signal stops it at once and cuts the requests in flight.
 type serveCommand struct {
 	File string `arg:"" type:"existingfile" help:"Settings file (YAML)."`
 }
 
-// Run implements the subcommand.
+// Run loads the settings and runs the daemon until it stops.
 func (c *serveCommand) Run() error {
 	s, err := settings.Load(c.File)
 	if err != nil {
 		return err
 	}
-	out := logs.New(os.Stdout)
-	defer func() { _ = out.Close() }()
+	logWriter := logs.New(os.Stdout)
+	defer func() { _ = logWriter.Close() }()
 	var level slog.LevelVar
-	log := logger(s.Log, &level, out)
+	log := newLogger(s.Log, &level, logWriter)
 	limitMemory(s.Limits.Memory)
-	d, err := daemon.New(daemon.Config{Settings: s, Log: log, Hosted: hosted(&s, log)})
+	d, err := daemon.New(daemon.Config{Settings: s, Log: log, Hosted: hostedPlatform(&s, log)})
 	if err != nil {
 		return err
 	}
@@ -55,24 +56,27 @@
 	return d.Run(ctx)
 }
 
-// memoryShare is the share of the host's memory at which the collector works
-// harder; the rest is for what it doesn't count.
-const memoryShare = 0.6
+// memoryLimitShare is the share of the configured memory that is set as the Go
+// runtime's soft memory limit. The rest is for memory that the runtime doesn't count.
+const memoryLimitShare = 0.6
 
-// collectAt is how much garbage is let grow beside what is kept, in hundredths of that: a host of a large fleet has
-// little memory, and makes little garbage a second.
-const collectAt = 50
+// gcPercent is the heap growth, relative to the live heap, at which the garbage
+// collector runs. It is lower than Go's default of 100 because the hosts of a large
+// fleet have little memory and allocate little per second.
+const gcPercent = 50
 
+// limitMemory sets the garbage collector's target and the soft memory limit for a
+// process that may use mb megabytes. With 0 it changes nothing.
 func limitMemory(mb int) {
 	if mb > 0 {
-		debug.SetGCPercent(collectAt)
-		debug.SetMemoryLimit(int64(memoryShare * float64(mb) * (1 << 20)))
+		debug.SetGCPercent(gcPercent)
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mb) * (1 << 20)))
 	}
 }
 
-// hosted returns the connection to a hosted platform; nil: the settings name
-// none.
-func hosted(s *settings.Settings, log *slog.Logger) *daemon.Hosted {
+// hostedPlatform returns the connections to a hosted platform, or nil if the settings
+// name no hosted platform.
+func hostedPlatform(s *settings.Settings, log *slog.Logger) *daemon.Hosted {
 	if s.Platform.Kind != settings.PlatformHosted {
 		return nil
 	}
@@ -93,7 +97,9 @@
 	}
 }
 
-func logger(l settings.Log, level *slog.LevelVar, out io.Writer) *slog.Logger {
+// newLogger returns a logger that writes to out in the configured format. A later
+// change of level applies to it at once.
+func newLogger(l settings.Log, level *slog.LevelVar, out io.Writer) *slog.Logger {
 	setLevel(l, level)
 	options := &slog.HandlerOptions{Level: level}
 	if l.Format == "json" {
@@ -102,8 +108,10 @@
 	return slog.New(slog.NewTextHandler(out, options))
 }
 
+// setLevel sets the configured log level. An unknown level counts as info, because the
+// check of the settings file doesn't look at the level.
 func setLevel(l settings.Log, level *slog.LevelVar) {
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
-		level.Set(slog.LevelInfo) // as the settings' check lets no other text through
+		level.Set(slog.LevelInfo)
 	}
 }
--- a/cmd/vetchtraild/settings.go
+++ b/cmd/vetchtraild/settings.go
@@ -6,12 +6,13 @@
 	"vetchtrail/process/settings"
 )
 
-// settingsCommand prints settings. Key files are named, never printed.
+// settingsCommand prints the effective settings. It prints the paths of key files,
+// never their contents.
 type settingsCommand struct {
-	File string `arg:"" optional:"" type:"existingfile" help:"Settings file; without one, the defaults."`
+	File string `arg:"" optional:"" type:"existingfile" help:"Settings file; if omitted, the defaults are printed."`
 }
 
-// Run implements the subcommand.
+// Run prints the settings of the file, or the defaults, as YAML.
 func (c *settingsCommand) Run() error {
 	s := settings.Default()
 	if c.File != "" {
