--- a/cmd/vetchtrail/config.go
+++ b/cmd/vetchtrail/config.go
@@ -16,57 +16,59 @@
 	"vetchtrail/version/rules"
 )
 
-// configCommand is about the configuration as a whole.
+// configCommand groups the subcommands for the configuration as a whole.
 type configCommand struct {
-	Apply   configApply   `cmd:"" help:"Make the configuration what a file says."`
-	Show    configShow    `cmd:"" help:"Print the configuration as a file."`
+	Apply   configApply   `cmd:"" help:"Replace the configuration with the contents of a file."`
+	Show    configShow    `cmd:"" help:"Print the configuration in the file format of apply."`
 	Diff    configDiff    `cmd:"" help:"Show what apply would change."`
-	History configHistory `cmd:"" help:"Show accepted changes: who, when and why."`
-	Wait    configWait    `cmd:"" help:"Wait until a revision is in force, and say where it is not."`
+	History configHistory `cmd:"" help:"Show accepted changes: author, time and reason."`
+	Wait    configWait    `cmd:"" help:"Wait until a revision is in force everywhere, and show where it is not."`
 }
 
-// configApply makes the configuration what a file says.
+// configApply replaces the configuration with the contents of a file.
 type configApply struct {
 	changeFlags
-	File string `arg:"" type:"existingfile" help:"Document (YAML)."`
+	File string `arg:"" type:"existingfile" help:"Configuration file (YAML)."`
 }
 
-// Run implements the subcommand.
+// Run proposes the edits that lead from the daemon's configuration to the file's. The
+// proposal is refused if the configuration changes after it was read.
 func (c *configApply) Run(g *globals) error {
-	ctx, client, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
-	held, edits, err := difference(ctx, client, c.File)
+	defer cleanup()
+	current, edits, err := readDifference(ctx, client, c.File)
 	if err != nil {
 		return err
 	}
 	if len(edits) == 0 {
-		return g.print(change{Result: "UNCHANGED", Revision: held.Revision()}, func(w *tabwriter.Writer) {
-			_, _ = fmt.Fprintf(w, "nothing to change: revision %d is what the file says\n", held.Revision())
+		return g.print(changeResult{Result: "UNCHANGED", Revision: current.Revision()}, func(w *tabwriter.Writer) {
+			_, _ = fmt.Fprintf(w, "nothing to change: revision %d is what the file says\n", current.Revision())
 		})
 	}
 	if c.ExpectRevision == 0 {
-		c.ExpectRevision = held.Revision() // the difference only holds against what was read
+		c.ExpectRevision = current.Revision() // the edits are only right for the revision that was read
 	}
 	return g.proposeOn(ctx, client, &c.changeFlags, edits)
 }
 
-// difference returns what the daemon holds and the edits that make it what a
-// file says.
-func difference(ctx context.Context, client *operator.Client, path string) (*rules.Rules, []vetchtrail.Edit, error) {
+// readDifference returns the daemon's configuration and the edits that turn it into the
+// configuration in the file.
+func readDifference(ctx context.Context, client *operator.Client, path string) (*rules.Rules, []vetchtrail.Edit, error) {
 	wanted, err := readDocument(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	held, err := client.Rules(ctx)
+	current, err := client.Rules(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	return held, held.Difference(wanted), nil
+	return current, current.Difference(wanted), nil
 }
 
+// readDocument reads and validates a configuration file.
 func readDocument(path string) (*rules.Rules, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -83,44 +85,44 @@
 	return wanted, nil
 }
 
-// configShow prints the configuration.
+// configShow prints the configuration in the file format of apply.
 type configShow struct{}
 
-// Run implements the subcommand.
+// Run prints the daemon's configuration, as YAML after a line with its revision.
 func (c *configShow) Run(g *globals) error {
-	held, err := g.rules()
+	current, err := g.rules()
 	if err != nil {
 		return err
 	}
-	d := document.Of(held)
+	d := document.Of(current)
 	text, err := d.YAML()
 	if err != nil {
 		return err
 	}
 	return g.print(d, func(w *tabwriter.Writer) {
-		_, _ = fmt.Fprintf(w, "# revision %d\n%s", held.Revision(), text)
+		_, _ = fmt.Fprintf(w, "# revision %d\n%s", current.Revision(), text)
 	})
 }
 
 // configDiff shows what apply would change.
 type configDiff struct {
-	File string `arg:"" type:"existingfile" help:"Document (YAML)."`
+	File string `arg:"" type:"existingfile" help:"Configuration file (YAML)."`
 }
 
-// Run implements the subcommand.
+// Run prints one line for each edit that apply would propose.
 func (c *configDiff) Run(g *globals) error {
-	ctx, client, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
-	_, edits, err := difference(ctx, client, c.File)
+	defer cleanup()
+	_, edits, err := readDifference(ctx, client, c.File)
 	if err != nil {
 		return err
 	}
 	lines := []string{}
 	for _, e := range edits {
-		lines = append(lines, describe(e))
+		lines = append(lines, describeEdit(e))
 	}
 	return g.print(lines, func(w *tabwriter.Writer) {
 		for _, l := range lines {
@@ -129,7 +131,8 @@
 	})
 }
 
-func describe(e vetchtrail.Edit) string {
+// describeEdit returns the line of the diff for an edit.
+func describeEdit(e vetchtrail.Edit) string {
 	if _, ok := e.(vetchtrail.Remove); ok {
 		return "remove " + rules.Title(e)
 	}
@@ -138,12 +141,12 @@
 
 // configHistory shows accepted changes.
 type configHistory struct {
-	From uint64 `help:"First revision."`
-	Most uint32 `default:"20" help:"How many, the newest."`
+	From uint64 `help:"First revision to show."`
+	Most uint32 `default:"20" help:"Maximum number of changes to show; the newest are kept."`
 }
 
-// entry is a printed change of the history.
-type entry struct {
+// historyEntry is an accepted change in the JSON output.
+type historyEntry struct {
 	Revision uint64    `json:"revision"`
 	At       time.Time `json:"at"`
 	Author   string    `json:"author"`
@@ -152,25 +155,25 @@
 	Edits    []string  `json:"edits"`
 }
 
-// Run implements the subcommand.
+// Run prints the accepted changes that the daemon still has, oldest first.
 func (c *configHistory) Run(g *globals) error {
-	ctx, client, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	reply, err := client.History(ctx, &schema.HistoryRequest{From: c.From, Most: c.Most})
 	if err != nil {
 		return err
 	}
-	entries := []entry{}
+	entries := []historyEntry{}
 	for _, m := range reply.GetChanges() {
-		ch, err := schema.ToChange(m)
+		change, err := schema.ToChange(m)
 		if err != nil {
 			return err
 		}
-		e := entry{Revision: ch.Revision, At: ch.At, Author: ch.Author, Reason: ch.Reason, ID: ch.ID}
-		for _, edit := range ch.Edits {
+		e := historyEntry{Revision: change.Revision, At: change.At, Author: change.Author, Reason: change.Reason, ID: change.ID}
+		for _, edit := range change.Edits {
 			e.Edits = append(e.Edits, rules.Title(edit))
 		}
 		entries = append(entries, e)
@@ -183,15 +186,17 @@
 	})
 }
 
-// configWait waits for a revision.
+// configWait waits until a revision is in force everywhere.
 type configWait struct {
-	Revision uint64        `arg:"" help:"The revision."`
-	Timeout  time.Duration `default:"10s" help:"How long."`
+	Revision uint64        `arg:"" help:"Revision to wait for."`
+	Timeout  time.Duration `default:"10s" help:"Longest time to wait."`
 }
 
-const waitLook = 200 * time.Millisecond
+// waitPollInterval is the time between two status calls while waiting for a revision.
+const waitPollInterval = 200 * time.Millisecond
 
-// Run implements the subcommand.
+// Run polls the daemon's status until the revision is in force everywhere or the
+// timeout is over, then prints where it is in force.
 func (c *configWait) Run(g *globals) error {
 	deadline := time.Now().Add(c.Timeout)
 	for {
@@ -199,64 +204,69 @@
 		if err != nil {
 			return err
 		}
-		lines, all := inForce(s, c.Revision)
-		if all || time.Now().After(deadline) {
-			return g.tellForce(c.Revision, lines, all)
+		statuses, everywhere := revisionStatuses(s, c.Revision)
+		if everywhere || time.Now().After(deadline) {
+			return g.printRevisionStatuses(c.Revision, statuses, everywhere)
 		}
-		time.Sleep(waitLook)
+		time.Sleep(waitPollInterval)
 	}
 }
 
-// place is where a revision is in force or not.
-type place struct {
-	Name     string    `json:"name"`
+// revisionStatus says whether the awaited revision is in force on a host or in another
+// data centre.
+type revisionStatus struct {
+	Name     string    `json:"name"` // of the host or data centre
 	Region   string    `json:"region"`
-	Revision uint64    `json:"revision"` // newest known to be in force there
-	InForce  bool      `json:"in_force"`
-	Heard    time.Time `json:"heard"` // when that was known
-	CutOff   bool      `json:"cut_off"`
+	Revision uint64    `json:"revision"` // revision known to be in force there; of a data centre, the lowest among its hosts
+	InForce  bool      `json:"in_force"` // the awaited revision, or a newer one, is in force
+	LastSeen time.Time `json:"heard"`    // when the newest report from there was received
+	CutOff   bool      `json:"cut_off"`  // the host is suspected dead, or the data centre is unreachable
 }
 
-// inForce tells for the daemon's own hosts and each other data centre.
-func inForce(s *schema.StatusReply, revision uint64) ([]place, bool) {
-	var out []place
-	all := true
+// revisionStatuses returns the state of a revision on each host of the daemon's data
+// centre and in each other data centre, and whether it is in force in all of them. Dead
+// and leaving hosts don't count.
+func revisionStatuses(s *schema.StatusReply, revision uint64) ([]revisionStatus, bool) {
+	var out []revisionStatus
+	everywhere := true
 	for _, h := range s.GetHosts() {
 		if h.GetState() == "dead" || h.GetState() == "leaving" {
 			continue
 		}
-		out = append(out, place{
+		out = append(out, revisionStatus{
 			Name: h.GetName(), Region: h.GetRegion(), Revision: h.GetRevision(), InForce: h.GetRevision() >= revision,
-			Heard: time.Unix(0, h.GetHeard()), CutOff: h.GetState() == "suspect",
+			LastSeen: time.Unix(0, h.GetHeard()), CutOff: h.GetState() == "suspect",
 		})
 	}
 	for _, d := range s.GetDataCentres() {
-		out = append(out, place{
+		out = append(out, revisionStatus{
 			Name: d.GetName(), Region: d.GetRegion(), Revision: d.GetRevision(), InForce: d.GetRevision() >= revision,
-			Heard: time.Unix(0, d.GetHeard()), CutOff: !d.GetReachable(),
+			LastSeen: time.Unix(0, d.GetHeard()), CutOff: !d.GetReachable(),
 		})
 	}
-	for _, p := range out {
-		all = all && p.InForce
+	for _, r := range out {
+		everywhere = everywhere && r.InForce
 	}
-	return out, all
+	return out, everywhere
 }
 
-func (g *globals) tellForce(revision uint64, lines []place, all bool) error {
-	err := g.print(lines, func(w *tabwriter.Writer) {
+// printRevisionStatuses prints where a revision is in force. If it is not in force
+// everywhere, it returns an error with the exit code for that.
+func (g *globals) printRevisionStatuses(revision uint64, statuses []revisionStatus, everywhere bool) error {
+	err := g.print(statuses, func(w *tabwriter.Writer) {
 		_, _ = fmt.Fprintln(w, "WHERE\tREGION\tREVISION\tIN FORCE\tHEARD")
-		for _, p := range lines {
-			word := "yes"
-			if !p.InForce {
-				word = "not yet"
+		for _, r := range statuses {
+			inForce := "yes"
+			if !r.InForce {
+				inForce = "not yet"
 			}
-			if p.CutOff {
-				word += ", cut off since " + p.Heard.Format(time.RFC3339)
+			if r.CutOff {
+				inForce += ", cut off since " + r.LastSeen.Format(time.RFC3339)
 			}
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", p.Name, p.Region, p.Revision, word, p.Heard.Format(time.RFC3339))
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", r.Name, r.Region, r.Revision, inForce, r.LastSeen.Format(time.RFC3339))
 		}
 	})
-	if err != nil || all {
+	if err != nil || everywhere {
 		return err
 	}
 	return exitError{exitNotYet, errors.Errorf("revision %d is not in force everywhere yet", revision)}
--- a/cmd/vetchtrail/decisions.go
+++ b/cmd/vetchtrail/decisions.go
@@ -10,14 +10,15 @@
 	"vetchtrail/schema"
 )
 
-// decisionsCommand shows recent decisions.
+// decisionsCommand shows the recent decisions of the daemon's host, and the outcomes of
+// the requests.
 type decisionsCommand struct {
-	Service string `help:"Only of this service."`
-	Outcome string `enum:",answered,not-run,unknown" default:"" help:"Only requests that ended so."`
-	Most    uint32 `default:"50" help:"How many, the newest."`
+	Service string `help:"Show only requests for this service."`
+	Outcome string `enum:",answered,not-run,unknown" default:"" help:"Show only requests with this outcome."`
+	Most    uint32 `default:"50" help:"Maximum number of records to show; the newest are kept."`
 }
 
-// Run implements the subcommand.
+// Run prints a table of the records, newest first.
 func (c *decisionsCommand) Run(g *globals) error {
 	records, err := g.decisions(&schema.DecisionsRequest{Service: c.Service, Outcome: c.Outcome, Most: c.Most})
 	if err != nil {
@@ -26,62 +27,69 @@
 	return g.print(records, func(w *tabwriter.Writer) {
 		_, _ = fmt.Fprintln(w, "AT\tREQUEST\tSERVICE\tWHAT\tTARGET\tREASON\tREVISION\tHOPS")
 		for _, r := range records {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", at(r), r.GetRequest(), r.GetService(), what(r),
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", formatTime(r), r.GetRequest(), r.GetService(), outcomeOrDecision(r),
 				r.GetTarget(), r.GetReason(), r.GetRevision(), r.GetHops())
 		}
 	})
 }
 
-func (g *globals) decisions(q *schema.DecisionsRequest) ([]*schema.DecisionRecord, error) {
-	ctx, client, done, err := g.dial()
+// decisions returns the decision records of the daemon's host that match the filter.
+func (g *globals) decisions(filter *schema.DecisionsRequest) ([]*schema.DecisionRecord, error) {
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return nil, err
 	}
-	defer done()
-	reply, err := client.Decisions(ctx, q)
+	defer cleanup()
+	reply, err := client.Decisions(ctx, filter)
 	return reply.GetRecords(), err
 }
 
-func at(r *schema.DecisionRecord) string {
+// formatTime formats the time of a record.
+func formatTime(r *schema.DecisionRecord) string {
 	return time.Unix(0, r.GetAt()).Format("15:04:05.000")
 }
 
-func what(r *schema.DecisionRecord) string {
+// outcomeOrDecision returns the outcome of a record that has one, and otherwise its
+// decision.
+func outcomeOrDecision(r *schema.DecisionRecord) string {
 	if r.GetOutcome() != "" {
 		return r.GetOutcome()
 	}
 	return r.GetDecision()
 }
 
-// explainCommand tells a request's way.
+// explainCommand shows the decisions on one request and the reasons for them.
 type explainCommand struct {
-	Request string `arg:"" help:"The request's id, as in X-Request-Id."`
+	Request string `arg:"" help:"Id of the request, as in X-Request-Id."`
 }
 
-// Run implements the subcommand.
+// Run prints the host's records of the request, oldest first. The daemon returns them
+// newest first.
 func (c *explainCommand) Run(g *globals) error {
 	records, err := g.decisions(&schema.DecisionsRequest{Request: c.Request})
 	if err != nil {
 		return err
 	}
 	if len(records) == 0 {
-		return errors.Errorf("host at %s knows no request %s: only recent ones are kept, by the hosts they passed through", g.Daemon, c.Request)
+		return errors.Errorf("host at %s has no record of request %s: only the hosts that handled a request have records of it, and only of recent requests", g.Daemon, c.Request)
 	}
 	return g.print(records, func(w *tabwriter.Writer) {
 		for i := len(records) - 1; i >= 0; i-- {
-			explain(w, records[i])
+			printRecord(w, records[i])
 		}
 	})
 }
 
-func explain(w *tabwriter.Writer, r *schema.DecisionRecord) {
+// printRecord prints how a request ended, or a decision on it with the candidates that
+// were not chosen.
+func printRecord(w *tabwriter.Writer, r *schema.DecisionRecord) {
 	if r.GetOutcome() != "" {
-		_, _ = fmt.Fprintf(w, "%s  ended: %s at %s (step %s, reason %s)\n", at(r), r.GetOutcome(), r.GetTarget(), r.GetStep(), r.GetReason())
+		_, _ = fmt.Fprintf(w, "%s  ended: %s at %s (step %s, reason %s)\n", formatTime(r), r.GetOutcome(), r.GetTarget(), r.GetStep(), r.GetReason())
 		return
 	}
-	_, _ = fmt.Fprintf(w, "%s  attempt %d on revision %d, home %s: %s %s (%s), cost %.4f, of %d candidates\n", at(r), r.GetAttempt(),
+	_, _ = fmt.Fprintf(w, "%s  attempt %d on revision %d, home %s: %s %s (%s), cost %.4f, of %d candidates\n", formatTime(r), r.GetAttempt(),
 		r.GetRevision(), r.GetHome(), r.GetDecision(), r.GetTarget(), r.GetReason(), r.GetCost(), r.GetLooked())
-	for _, l := range r.GetCandidates() {
-		_, _ = fmt.Fprintf(w, "\tnot %s\tcost %.4f\t%s\n", l.GetName(), l.GetCost(), l.GetReason())
+	for _, c := range r.GetCandidates() {
+		_, _ = fmt.Fprintf(w, "\tnot %s\tcost %.4f\t%s\n", c.GetName(), c.GetCost(), c.GetReason())
 	}
 }
--- a/cmd/vetchtrail/endpoint.go
+++ b/cmd/vetchtrail/endpoint.go
@@ -6,11 +6,11 @@
 	"vetchtrail"
 )
 
-// endpointCommand is about endpoints.
+// endpointCommand groups the subcommands that change endpoints.
 type endpointCommand struct {
 	Put     endpointPut     `cmd:"" help:"Add or replace an endpoint."`
-	Drain   endpointDrain   `cmd:"" help:"Give an endpoint no new work; what it has, it finishes."`
-	Undrain endpointUndrain `cmd:"" help:"Take a drained endpoint into use again."`
+	Drain   endpointDrain   `cmd:"" help:"Send no new requests to an endpoint; it finishes those in flight."`
+	Undrain endpointUndrain `cmd:"" help:"Send requests to a drained endpoint again."`
 	Remove  endpointRemove  `cmd:"" help:"Remove an endpoint."`
 }
 
@@ -22,35 +22,35 @@
 	Region     string         `required:""`
 	DataCentre string         `required:""`
 	Address    netip.AddrPort `required:"" help:"ip:port"`
-	Slots      int            `required:"" help:"Requests it runs at once."`
-	Fenced     bool           `help:"It checks the fencing token of orders."`
+	Slots      int            `required:"" help:"Number of requests it runs at once."`
+	Fenced     bool           `help:"The endpoint checks fencing tokens."`
 }
 
-// Run implements the subcommand.
+// Run proposes the endpoint.
 func (c *endpointPut) Run(g *globals) error {
 	return g.propose(&c.changeFlags, []vetchtrail.Edit{vetchtrail.PutEndpoint{Endpoint: vetchtrail.Endpoint{
 		Name: c.Name, Service: c.Service, Region: c.Region, DataCentre: c.DataCentre, Addr: c.Address, Slots: c.Slots, Fenced: c.Fenced,
 	}}})
 }
 
-// endpointDrain drains an endpoint.
+// endpointDrain stops new requests to an endpoint.
 type endpointDrain struct {
 	changeFlags
 	Name string `arg:""`
 }
 
-// Run implements the subcommand.
+// Run proposes to mark the endpoint as draining.
 func (c *endpointDrain) Run(g *globals) error {
 	return g.propose(&c.changeFlags, []vetchtrail.Edit{vetchtrail.DrainEndpoint{Endpoint: c.Name, Draining: true}})
 }
 
-// endpointUndrain ends a drain.
+// endpointUndrain allows new requests to a drained endpoint again.
 type endpointUndrain struct {
 	changeFlags
 	Name string `arg:""`
 }
 
-// Run implements the subcommand.
+// Run proposes to clear the endpoint's draining mark.
 func (c *endpointUndrain) Run(g *globals) error {
 	return g.propose(&c.changeFlags, []vetchtrail.Edit{vetchtrail.DrainEndpoint{Endpoint: c.Name}})
 }
@@ -61,7 +61,7 @@
 	Name string `arg:""`
 }
 
-// Run implements the subcommand.
+// Run proposes to remove the endpoint.
 func (c *endpointRemove) Run(g *globals) error {
 	return g.remove(&c.changeFlags, vetchtrail.ItemEndpoint, c.Name)
 }
--- a/cmd/vetchtrail/globals.go
+++ b/cmd/vetchtrail/globals.go
@@ -21,29 +21,32 @@
 	"vetchtrail/version/rules"
 )
 
-const callTime = 20 * time.Second
+// callTimeout bounds one subcommand's calls to the daemon, including the connection.
+const callTimeout = 20 * time.Second
 
-// globals are the flags of every subcommand.
+// globals holds the flags that every subcommand has. Its methods connect to the daemon
+// and print results.
 type globals struct {
-	Daemon      netip.AddrPort `default:"127.0.0.1:7070" env:"VETCHTRAIL_DAEMON" help:"Peers' address of any daemon."`
+	Daemon      netip.AddrPort `default:"127.0.0.1:7070" env:"VETCHTRAIL_DAEMON" help:"Peer address (listen.peers) of any daemon."`
 	Output      string         `enum:"text,json" default:"text" short:"o" help:"text for people, json for programs."`
-	Certificate string         `type:"existingfile" env:"VETCHTRAIL_CERTIFICATE" help:"PEM certificate, if daemons ask for one."`
+	Certificate string         `type:"existingfile" env:"VETCHTRAIL_CERTIFICATE" help:"PEM client certificate, if the daemons use TLS."`
 	Key         string         `type:"existingfile" env:"VETCHTRAIL_KEY" help:"PEM key of the certificate."`
-	Authority   string         `type:"existingfile" env:"VETCHTRAIL_AUTHORITY" help:"PEM certificate that signed the daemons'."`
+	Authority   string         `type:"existingfile" env:"VETCHTRAIL_AUTHORITY" help:"PEM certificate of the authority that signed the daemons' certificates."`
 }
 
-// changeFlags are the flags of every subcommand that changes something.
+// changeFlags holds the flags of every subcommand that changes the configuration.
 type changeFlags struct {
-	Reason         string `short:"m" help:"Why; kept in the history."`
-	Author         string `help:"Who; by default the user's name."`
-	ChangeID       string `help:"The change's id; give that of an unsettled change to settle it."`
-	ExpectRevision uint64 `help:"Refuse if another revision stands."`
-	DryRun         bool   `help:"Check the change and write nothing."`
+	Reason         string `short:"m" help:"Reason for the change; recorded in the history."`
+	Author         string `help:"Author of the change; by default the name of the current user."`
+	ChangeID       string `help:"Id of the change; to settle a change with an unknown outcome, repeat its command with its id."`
+	ExpectRevision uint64 `help:"Refuse the change if the current revision is another one."`
+	DryRun         bool   `help:"Validate the change without writing it."`
 }
 
-// dial connects to the daemon.
+// dial connects to the daemon. It returns a context with the time limit for calls, the
+// client, and a function that closes both.
 func (g *globals) dial() (context.Context, *operator.Client, func(), error) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	cfg, err := g.tls()
 	if err != nil {
 		cancel()
@@ -52,54 +55,56 @@
 	c, err := operator.Dial(ctx, operator.Config{Addr: g.Daemon, TLS: cfg})
 	if err != nil {
 		cancel()
-		return nil, nil, nil, errors.Errorf("no daemon answers at %s (%s): name another with --daemon or VETCHTRAIL_DAEMON", g.Daemon, err)
+		return nil, nil, nil, errors.Errorf("cannot connect to the daemon at %s (%s): choose another one with --daemon or VETCHTRAIL_DAEMON", g.Daemon, err)
 	}
 	return ctx, c, func() { _ = c.Close(); cancel() }, nil
 }
 
-// rules returns the configuration that the daemon holds.
+// rules returns the daemon's current configuration.
 func (g *globals) rules() (*rules.Rules, error) {
-	ctx, client, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return nil, err
 	}
-	defer done()
+	defer cleanup()
 	return client.Rules(ctx)
 }
 
+// tls returns the client's TLS configuration, or nil if no key files are given.
 func (g *globals) tls() (*tls.Config, error) {
 	if g.Certificate == "" && g.Key == "" && g.Authority == "" {
 		return nil, nil
 	}
 	pair, err := tls.LoadX509KeyPair(g.Certificate, g.Key)
 	if err != nil {
-		return nil, errors.Errorf("--certificate and --key can't be used: %s", err)
+		return nil, errors.Errorf("cannot load --certificate and --key: %s", err)
 	}
 	text, err := os.ReadFile(g.Authority)
 	if err != nil {
-		return nil, errors.Errorf("--authority can't be read: %s", err)
+		return nil, errors.Errorf("cannot read --authority: %s", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, errors.Errorf("--authority %s holds no certificate", g.Authority)
+		return nil, errors.Errorf("--authority %s contains no PEM certificate", g.Authority)
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: pool, ServerName: peer.ServerName}, nil
 }
 
-// print writes a value as JSON, or calls the function that writes it as text.
-func (g *globals) print(v any, text func(w *tabwriter.Writer)) error {
+// print writes v as JSON with --output=json, and otherwise calls writeText, whose
+// output it aligns in columns.
+func (g *globals) print(v any, writeText func(w *tabwriter.Writer)) error {
 	if g.Output == "json" {
 		e := json.NewEncoder(os.Stdout)
 		e.SetIndent("", "  ")
 		return e.Encode(v)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	text(w)
+	writeText(w)
 	return w.Flush()
 }
 
-// change is the printed end of a change.
-type change struct {
+// changeResult is the JSON output of a subcommand that changes the configuration.
+type changeResult struct {
 	ID       string   `json:"id"`
 	Result   string   `json:"result"`
 	Revision uint64   `json:"revision"`
@@ -107,41 +112,45 @@
 	Text     string   `json:"text,omitempty"`
 }
 
-// propose makes one change and tells what became of it.
+// propose connects to the daemon, proposes one change and prints its result.
 func (g *globals) propose(f *changeFlags, edits []vetchtrail.Edit) error {
-	ctx, c, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
-	return g.proposeOn(ctx, c, f, edits)
+	defer cleanup()
+	return g.proposeOn(ctx, client, f, edits)
 }
 
-func (g *globals) proposeOn(ctx context.Context, c *operator.Client, f *changeFlags, edits []vetchtrail.Edit) error {
-	ch := operator.NewChange(f.author(), f.Reason, f.ExpectRevision, edits)
+// proposeOn proposes one change over an open connection and prints its result. If the
+// connection breaks, the change may have been accepted or not; the error then names the
+// id with which the same command settles it.
+func (g *globals) proposeOn(ctx context.Context, client *operator.Client, f *changeFlags, edits []vetchtrail.Edit) error {
+	change := operator.NewChange(f.author(), f.Reason, f.ExpectRevision, edits)
 	if f.ChangeID != "" {
-		ch.ID = f.ChangeID
+		change.ID = f.ChangeID
 	}
-	reply, err := c.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(ch), DryRun: f.DryRun})
+	reply, err := client.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(change), DryRun: f.DryRun})
 	if err != nil {
-		return exitError{exitUnknown, errors.Errorf("the daemon was lost (%s): the change may take effect. Settle it by the same command with --change-id %s", err, ch.ID)}
+		return exitError{exitUnknown, errors.Errorf("lost the connection to the daemon (%s): the change may take effect; to settle it, run the same command with --change-id %s", err, change.ID)}
 	}
-	end := change{ID: ch.ID, Result: reply.GetResult().String(), Revision: reply.GetRevision(), Text: reply.GetText()}
+	result := changeResult{ID: change.ID, Result: reply.GetResult().String(), Revision: reply.GetRevision(), Text: reply.GetText()}
 	for _, e := range edits {
-		end.Edits = append(end.Edits, rules.Title(e))
+		result.Edits = append(result.Edits, rules.Title(e))
 	}
-	if err := verdict(reply, ch.ID); err != nil {
+	if err := proposalError(reply, change.ID); err != nil {
 		return err
 	}
-	return g.print(end, func(w *tabwriter.Writer) {
+	return g.print(result, func(w *tabwriter.Writer) {
 		if f.DryRun {
-			_, _ = fmt.Fprintf(w, "valid on revision %d; nothing was written\n", end.Revision)
+			_, _ = fmt.Fprintf(w, "valid on revision %d; nothing was written\n", result.Revision)
 			return
 		}
-		_, _ = fmt.Fprintf(w, "accepted as revision %d: see where it is in force with `vetchtrail config wait %d`\n", end.Revision, end.Revision)
+		_, _ = fmt.Fprintf(w, "accepted as revision %d: see where it is in force with `vetchtrail config wait %d`\n", result.Revision, result.Revision)
 	})
 }
 
+// author returns the author of a change: the flag, or the name of the current user.
 func (f *changeFlags) author() string {
 	if f.Author != "" {
 		return f.Author
@@ -152,17 +161,18 @@
 	return "unknown"
 }
 
-// verdict is the error for a proposal that was not accepted, with what to do.
-func verdict(r *schema.ProposeReply, id string) error {
+// proposalError returns nil for an accepted proposal, and otherwise an error that says
+// what the operator can do.
+func proposalError(r *schema.ProposeReply, id string) error {
 	switch r.GetResult() {
 	case schema.ProposeReply_ACCEPTED:
 		return nil
 	case schema.ProposeReply_INVALID:
-		return exitError{exitInvalid, errors.Errorf("not valid, nothing was written: %s", r.GetText())}
+		return exitError{exitInvalid, errors.Errorf("the change is not valid, nothing was written: %s", r.GetText())}
 	case schema.ProposeReply_CONFLICT:
-		return exitError{exitConflict, errors.Errorf("another change was first, nothing was written: %s", r.GetText())}
+		return exitError{exitConflict, errors.Errorf("another change was accepted first, nothing was written: %s", r.GetText())}
 	case schema.ProposeReply_UNAVAILABLE:
-		return errors.Errorf("the store can't be reached, nothing was written: %s. Try again later", r.GetText())
+		return errors.Errorf("the store is unreachable, nothing was written: %s; try again later", r.GetText())
 	}
-	return exitError{exitUnknown, errors.Errorf("%s. Settle it by the same command with --change-id %s", r.GetText(), id)}
+	return exitError{exitUnknown, errors.Errorf("%s; to settle the change, run the same command with --change-id %s", r.GetText(), id)}
 }
--- a/cmd/vetchtrail/host.go
+++ b/cmd/vetchtrail/host.go
@@ -7,16 +7,16 @@
 	"vetchtrail/schema"
 )
 
-// hostCommand is about entry hosts.
+// hostCommand groups the subcommands for entry hosts.
 type hostCommand struct {
 	List  hostList  `cmd:"" help:"Show the hosts of the daemon's data centre."`
-	Drain hostDrain `cmd:"" help:"Make the daemon that is spoken to leave: it finishes what it has and stops."`
+	Drain hostDrain `cmd:"" help:"Make the daemon that --daemon names leave: it finishes the requests in flight and stops."`
 }
 
-// hostList shows the hosts.
+// hostList shows the hosts of the daemon's data centre.
 type hostList struct{}
 
-// Run implements the subcommand.
+// Run prints a table of the hosts.
 func (c *hostList) Run(g *globals) error {
 	s, err := g.status()
 	if err != nil {
@@ -25,16 +25,17 @@
 	return g.print(s.GetHosts(), func(w *tabwriter.Writer) { printHosts(w, s) })
 }
 
-// hostDrain makes a daemon leave.
+// hostDrain makes the daemon leave the system and stop.
 type hostDrain struct{}
 
-// Run implements the subcommand.
+// Run asks the daemon to leave and prints how many requests it still has in flight. It
+// doesn't wait for them.
 func (c *hostDrain) Run(g *globals) error {
-	ctx, client, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	reply, err := client.DrainHost(ctx, &schema.DrainHostRequest{})
 	if err != nil {
 		return err
--- a/cmd/vetchtrail/losses.go
+++ b/cmd/vetchtrail/losses.go
@@ -17,29 +17,30 @@
 	"vetchtrail/process/journal"
 )
 
-// worstSeconds is how many of the seconds that lost most are told.
-const worstSeconds = 10
+// maxWorstSeconds is the number of rows in the table of the seconds with the most losses.
+const maxWorstSeconds = 10
 
-// lossesCommand tells what became of the requests in logs. It asks no daemon.
+// lossesCommand summarises from the logs of all hosts how requests ended. It calls no
+// daemon.
 type lossesCommand struct {
-	Log  []string `arg:"" help:"Logs of all hosts, in any order; - for standard input."`
-	Plot string   `help:"Also draw how the requests of each second ended: a file that ends in .svg, .png or .pdf."`
-	CSV  bool     `help:"One line for each second, route, region, workspace and cause, with a count."`
+	Log  []string `arg:"" help:"Log files of all hosts, in any order; - for standard input."`
+	Plot string   `help:"Also plot the outcomes of the requests by second to a file; its name ends in .svg, .png or .pdf."`
+	CSV  bool     `help:"Print CSV: one line with a count for each second, service, route, region, workspace and cause."`
 }
 
-// Run implements the subcommand.
+// Run joins the log lines by request, and prints and plots the result.
 func (c *lossesCommand) Run(g *globals) error {
-	logs, done, err := openLogs(c.Log)
+	logs, cleanup, err := openLogs(c.Log)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	l, err := journal.ReadLosses(logs...)
 	if err != nil {
 		return err
 	}
 	if len(l.Rows) == 0 {
-		return errors.Errorf("losses: no request is in the %d logs: give those of the hosts that callers ask", len(c.Log))
+		return errors.Errorf("losses: no requests in the %d log files: pass the logs of the hosts that received requests from callers", len(c.Log))
 	}
 	if c.Plot != "" {
 		if err := plotLosses(l, c.Plot); err != nil {
@@ -47,12 +48,13 @@
 		}
 	}
 	if c.CSV {
-		return writeLosses(os.Stdout, l)
+		return writeLossesCSV(os.Stdout, l)
 	}
 	return g.print(l, func(w *tabwriter.Writer) { printLosses(w, l) })
 }
 
-func writeLosses(to io.Writer, l *journal.Losses) error {
+// writeLossesCSV writes the losses as CSV, after a header line.
+func writeLossesCSV(to io.Writer, l *journal.Losses) error {
 	w := csv.NewWriter(to)
 	rows := [][]string{{"second", "service", "route", "region", "workspace", "cause", "count"}}
 	for _, r := range l.Rows {
@@ -64,7 +66,8 @@
 	return nil
 }
 
-// printLosses writes causes by route, and the seconds that lost most.
+// printLosses prints three tables: the causes by route, the seconds with the most
+// losses, and the workspaces with the highest share of losses.
 func printLosses(w io.Writer, l *journal.Losses) {
 	causes, routes := map[journal.Cause]map[string]int{}, map[string]int{}
 	for _, r := range l.Rows {
@@ -74,33 +77,34 @@
 		causes[r.Cause][r.Route] += r.Count
 		routes[r.Route] += r.Count
 	}
-	names := slices.SortedFunc(maps.Keys(routes), func(a, b string) int { return cmp.Or(routes[b]-routes[a], strings.Compare(a, b)) })
-	_, _ = fmt.Fprintf(w, "CAUSE\tALL\t%s\n", strings.Join(names, "\t"))
-	order := slices.SortedFunc(maps.Keys(causes), func(a, b journal.Cause) int {
-		return cmp.Or(sum(causes[b])-sum(causes[a]), cmp.Compare(a, b))
+	routeNames := slices.SortedFunc(maps.Keys(routes), func(a, b string) int { return cmp.Or(routes[b]-routes[a], strings.Compare(a, b)) })
+	_, _ = fmt.Fprintf(w, "CAUSE\tALL\t%s\n", strings.Join(routeNames, "\t"))
+	sortedCauses := slices.SortedFunc(maps.Keys(causes), func(a, b journal.Cause) int {
+		return cmp.Or(total(causes[b])-total(causes[a]), cmp.Compare(a, b))
 	})
-	for _, cause := range order {
-		_, _ = fmt.Fprintf(w, "%s\t%d", cause, sum(causes[cause]))
-		for _, n := range names {
-			_, _ = fmt.Fprintf(w, "\t%d", causes[cause][n])
+	for _, cause := range sortedCauses {
+		_, _ = fmt.Fprintf(w, "%s\t%d", cause, total(causes[cause]))
+		for _, route := range routeNames {
+			_, _ = fmt.Fprintf(w, "\t%d", causes[cause][route])
 		}
 		_, _ = fmt.Fprintln(w)
 	}
 	_, _ = fmt.Fprintf(w, "\nSECOND\tREQUESTS\tIN TIME\tREGION THAT LOST MOST\tMOST OFTEN\n")
-	for _, s := range worst(l) {
-		_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\n", s.second, s.all, s.all-s.lost, most(s.regions), most(s.causes))
+	for _, s := range secondsWithMostLosses(l) {
+		_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\n", s.second, s.all, s.all-s.lost, mostFrequent(s.regions), mostFrequent(s.causes))
 	}
-	printWorkspaces(w, l)
+	printWorkspaceLosses(w, l)
 	if l.Unread > 0 {
 		_, _ = fmt.Fprintf(w, "%d lines could not be read\n", l.Unread)
 	}
 }
 
-// worstWorkspaces is how many of the workspaces that lost most are told.
-const worstWorkspaces = 16
+// maxWorstWorkspaces is the number of rows in the table of workspaces.
+const maxWorstWorkspaces = 16
 
-// printWorkspaces writes the workspaces that lost the largest part of their requests.
-func printWorkspaces(w io.Writer, l *journal.Losses) {
+// printWorkspaceLosses prints the workspaces with the highest share of lost or late
+// requests. If no request belongs to a workspace, it prints nothing.
+func printWorkspaceLosses(w io.Writer, l *journal.Losses) {
 	all, lost, causes := map[string]int{}, map[string]int{}, map[string]map[string]int{}
 	for _, r := range l.Rows {
 		all[r.Workspace] += r.Count
@@ -114,26 +118,28 @@
 		causes[r.Workspace][string(r.Cause)] += r.Count
 	}
 	if len(all) == 1 && all[""] > 0 {
-		return // nobody shows whose callers they are
+		return
 	}
-	part := func(name string) float64 { return float64(lost[name]) / float64(all[name]) }
+	lossShare := func(name string) float64 { return float64(lost[name]) / float64(all[name]) }
 	names := slices.SortedFunc(maps.Keys(all), func(a, b string) int {
-		return cmp.Or(cmp.Compare(part(b), part(a)), strings.Compare(a, b))
+		return cmp.Or(cmp.Compare(lossShare(b), lossShare(a)), strings.Compare(a, b))
 	})
 	_, _ = fmt.Fprintf(w, "\nWORKSPACE\tREQUESTS\tIN TIME\tMOST OFTEN\n")
-	for _, name := range names[:min(len(names), worstWorkspaces)] {
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", cmp.Or(name, "(none)"), all[name], all[name]-lost[name], most(causes[name]))
+	for _, name := range names[:min(len(names), maxWorstWorkspaces)] {
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", cmp.Or(name, "(none)"), all[name], all[name]-lost[name], mostFrequent(causes[name]))
 	}
 }
 
-// second is what became of the requests of one second.
+// second counts the requests of one second. Lost means any cause but
+// journal.CauseNone, late answers among them.
 type second struct {
 	second, all, lost int
-	regions, causes   map[string]int // of the lost ones
+	regions, causes   map[string]int // lost requests by home region and by cause
 }
 
-// worst returns the seconds that lost most, in the order of time.
-func worst(l *journal.Losses) []second {
+// secondsWithMostLosses returns the seconds with the most lost requests, in
+// chronological order.
+func secondsWithMostLosses(l *journal.Losses) []second {
 	var out []second
 	for _, r := range l.Rows {
 		if len(out) == 0 || out[len(out)-1].second != r.Second {
@@ -149,13 +155,14 @@
 		s.causes[string(r.Cause)] += r.Count
 	}
 	slices.SortStableFunc(out, func(a, b second) int { return cmp.Compare(b.lost, a.lost) })
-	out = out[:min(len(out), worstSeconds)]
+	out = out[:min(len(out), maxWorstSeconds)]
 	slices.SortFunc(out, func(a, b second) int { return cmp.Compare(a.second, b.second) })
 	return out
 }
 
-// most is the name with the highest count, with the count.
-func most(counts map[string]int) string {
+// mostFrequent returns the name with the highest count, followed by the count. If counts
+// is empty, it returns an empty string.
+func mostFrequent(counts map[string]int) string {
 	best := ""
 	for name, n := range counts {
 		if best == "" || n > counts[best] || (n == counts[best] && name < best) {
@@ -168,7 +175,8 @@
 	return fmt.Sprintf("%s (%d)", best, counts[best])
 }
 
-func sum(counts map[string]int) int {
+// total returns the sum of the counts.
+func total(counts map[string]int) int {
 	n := 0
 	for _, c := range counts {
 		n += c
--- a/cmd/vetchtrail/losses_test.go
+++ b/cmd/vetchtrail/losses_test.go
@@ -13,7 +13,9 @@
 	"vetchtrail/process/journal"
 )
 
-func losses() *journal.Losses {
+// sampleLosses returns losses of two routes, two regions and two seconds, with and
+// without a workspace.
+func sampleLosses() *journal.Losses {
 	return &journal.Losses{From: time.Unix(1_800_000_000, 0), Rows: []journal.Loss{
 		{Second: 0, Service: "s", Route: "r", Home: "north", Cause: journal.CauseNone, Count: 8},
 		{Second: 0, Service: "s", Route: "r", Home: "south", Cause: journal.CauseRefusedFirst, Count: 1},
@@ -22,11 +24,13 @@
 	}}
 }
 
-// TestLossesPrinted: the table has causes by route, most frequent first, and the
-// seconds that lost most.
-func TestLossesPrinted(t *testing.T) {
+// TestPrintLosses checks the printed tables: causes by route with the most frequent
+// first, the seconds with the most losses in chronological order, and the workspaces
+// with the highest share of losses first. A wrong sort order or count would lead an
+// operator to the wrong cause.
+func TestPrintLosses(t *testing.T) {
 	var b bytes.Buffer
-	printLosses(&b, losses())
+	printLosses(&b, sampleLosses())
 	for _, want := range []string{
 		"CAUSE\tALL\tr\tq\nin time\t9\t8\t1\ncut with its endpoint\t5\t5\t0\nrefused at its first try\t1\t1\t0\n",
 		"WORKSPACE\tREQUESTS\tIN TIME\tMOST OFTEN\nw\t5\t0\tcut with its endpoint (5)\n(none)\t10\t9\trefused at its first try (1)\n",
@@ -36,22 +40,24 @@
 	}
 }
 
-// TestLossesWritten: the CSV has a line for each row, with its head.
-func TestLossesWritten(t *testing.T) {
+// TestWriteLossesCSV checks that the CSV has a header line and one line for each row,
+// with the columns in the order of the header.
+func TestWriteLossesCSV(t *testing.T) {
 	var b bytes.Buffer
-	assert.NilError(t, writeLosses(&b, losses()))
+	assert.NilError(t, writeLossesCSV(&b, sampleLosses()))
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	assert.Equal(t, lines[0], "second,service,route,region,workspace,cause,count")
 	assert.Equal(t, lines[3], "2,s,r,south,w,cut with its endpoint,5")
 	assert.Equal(t, len(lines), 5)
 }
 
-// TestLossesPlotted: the plot is written, and a format that there is none of refused.
-func TestLossesPlotted(t *testing.T) {
+// TestPlotLosses checks that the plot is written with its legend, and that a file name
+// with an unknown format is an error.
+func TestPlotLosses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a.svg")
-	assert.NilError(t, plotLosses(losses(), file))
+	assert.NilError(t, plotLosses(sampleLosses(), file))
 	text, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(text), "failed or lost"))
-	assert.ErrorContains(t, plotLosses(losses(), filepath.Join(t.TempDir(), "a.doc")), "losses: plot")
+	assert.ErrorContains(t, plotLosses(sampleLosses(), filepath.Join(t.TempDir(), "a.doc")), "losses: plot")
 }
--- a/cmd/vetchtrail/main.go
+++ b/cmd/vetchtrail/main.go
@@ -1,5 +1,6 @@
-// Command vetchtrail is the operators' tool: it speaks the schema's calls to
-// any daemon.
+// Command vetchtrail is the operators' command-line tool. It calls the operators' API
+// of any daemon to show the system's state and to change its configuration. The
+// commands trace, losses and settings check read files instead and call no daemon.
 package main
 
 import (
@@ -9,22 +10,23 @@
 	"github.com/go-faster/errors"
 )
 
-// Exit codes.
+// Exit codes of the tool.
 const (
 	exitFailed   = 1 // the call failed, or the arguments were wrong
 	exitInvalid  = 2 // the change is not valid
-	exitConflict = 3 // another change was first
-	exitUnknown  = 4 // the change may take effect: run the same command again with --change-id
-	exitNotYet   = 5 // accepted, but not in force everywhere
+	exitConflict = 3 // another change was accepted first
+	exitUnknown  = 4 // the outcome is unknown; running the same command with --change-id settles it
+	exitNotYet   = 5 // the revision is accepted, but not in force everywhere
 )
 
-// exitError is an error with the exit code it asks for.
+// exitError is an error that sets the tool's exit code.
 type exitError struct {
 	code int
 	error
 }
 
-// arguments are the subcommands and what all of them take.
+// arguments lists the subcommands and the global flags for the command-line parser
+// (kong).
 type arguments struct {
 	globals
 
@@ -36,12 +38,12 @@
 	Workspace  workspaceCommand  `cmd:"" help:"Workspaces and their residency."`
 	Host       hostCommand       `cmd:"" help:"Entry hosts."`
 	Status     statusCommand     `cmd:"" help:"Show hosts, endpoints and data centres."`
-	Quarantine quarantineCommand `cmd:"" help:"The requests that are held back because endpoints ended under them."`
+	Quarantine quarantineCommand `cmd:"" help:"Poison requests: quarantined because endpoints crashed while running them."`
 	Decisions  decisionsCommand  `cmd:"" help:"Show a host's recent decisions."`
-	Explain    explainCommand    `cmd:"" help:"Tell why a request ran where it did."`
-	Trace      traceCommand      `cmd:"" help:"Tell a request's history from the logs of several hosts."`
-	Losses     lossesCommand     `cmd:"" help:"Tell from the logs of all hosts where requests were lost, and why."`
-	Settings   settingsCommand   `cmd:"" help:"Daemons' settings files."`
+	Explain    explainCommand    `cmd:"" help:"Explain why a request ran where it did."`
+	Trace      traceCommand      `cmd:"" help:"Show a request's history from the logs of several hosts."`
+	Losses     lossesCommand     `cmd:"" help:"Summarise from the logs of all hosts which requests were lost or late, and why."`
+	Settings   settingsCommand   `cmd:"" help:"Settings files of daemons."`
 }
 
 const description = `Operate vetchtrail through any of its daemons.
--- a/cmd/vetchtrail/quarantine.go
+++ b/cmd/vetchtrail/quarantine.go
@@ -11,21 +11,24 @@
 	"vetchtrail/schema"
 )
 
-// quarantineCommand shows and changes what is held back.
+// quarantineCommand groups the subcommands for the quarantine of poison requests:
+// requests that are refused because endpoints crashed while running them.
 type quarantineCommand struct {
-	List    quarantineListCommand    `cmd:"" default:"1" help:"Show the requests that are held back, and those that may be soon."`
-	Release quarantineReleaseCommand `cmd:"" help:"Let a request go."`
+	List    quarantineList    `cmd:"" default:"1" help:"Show the requests in quarantine, and those under suspicion."`
+	Release quarantineRelease `cmd:"" help:"Release a request from quarantine."`
 }
 
-type quarantineListCommand struct{}
+// quarantineList shows the quarantined and the suspected requests.
+type quarantineList struct{}
 
-// Run implements the subcommand.
-func (c *quarantineListCommand) Run(g *globals) error {
-	ctx, client, done, err := g.dial()
+// Run prints a table of the quarantine entries, and below them the requests that may be
+// quarantined soon.
+func (c *quarantineList) Run(g *globals) error {
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	reply, err := client.Quarantine(ctx, &schema.QuarantineRequest{})
 	if err != nil {
 		return err
@@ -34,7 +37,7 @@
 	return g.print(reply, func(w *tabwriter.Writer) {
 		_, _ = fmt.Fprintln(w, "REQUEST\tSTATE\tENDPOINTS ENDED\tTIMES HELD\tSINCE\tUNTIL")
 		for _, h := range reply.GetHolds() {
-			_, _ = fmt.Fprintf(w, "%x\t%s\t%d\t%d\t%s\t%s\n", h.GetDigest(), stateOf(h), h.GetEnds(), h.GetStrike(),
+			_, _ = fmt.Fprintf(w, "%x\t%s\t%d\t%d\t%s\t%s\n", h.GetDigest(), holdState(h), h.GetEnds(), h.GetStrike(),
 				now.Add(-time.Duration(h.GetAge())).Format(time.TimeOnly), now.Add(time.Duration(h.GetRemaining())).Format(time.TimeOnly))
 		}
 		for _, s := range reply.GetSuspects() {
@@ -43,7 +46,9 @@
 	})
 }
 
-func stateOf(h *schema.Hold) string {
+// holdState returns the state column of a quarantine entry: released, expired or
+// in force.
+func holdState(h *schema.Hold) string {
 	switch {
 	case h.GetReleased():
 		return "let go"
@@ -53,27 +58,28 @@
 	return "held back"
 }
 
-type quarantineReleaseCommand struct {
-	Digest string `arg:"" help:"The request, as the list shows it."`
+// quarantineRelease releases a request from quarantine.
+type quarantineRelease struct {
+	Digest string `arg:"" help:"Content hash of the request, as the list shows it."`
 }
 
-// Run implements the subcommand.
-func (c *quarantineReleaseCommand) Run(g *globals) error {
-	d, err := vetchtrail.ParseDigest(c.Digest)
+// Run releases the request. It fails if the request is not in quarantine.
+func (c *quarantineRelease) Run(g *globals) error {
+	contentHash, err := vetchtrail.ParseDigest(c.Digest)
 	if err != nil {
 		return err
 	}
-	ctx, client, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
-	reply, err := client.Release(ctx, &schema.ReleaseRequest{Digest: d[:]})
+	defer cleanup()
+	reply, err := client.Release(ctx, &schema.ReleaseRequest{Digest: contentHash[:]})
 	if err != nil {
 		return err
 	}
 	if !reply.GetReleased() {
-		return errors.Errorf("request %s is not held back", d)
+		return errors.Errorf("request %s is not in quarantine", contentHash)
 	}
-	return g.print(reply, func(w *tabwriter.Writer) { _, _ = fmt.Fprintf(w, "%s is let go\n", d) })
+	return g.print(reply, func(w *tabwriter.Writer) { _, _ = fmt.Fprintf(w, "%s is let go\n", contentHash) })
 }
--- a/cmd/vetchtrail/region.go
+++ b/cmd/vetchtrail/region.go
@@ -2,7 +2,7 @@
 
 import "vetchtrail"
 
-// regionCommand is about regions.
+// regionCommand groups the subcommands that change regions.
 type regionCommand struct {
 	Put    regionPut    `cmd:"" help:"Add or replace a region."`
 	Remove regionRemove `cmd:"" help:"Remove a region."`
@@ -12,11 +12,11 @@
 type regionPut struct {
 	changeFlags
 	Name        string   `arg:""`
-	ID          uint8    `required:"" help:"Its number, 0 to 63, never that of another region."`
-	DataCentres []string `required:"" help:"Its data centres."`
+	ID          uint8    `required:"" help:"Number of the region, 0 to 63; no other region may have or have had it."`
+	DataCentres []string `required:"" help:"Data centres of the region."`
 }
 
-// Run implements the subcommand.
+// Run proposes the region.
 func (c *regionPut) Run(g *globals) error {
 	return g.propose(&c.changeFlags, []vetchtrail.Edit{vetchtrail.PutRegion{Region: vetchtrail.Region{
 		ID: vetchtrail.RegionID(c.ID), Name: c.Name, DataCentres: c.DataCentres,
@@ -29,7 +29,7 @@
 	Name string `arg:""`
 }
 
-// Run implements the subcommand.
+// Run proposes to remove the region.
 func (c *regionRemove) Run(g *globals) error {
 	return g.remove(&c.changeFlags, vetchtrail.ItemRegion, c.Name)
 }
--- a/cmd/vetchtrail/settings.go
+++ b/cmd/vetchtrail/settings.go
@@ -7,17 +7,18 @@
 	"vetchtrail/process/settings"
 )
 
-// settingsCommand is about daemons' settings files.
+// settingsCommand groups the subcommands for the settings files of daemons.
 type settingsCommand struct {
 	Check settingsCheck `cmd:"" help:"Check a settings file."`
 }
 
-// settingsCheck checks a file.
+// settingsCheck validates a settings file without a daemon.
 type settingsCheck struct {
 	File string `arg:"" type:"existingfile"`
 }
 
-// Run implements the subcommand.
+// Run reads the file and prints the host that it describes, or with --output=json all
+// settings.
 func (c *settingsCheck) Run(g *globals) error {
 	s, err := settings.Load(c.File)
 	if err != nil {
--- a/cmd/vetchtrail/status.go
+++ b/cmd/vetchtrail/status.go
@@ -11,54 +11,57 @@
 // statusCommand shows the system as one daemon sees it.
 type statusCommand struct{}
 
+// status returns the daemon's view of hosts, data centres and endpoints.
 func (g *globals) status() (*schema.StatusReply, error) {
-	ctx, client, done, err := g.dial()
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return nil, err
 	}
-	defer done()
+	defer cleanup()
 	return client.Status(ctx, &schema.StatusRequest{})
 }
 
-// Run implements the subcommand.
+// Run prints tables of the hosts of the daemon's data centre, the other data centres and
+// the endpoints.
 func (c *statusCommand) Run(g *globals) error {
 	s, err := g.status()
 	if err != nil {
 		return err
 	}
 	return g.print(s, func(w *tabwriter.Writer) {
-		_, _ = fmt.Fprintf(w, "seen from %s, revision %d, the store last answered %s\n\n", s.GetHost(), s.GetRevision(), ago(s.GetStoreHeard()))
+		_, _ = fmt.Fprintf(w, "seen from %s, revision %d, the store last answered %s\n\n", s.GetHost(), s.GetRevision(), formatAge(s.GetStoreHeard()))
 		printHosts(w, s)
 		_, _ = fmt.Fprintln(w, "\nDATA CENTRE\tREGION\tREVISION\tREACHABLE\tHEARD")
 		for _, d := range s.GetDataCentres() {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%t\t%s\n", d.GetName(), d.GetRegion(), d.GetRevision(), d.GetReachable(), ago(d.GetHeard()))
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%t\t%s\n", d.GetName(), d.GetRegion(), d.GetRevision(), d.GetReachable(), formatAge(d.GetHeard()))
 		}
 		_, _ = fmt.Fprintln(w, "\nENDPOINT\tSERVICE\tSTATE\tRUNNING\tQUEUED\tOURS\tLIMIT\tREPORTED\tRATE\tSINCE\tSENT\tLEAVES BY\tSINCE\tWANTS NOTHING FOR")
 		for _, e := range s.GetEndpoints() {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", e.GetName(), e.GetService(), e.GetState(),
-				e.GetRunning(), e.GetQueued(), e.GetOwn(), e.GetLimit(), ago(e.GetReported()), rate(e), wants(e, time.Now()))
+				e.GetRunning(), e.GetQueued(), e.GetOwn(), e.GetLimit(), formatAge(e.GetReported()), formatRate(e), formatAvailability(e, time.Now()))
 		}
 	})
 }
 
-// rate words the rate that an endpoint names, since when, and how many requests the host that was
-// asked sent it within that.
-func rate(e *schema.EndpointStatus) string {
+// formatRate returns three columns: the rate limit that an endpoint advertises, since
+// when, and how many requests the daemon's host has sent it within that limit.
+func formatRate(e *schema.EndpointStatus) string {
 	if !e.GetLimited() {
 		return "-\t-\t-"
 	}
-	return fmt.Sprintf("%g/s\t%s\t%d", e.GetRate(), ago(e.GetRateSince()), e.GetPermits())
+	return fmt.Sprintf("%g/s\t%s\t%d", e.GetRate(), formatAge(e.GetRateSince()), e.GetPermits())
 }
 
-// wants words whether an endpoint wants requests: whose word it is that it leaves, since when its answers say so, and
-// for how long it wants nothing from the host that was asked.
-func wants(e *schema.EndpointStatus, now time.Time) string {
+// formatAvailability returns three columns: the source of the information that an
+// endpoint is leaving, since when its responses have announced that, and for how long
+// the endpoint has paused requests from the daemon's host.
+func formatAvailability(e *schema.EndpointStatus, now time.Time) string {
 	by, since, pause := e.GetLeavingBy(), "-", "-"
 	if by == "" {
 		by = "-"
 	}
 	if e.GetLeavingSince() != 0 {
-		since = ago(e.GetLeavingSince())
+		since = formatAge(e.GetLeavingSince())
 	}
 	if e.GetPausedUntil() != 0 {
 		pause = time.Unix(0, e.GetPausedUntil()).Sub(now).Round(time.Millisecond).String()
@@ -66,16 +69,18 @@
 	return by + "\t" + since + "\t" + pause
 }
 
+// printHosts prints a table of the hosts of the daemon's data centre.
 func printHosts(w *tabwriter.Writer, s *schema.StatusReply) {
 	_, _ = fmt.Fprintln(w, "HOST\tREGION\tDATA CENTRE\tSTATE\tREVISION\tCALLERS\tHEARD")
 	for _, h := range s.GetHosts() {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", h.GetName(), h.GetRegion(), h.GetDataCentre(),
-			h.GetState(), h.GetRevision(), h.GetCallers(), ago(h.GetHeard()))
+			h.GetState(), h.GetRevision(), h.GetCallers(), formatAge(h.GetHeard()))
 	}
 }
 
-// ago words a moment as the time since.
-func ago(nanos int64) string {
+// formatAge formats a Unix time in nanoseconds as the time that has passed since. 0
+// stands for never.
+func formatAge(nanos int64) string {
 	if nanos == 0 {
 		return "never"
 	}
--- a/cmd/vetchtrail/trace.go
+++ b/cmd/vetchtrail/trace.go
@@ -12,33 +12,35 @@
 	"vetchtrail/process/journal"
 )
 
-// traceCommand joins what hosts logged of a request. It asks no daemon.
+// traceCommand merges the log lines of several hosts about one request. It calls no
+// daemon.
 type traceCommand struct {
-	Request string   `arg:"" help:"The request's id."`
-	Log     []string `arg:"" help:"Logs of one or more hosts, in any order; - for standard input."`
+	Request string   `arg:"" help:"Id of the request."`
+	Log     []string `arg:"" help:"Log files of one or more hosts, in any order; - for standard input."`
 }
 
-// Run implements the subcommand.
+// Run prints the history of the request.
 func (c *traceCommand) Run(g *globals) error {
-	logs, done, err := openLogs(c.Log)
+	logs, cleanup, err := openLogs(c.Log)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	h, err := journal.ReadHistory(c.Request, logs...)
 	if err != nil {
 		return err
 	}
 	if len(h.Lines) == 0 {
-		return errors.Errorf("request %s is in none of %d logs: give those of all hosts, from before its time", c.Request, len(c.Log))
+		return errors.Errorf("request %s is not in the %d log files: pass the logs of all hosts, from before the request arrived", c.Request, len(c.Log))
 	}
 	return g.print(h, func(w *tabwriter.Writer) { printHistory(w, h) })
 }
 
-// openLogs opens files; - is standard input.
-func openLogs(names []string) (logs []io.Reader, done func(), err error) {
+// openLogs opens log files for reading; the name - stands for standard input. The
+// returned function closes the files.
+func openLogs(names []string) (logs []io.Reader, cleanup func(), err error) {
 	var files []*os.File
-	done = func() {
+	cleanup = func() {
 		for _, f := range files {
 			_ = f.Close()
 		}
@@ -50,23 +52,24 @@
 		}
 		f, err := os.Open(name)
 		if err != nil {
-			done()
-			return nil, nil, errors.Wrap(err, "trace")
+			cleanup()
+			return nil, nil, errors.Wrap(err, "log file")
 		}
 		files = append(files, f)
 		logs = append(logs, f)
 	}
-	return logs, done, nil
+	return logs, cleanup, nil
 }
 
-// printHistory writes each line with its time since the first.
+// printHistory prints the lines about a request, each with the time since the first
+// one, then what the hosts learned of its endpoints at that time, and a conclusion.
 func printHistory(w io.Writer, h *journal.History) {
-	began := h.Lines[0].Time
-	since := func(l *journal.Line) string { return fmt.Sprintf("%+.3fs", l.Time.Sub(began).Seconds()) }
-	_, _ = fmt.Fprintf(w, "request %s, of route %q, first seen %s\n", h.Request, h.Lines[0].Route, began.Format(time.RFC3339Nano))
+	start := h.Lines[0].Time
+	sinceStart := func(l *journal.Line) string { return fmt.Sprintf("%+.3fs", l.Time.Sub(start).Seconds()) }
+	_, _ = fmt.Fprintf(w, "request %s, of route %q, first seen %s\n", h.Request, h.Lines[0].Route, start.Format(time.RFC3339Nano))
 	for i := range h.Lines {
 		l := &h.Lines[i]
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", since(l), l.Host, tell(l))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", sinceStart(l), l.Host, describeLine(l))
 		for _, c := range l.Candidates {
 			_, _ = fmt.Fprintf(w, "\t\t  not %s: %s, cost %.3f\n", c.Name, c.Reason, c.Cost)
 		}
@@ -76,7 +79,7 @@
 	}
 	for i := range h.Beliefs {
 		l := &h.Beliefs[i]
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s %s%s%s %s\n", since(l), l.Host, l.Msg, l.Endpoint, l.DataCentre, l.State, l.Error)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s %s%s%s %s\n", sinceStart(l), l.Host, l.Msg, l.Endpoint, l.DataCentre, l.State, l.Error)
 	}
 	_, _ = fmt.Fprintln(w, h.Verdict())
 	if h.Unread > 0 {
@@ -84,8 +87,9 @@
 	}
 }
 
-// tell words a decision or an outcome.
-func tell(l *journal.Line) string {
+// describeLine returns the text for a log line that is a decision, an outcome or a lost
+// attempt.
+func describeLine(l *journal.Line) string {
 	ms := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 	switch {
 	case l.Msg == journal.MsgOutcome:
--- a/cmd/vetchtrail/workspace.go
+++ b/cmd/vetchtrail/workspace.go
@@ -15,31 +15,31 @@
 	"vetchtrail/version/document"
 )
 
-// workspaceCommand is about workspaces.
+// workspaceCommand groups the subcommands for workspaces.
 type workspaceCommand struct {
 	Put    workspacePut    `cmd:"" help:"Add a workspace, or replace its home, regions, priority and quota; its keys stay."`
-	Show   workspaceShow   `cmd:"" help:"Show a workspace; of its keys only their hashes are known."`
-	Key    workspaceKey    `cmd:"" help:"Keys by which callers show that they are a workspace's."`
+	Show   workspaceShow   `cmd:"" help:"Show a workspace; its keys are shown as hashes."`
+	Key    workspaceKey    `cmd:"" help:"Keys that authenticate the callers of a workspace."`
 	Remove workspaceRemove `cmd:"" help:"Remove a workspace and its keys."`
 }
 
-// workspacePut adds or replaces a workspace.
+// workspacePut adds a workspace, or replaces all of it but its keys.
 type workspacePut struct {
 	changeFlags
 	Name     string   `arg:""`
-	Home     string   `help:"Region it belongs to; none: where its request enters."`
-	Allowed  []string `help:"Regions that may process its requests; none: those of the service."`
-	Priority int8     `default:"0" help:"Higher goes first."`
-	Rate     float64  `help:"Units a second that all hosts together run for it; 0: no bound."`
-	Burst    float64  `help:"Units at once beside the rate."`
+	Home     string   `help:"Home region of the workspace; if not given, the region in which a request enters."`
+	Allowed  []string `help:"Regions that may process its requests; if none are given, those of the service."`
+	Priority int8     `default:"0" help:"Priority of its requests; higher goes first."`
+	Rate     float64  `help:"Quota: units a second for all hosts together; 0: no limit."`
+	Burst    float64  `help:"Quota: units available at once in addition to the rate."`
 	Unit     string   `enum:"requests,tokens" default:"requests" help:"What the quota counts: requests or tokens."`
-	Plain    float64  `help:"Tokens that a request counts which names none."`
-	Open     bool     `help:"Callers may name it without a key, if it has none."`
+	Plain    float64  `help:"Tokens that a request without a token count costs."`
+	Open     bool     `help:"Stop requiring a key from callers, if the workspace has no keys left."`
 }
 
-// Run implements the subcommand.
+// Run proposes the workspace with its current keys.
 func (c *workspacePut) Run(g *globals) error {
-	return g.changeWorkspace(&c.changeFlags, c.Name, true, func(w *vetchtrail.Workspace) error {
+	return g.updateWorkspace(&c.changeFlags, c.Name, true, func(w *vetchtrail.Workspace) error {
 		unit, _ := vetchtrail.ParseQuotaUnit(c.Unit)
 		w.Home, w.Allowed, w.Priority = c.Home, c.Allowed, c.Priority
 		w.Locked = w.Locked && !c.Open
@@ -51,29 +51,30 @@
 	})
 }
 
-// changeWorkspace proposes a workspace as a function changes the one held. The change holds
-// only against the revision that was read, so that keys which another operator adds
-// meanwhile are not lost.
-func (g *globals) changeWorkspace(f *changeFlags, name string, mayAdd bool, edit func(*vetchtrail.Workspace) error) error {
-	ctx, client, done, err := g.dial()
+// updateWorkspace reads a workspace, applies edit to it and proposes the result. With
+// allowNew, a workspace that doesn't exist is added. The proposal for an existing
+// workspace is refused if the configuration changes after it was read, so that a key
+// which another operator adds meanwhile is not lost.
+func (g *globals) updateWorkspace(f *changeFlags, name string, allowNew bool, edit func(*vetchtrail.Workspace) error) error {
+	ctx, client, cleanup, err := g.dial()
 	if err != nil {
 		return err
 	}
-	defer done()
-	held, err := client.Rules(ctx)
+	defer cleanup()
+	current, err := client.Rules(ctx)
 	if err != nil {
 		return err
 	}
-	w, known := held.Workspace(name)
-	if !known && !mayAdd {
+	w, exists := current.Workspace(name)
+	if !exists && !allowNew {
 		return exitError{exitInvalid, errors.Errorf("there is no workspace %s: add it with `vetchtrail workspace put %s`", name, name)}
 	}
 	w.Name = name
 	if err := edit(&w); err != nil {
 		return exitError{exitInvalid, err}
 	}
-	if f.ExpectRevision == 0 && known {
-		f.ExpectRevision = held.Revision()
+	if f.ExpectRevision == 0 && exists {
+		f.ExpectRevision = current.Revision()
 	}
 	return g.proposeOn(ctx, client, f, []vetchtrail.Edit{vetchtrail.PutWorkspace{Workspace: w}})
 }
@@ -83,20 +84,21 @@
 	Name string `arg:""`
 }
 
-// Run implements the subcommand.
+// Run prints the workspace.
 func (c *workspaceShow) Run(g *globals) error {
-	held, err := g.rules()
+	current, err := g.rules()
 	if err != nil {
 		return err
 	}
-	w, ok := held.Workspace(c.Name)
-	if !ok {
+	w, exists := current.Workspace(c.Name)
+	if !exists {
 		return exitError{exitInvalid, errors.Errorf("there is no workspace %s", c.Name)}
 	}
-	return g.print(document.OfWorkspace(w), func(out *tabwriter.Writer) { showWorkspace(out, w) })
+	return g.print(document.OfWorkspace(w), func(out *tabwriter.Writer) { printWorkspace(out, w) })
 }
 
-func showWorkspace(out *tabwriter.Writer, w vetchtrail.Workspace) {
+// printWorkspace prints one line for each property of a workspace.
+func printWorkspace(out *tabwriter.Writer, w vetchtrail.Workspace) {
 	line := func(name, text string) { _, _ = fmt.Fprintf(out, "%s\t%s\n", name, text) }
 	line("workspace", w.Name)
 	line("home", w.Home)
@@ -113,20 +115,21 @@
 	}
 }
 
-// workspaceKey is about the keys of a workspace.
+// workspaceKey groups the subcommands for the keys of a workspace.
 type workspaceKey struct {
-	Add    workspaceKeyAdd    `cmd:"" help:"Add a key: the one on standard input, or with --new one that is made and printed once."`
-	Remove workspaceKeyRemove `cmd:"" help:"Take a key away, by its hash."`
+	Add    workspaceKeyAdd    `cmd:"" help:"Add a key: the one on standard input, or with --new a generated one, which is printed once."`
+	Remove workspaceKeyRemove `cmd:"" help:"Remove a key, by its hash."`
 }
 
-// workspaceKeyAdd adds a key.
+// workspaceKeyAdd adds a key to a workspace.
 type workspaceKeyAdd struct {
 	changeFlags
 	Name string `arg:""`
-	New  bool   `help:"Make a key and print it."`
+	New  bool   `help:"Generate a key and print it."`
 }
 
-// Run implements the subcommand.
+// Run adds the hash of the key to the workspace, whose callers need a key from then on.
+// The key itself is stored nowhere: a generated one is printed on standard error.
 func (c *workspaceKeyAdd) Run(g *globals) error {
 	key := rand.Text()
 	if !c.New {
@@ -135,10 +138,10 @@
 		key = strings.TrimSpace(in.Text())
 	}
 	if err := vetchtrail.CheckKey(key); err != nil {
-		return exitError{exitInvalid, errors.Wrap(err, "the line on standard input is no key")}
+		return exitError{exitInvalid, errors.Wrap(err, "the first line on standard input is not a valid key")}
 	}
 	hash := vetchtrail.HashKey(key)
-	err := g.changeWorkspace(&c.changeFlags, c.Name, false, func(w *vetchtrail.Workspace) error {
+	err := g.updateWorkspace(&c.changeFlags, c.Name, false, func(w *vetchtrail.Workspace) error {
 		if slices.Contains(w.Keys, hash) {
 			return errors.Errorf("workspace %s has this key already", c.Name)
 		}
@@ -151,25 +154,26 @@
 	return err
 }
 
-// workspaceKeyRemove takes a key away.
+// workspaceKeyRemove removes a key from a workspace.
 type workspaceKeyRemove struct {
 	changeFlags
 	Name string `arg:""`
-	Hash string `arg:"" help:"Hash of the key, as show gives it."`
+	Hash string `arg:"" help:"Hash of the key, as workspace show prints it."`
 }
 
-// Run implements the subcommand.
+// Run removes the hash of the key from the workspace. Callers still need a key after the
+// last one is removed.
 func (c *workspaceKeyRemove) Run(g *globals) error {
 	var hash vetchtrail.KeyHash
 	if err := hash.UnmarshalText([]byte(c.Hash)); err != nil {
 		return exitError{exitInvalid, err}
 	}
-	return g.changeWorkspace(&c.changeFlags, c.Name, false, func(w *vetchtrail.Workspace) error {
-		at := slices.Index(w.Keys, hash)
-		if at < 0 {
-			return errors.Errorf("workspace %s has no such key", c.Name)
+	return g.updateWorkspace(&c.changeFlags, c.Name, false, func(w *vetchtrail.Workspace) error {
+		i := slices.Index(w.Keys, hash)
+		if i < 0 {
+			return errors.Errorf("workspace %s has no key with this hash", c.Name)
 		}
-		w.Keys = slices.Delete(slices.Clone(w.Keys), at, at+1)
+		w.Keys = slices.Delete(slices.Clone(w.Keys), i, i+1)
 		return nil
 	})
 }
@@ -180,7 +184,7 @@
 	Name string `arg:""`
 }
 
-// Run implements the subcommand.
+// Run proposes to remove the workspace.
 func (c *workspaceRemove) Run(g *globals) error {
 	return g.remove(&c.changeFlags, vetchtrail.ItemWorkspace, c.Name)
 }
