--- a/cmd/standin/capacity.go
+++ b/cmd/standin/capacity.go
@@ -6,11 +6,12 @@
 	"vetchtrail/standin/capacity"
 )
 
-// capacityCommand makes the tables of docs/CAPACITY.md from the output of the
+// capacityCommand writes the tables of docs/CAPACITY.md from the output of the
 // benchmarks.
 type capacityCommand struct{}
 
-// Run implements the subcommand.
+// Run reads benchmark output from standard input and writes the tables to standard
+// output.
 func (c *capacityCommand) Run() error {
 	points, err := capacity.Parse(os.Stdin)
 	if err != nil {
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -24,66 +24,69 @@
 	"vetchtrail/version/rules"
 )
 
-// demoCommand runs Wycena WO's deployment of today in one process. It ends by
-// itself, with an error if any answer was wrong.
+// demoCommand runs an example deployment in one process and sends requests to it: in
+// normal operation, with a region lost, after its return, and with keys and a quota. It
+// ends by itself, with an error if any answer was wrong.
 type demoCommand struct {
-	Verbose bool `help:"Show the hosts' log lines too."`
+	Verbose bool `help:"Also print the log lines of the hosts."`
 }
 
 const (
-	demoSlot   = 3
-	demoTime   = 28 * time.Second
-	demoTokens = 12
-	awayTime   = 10 * time.Second // for a region's loss or return to be seen
+	demoSlot            = 3                // address slot of the deployment
+	demoTimeout         = 28 * time.Second // for the whole demo
+	demoTokens          = 12               // length of a model answer
+	regionReturnTimeout = 10 * time.Second // until a recovered region must serve its bound requests again
 )
 
-// demo is one run.
+// demo is one run of the demo.
 type demo struct {
-	w     *world.World
-	d     deployment.Deployment
-	steps []stepResult
+	system *world.World          // the running deployment
+	layout deployment.Deployment // its hosts, endpoints and addresses
+	steps  []stepResult          // finished steps, and the current one last
 }
 
-// stepResult is what became of the requests of one step.
+// stepResult counts the requests of one step of the demo. Wrong are those that failed or
+// got a wrong answer, otherRegion those answered outside the caller's region, and refused
+// those that were refused as expected.
 type stepResult struct {
-	name                       string
-	asked, wrong, away, denied int
+	name                                  string
+	requests, wrong, otherRegion, refused int
 }
 
-// now is the step under way.
-func (m *demo) now() *stepResult { return &m.steps[len(m.steps)-1] }
+// currentStep returns the counts of the step in progress.
+func (m *demo) currentStep() *stepResult { return &m.steps[len(m.steps)-1] }
 
-// total sums up the steps.
+// total returns the sums over all steps.
 func (m *demo) total() stepResult {
 	all := stepResult{name: "all"}
 	for _, s := range m.steps {
-		all.asked += s.asked
+		all.requests += s.requests
 		all.wrong += s.wrong
-		all.away += s.away
-		all.denied += s.denied
+		all.otherRegion += s.otherRegion
+		all.refused += s.refused
 	}
 	return all
 }
 
-// table prints the steps.
-func (m *demo) table(to io.Writer) error {
+// printSteps prints a table with a row for each step and one for all of them.
+func (m *demo) printSteps(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "\nSTEP\tREQUESTS\tRIGHT\tIN ANOTHER REGION\tREFUSED AS THEY HAD TO BE")
 	for _, s := range append(slices.Clone(m.steps), m.total()) {
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", s.name, s.asked, s.asked-s.wrong, s.away, s.denied)
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", s.name, s.requests, s.requests-s.wrong, s.otherRegion, s.refused)
 	}
 	return w.Flush()
 }
 
-// Run implements the subcommand.
+// Run starts the deployment, runs the steps of the demo and prints the counts.
 func (c *demoCommand) Run() error {
-	ctx, cancel := context.WithTimeout(context.Background(), demoTime)
+	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	d := deployment.Build(deployment.Wycena(demoSlot))
+	layout := deployment.Build(deployment.Wycena(demoSlot))
 	fmt.Printf("A deployment of %d entry hosts and %d endpoints in %d regions, on loopback addresses.\n",
-		len(d.Hosts), len(d.Document.Endpoints), len(d.Spec.Regions))
-	w, err := world.Start(ctx, world.Config{
-		Deployment: d, Log: c.logger(os.Stdout),
+		len(layout.Hosts), len(layout.Document.Endpoints), len(layout.Spec.Regions))
+	system, err := world.Start(ctx, world.Config{
+		Deployment: layout, Log: c.logger(os.Stdout),
 		Engine: engine.Config{
 			Slots: 8, Queue: 8, Prefill: 100 * time.Microsecond, Step: 5 * time.Millisecond, Drag: 1,
 			Cache: 4096, Lag: 100 * time.Millisecond,
@@ -92,24 +95,24 @@
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	m := &demo{w: w, d: d}
+	defer system.Close()
+	m := &demo{system: system, layout: layout}
 	if err := m.run(ctx); err != nil {
 		return err
 	}
-	if err := m.table(os.Stdout); err != nil {
+	if err := m.printSteps(os.Stdout); err != nil {
 		return err
 	}
 	all := m.total()
 	fmt.Printf("\n%d requests: %d right, %d wrong; %d ran in another region, %d were refused as they had to be.\n",
-		all.asked, all.asked-all.wrong, all.wrong, all.away, all.denied)
+		all.requests, all.requests-all.wrong, all.wrong, all.otherRegion, all.refused)
 	if all.wrong > 0 {
 		return errors.Errorf("demo: %d answers were wrong", all.wrong)
 	}
 	return ctx.Err()
 }
 
-// logger shows the hosts' lines if they are asked for.
+// logger returns the logger of the hosts. Without --verbose it discards their lines.
 func (c *demoCommand) logger(out io.Writer) *slog.Logger {
 	if !c.Verbose {
 		return slog.New(slog.DiscardHandler)
@@ -117,62 +120,66 @@
 	return slog.New(slog.NewTextHandler(out, nil))
 }
 
+// run runs the steps of the demo in order.
 func (m *demo) run(ctx context.Context) error {
-	m.step("configuration", "The operators apply a configuration by one typed call.")
+	m.beginStep("configuration", "The operators apply a configuration by one typed call.")
 	revision, err := m.configure(ctx)
 	if err != nil {
 		return err
 	}
-	if err := m.w.Ready(revision); err != nil {
+	if err := m.system.Ready(revision); err != nil {
 		return err
 	}
-	if err := m.w.Settled(); err != nil {
+	if err := m.system.Settled(); err != nil {
 		return err
 	}
-	fmt.Printf("   revision %d is in force on all %d hosts\n", revision, len(m.d.Hosts))
+	fmt.Printf("   revision %d is in force on all %d hosts\n", revision, len(m.layout.Hosts))
 
-	m.step("calm", "Each region streams model answers and serves its portal.")
-	m.askAll(ctx, nil)
+	m.beginStep("calm", "Each region streams model answers and serves its portal.")
+	m.sendFromAllRegions(ctx, nil)
 
-	lost := m.d.Spec.Regions[1]
-	m.step("a region lost", "Region "+lost.Name+" loses its engines. Its callers are served elsewhere; the bound ones are refused.")
-	m.engines(lost, engine.Faults{Refuse: true})
-	m.askAll(ctx, map[string]bool{lost.Name: true})
+	lost := m.layout.Spec.Regions[1]
+	m.beginStep("a region lost", "Region "+lost.Name+" loses its engines. Its callers are served elsewhere; the bound ones are refused.")
+	m.setEngineFaults(lost, engine.Faults{Refuse: true})
+	m.sendFromAllRegions(ctx, map[string]bool{lost.Name: true})
 
-	m.step("back again", "The engines of "+lost.Name+" come back.")
-	m.engines(lost, engine.Faults{})
-	if err := m.until(ctx, lost); err != nil {
+	m.beginStep("back again", "The engines of "+lost.Name+" come back.")
+	m.setEngineFaults(lost, engine.Faults{})
+	if err := m.awaitRegion(ctx, lost); err != nil {
 		return err
 	}
-	m.askAll(ctx, nil)
+	m.sendFromAllRegions(ctx, nil)
 
-	if err := m.keys(ctx); err != nil {
+	if err := m.runKeyStep(ctx); err != nil {
 		return err
 	}
 	return ctx.Err()
 }
 
-func (m *demo) step(name, text string) {
+// beginStep prints a heading and starts the counts of a new step.
+func (m *demo) beginStep(name, text string) {
 	fmt.Printf("\n== %s\n", text)
 	m.steps = append(m.steps, stepResult{name: name})
 }
 
+// configure applies the deployment's configuration and returns its revision.
 func (m *demo) configure(ctx context.Context) (uint64, error) {
-	wanted, err := m.d.Document.Rules()
+	wanted, err := m.layout.Document.Rules()
 	if err != nil {
 		return 0, err
 	}
 	return m.propose(ctx, "first configuration", rules.Empty().Difference(wanted))
 }
 
-// propose makes one change of the configuration.
+// propose proposes one change of the configuration and returns the revision that it was
+// accepted as.
 func (m *demo) propose(ctx context.Context, reason string, edits []vetchtrail.Edit) (uint64, error) {
-	op, err := operator.Dial(ctx, operator.Config{Addr: m.d.Hosts[0].Listen.Peers})
+	operatorClient, err := operator.Dial(ctx, operator.Config{Addr: m.layout.Hosts[0].Listen.Peers})
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = op.Close() }()
-	reply, err := op.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(operator.NewChange("demo", reason, 0, edits))})
+	defer func() { _ = operatorClient.Close() }()
+	reply, err := operatorClient.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(operator.NewChange("demo", reason, 0, edits))})
 	if err != nil {
 		return 0, err
 	}
@@ -182,98 +189,109 @@
 	return reply.GetRevision(), nil
 }
 
-func (m *demo) engines(r deployment.RegionSpec, f engine.Faults) {
-	for _, e := range m.d.Document.Endpoints {
-		if s, ok := m.w.Engines[e.Name]; ok && e.Region == r.Name {
-			s.SetFaults(f)
+// setEngineFaults sets the faults of all model engines of a region. Its plain services
+// stay as they are.
+func (m *demo) setEngineFaults(r deployment.RegionSpec, f engine.Faults) {
+	for _, e := range m.layout.Document.Endpoints {
+		if engineServer, ok := m.system.Engines[e.Name]; ok && e.Region == r.Name {
+			engineServer.SetFaults(f)
 		}
 	}
 }
 
-// askAll sends requests of each kind from each region.
-func (m *demo) askAll(ctx context.Context, lost map[string]bool) {
-	for i, r := range m.d.Spec.Regions {
-		entry := m.entry(r)
-		m.ask(ctx, r, entry, fmt.Sprintf("%s drawing %d: tolerance notes", r.Name, i), "", true)
-		m.ask(ctx, r, entry, fmt.Sprintf("%s: is steel 1.4301 weldable?", r.Name), "", false)
-		m.bound(ctx, r, entry, lost[r.Name])
-		m.book(ctx, r, entry)
+// sendFromAllRegions sends requests of each kind from each region: a streamed and a
+// whole model answer, a request bound to its region, and a booking at the plain service.
+// lost holds the regions whose engines are lost, which must refuse bound requests.
+func (m *demo) sendFromAllRegions(ctx context.Context, lost map[string]bool) {
+	for i, r := range m.layout.Spec.Regions {
+		entry := m.callerAddr(r)
+		m.sendModelRequest(ctx, r, entry, fmt.Sprintf("%s drawing %d: tolerance notes", r.Name, i), "", true)
+		m.sendModelRequest(ctx, r, entry, fmt.Sprintf("%s: is steel 1.4301 weldable?", r.Name), "", false)
+		m.sendBoundRequest(ctx, r, entry, lost[r.Name])
+		m.bookTwice(ctx, r, entry)
 	}
 }
 
-func (m *demo) entry(r deployment.RegionSpec) netip.AddrPort {
-	for _, s := range m.d.Hosts {
-		if s.Region == r.Name {
-			return s.Listen.Callers
+// callerAddr returns the address for callers of the first host of a region.
+func (m *demo) callerAddr(r deployment.RegionSpec) netip.AddrPort {
+	for _, host := range m.layout.Hosts {
+		if host.Region == r.Name {
+			return host.Listen.Callers
 		}
 	}
 	return netip.AddrPort{}
 }
 
-func (m *demo) ask(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort, prompt, workspace string, stream bool) {
+// sendModelRequest sends a request to the model through a host of region r, and checks
+// and counts the answer.
+func (m *demo) sendModelRequest(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort, prompt, workspace string, stream bool) {
 	a := client.Ask{
-		Host: entry, Service: m.d.Spec.Model.Name, Workspace: workspace, Prompt: prompt, Tokens: demoTokens, Stream: stream,
+		Host: entry, Service: m.layout.Spec.Model.Name, Workspace: workspace, Prompt: prompt, Tokens: demoTokens, Stream: stream,
 	}
-	res := m.w.Client.Do(ctx, a)
-	m.now().asked++
+	res := m.system.Client.Do(ctx, a)
+	m.currentStep().requests++
 	if !a.Right(res) {
-		m.fail(r, res)
+		m.recordWrong(r, res)
 		return
 	}
 	if region := m.regionOf(res.Where); region != r.Name {
-		m.now().away++
+		m.currentStep().otherRegion++
 		fmt.Printf("   %s: answered by %s in region %s\n", r.Name, res.Where, region)
 	}
 }
 
-// bound asks for a workspace that may not leave its region.
-func (m *demo) bound(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort, lost bool) {
+// sendBoundRequest sends a request of a workspace whose requests may not leave region r.
+// If the region's engines are lost, the request must be refused.
+func (m *demo) sendBoundRequest(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort, lost bool) {
 	if !lost {
-		m.ask(ctx, r, entry, r.Name+": a bound drawing", r.Name+"-bound", true)
+		m.sendModelRequest(ctx, r, entry, r.Name+": a bound drawing", r.Name+"-bound", true)
 		return
 	}
-	res := m.w.Client.Do(ctx, client.Ask{
-		Host: entry, Service: m.d.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "bound", Tokens: demoTokens,
+	res := m.system.Client.Do(ctx, client.Ask{
+		Host: entry, Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "bound", Tokens: demoTokens,
 	})
-	m.now().asked++
+	m.currentStep().requests++
 	if res.Outcome != vetchtrail.NotRun.String() {
-		m.fail(r, res)
+		m.recordWrong(r, res)
 		return
 	}
-	m.now().denied++
+	m.currentStep().refused++
 	fmt.Printf("   %s: bound request refused: %s\n", r.Name, res.Detail)
 }
 
-// book makes a booking that may run at most once, twice.
-func (m *demo) book(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort) {
-	hosts, err := m.w.Client.Hosts(ctx, entry)
+// bookTwice sends the same booking twice, with one idempotency key. The booking may run
+// at most once, so the second answer must be the one to the first.
+func (m *demo) bookTwice(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort) {
+	hosts, err := m.system.Client.Hosts(ctx, entry)
 	if err != nil {
-		m.fail(r, client.Result{Err: err})
+		m.recordWrong(r, client.Result{Err: err})
 		return
 	}
 	var texts [2]string
 	for i := range texts {
-		res := m.w.Client.Plain(ctx, entry, http.MethodPost, m.d.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4, Tuesday")
-		m.now().asked++
+		res := m.system.Client.Plain(ctx, entry, http.MethodPost, m.layout.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4, Tuesday")
+		m.currentStep().requests++
 		if res.Status != http.StatusOK || !res.Whole {
-			m.fail(r, res)
+			m.recordWrong(r, res)
 			return
 		}
 		texts[i] = res.Text
 	}
 	if texts[0] != texts[1] {
-		m.fail(r, client.Result{Detail: "the booking's repeat got another answer: " + texts[1]})
+		m.recordWrong(r, client.Result{Detail: "the booking's repeat got another answer: " + texts[1]})
 	}
 }
 
-func (m *demo) fail(r deployment.RegionSpec, res client.Result) {
-	m.now().wrong++
+// recordWrong counts a wrong result in the current step and prints it.
+func (m *demo) recordWrong(r deployment.RegionSpec, res client.Result) {
+	m.currentStep().wrong++
 	fmt.Printf("   %s: WRONG: status %d outcome %q whole %t text %q detail %q error %v\n",
 		r.Name, res.Status, res.Outcome, res.Whole, res.Text, res.Detail, res.Err)
 }
 
+// regionOf returns the region of an endpoint, or an empty string if it is unknown.
 func (m *demo) regionOf(endpoint string) string {
-	for _, e := range m.d.Document.Endpoints {
+	for _, e := range m.layout.Document.Endpoints {
 		if e.Name == endpoint {
 			return e.Region
 		}
@@ -281,17 +299,18 @@
 	return ""
 }
 
-// until asks until a region serves its own again.
-func (m *demo) until(ctx context.Context, r deployment.RegionSpec) error {
-	deadline := time.Now().Add(awayTime)
+// awaitRegion sends requests that are bound to a region until one is answered: the
+// region's engines are in use again.
+func (m *demo) awaitRegion(ctx context.Context, r deployment.RegionSpec) error {
+	deadline := time.Now().Add(regionReturnTimeout)
 	for time.Now().Before(deadline) {
-		res := m.w.Client.Do(ctx, client.Ask{
-			Host: m.entry(r), Service: m.d.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "back?", Tokens: 1,
+		res := m.system.Client.Do(ctx, client.Ask{
+			Host: m.callerAddr(r), Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "back?", Tokens: 1,
 		})
 		if res.Status == http.StatusOK {
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return errors.Errorf("demo: region %s does not serve its own again", r.Name)
+	return errors.Errorf("demo: region %s does not serve its bound requests again", r.Name)
 }
--- a/cmd/standin/examples.go
+++ b/cmd/standin/examples.go
@@ -9,18 +9,20 @@
 	"vetchtrail/standin/deployment"
 )
 
-// examplesCommand writes the files under examples/.
+// examplesCommand writes the configuration and the settings files of the example
+// deployments, which are kept under examples/.
 type examplesCommand struct {
-	Directory string `arg:"" default:"examples" help:"Where to write."`
+	Directory string `arg:"" default:"examples" help:"Directory to write to."`
 }
 
-// Slots of the examples' addresses.
+// Address slots of the example deployments. The slot is a number in a deployment's
+// loopback addresses that keeps them apart from other deployments on the machine.
 const (
 	slotWycena    = 1
 	slotCadastral = 2
 )
 
-// Run implements the subcommand.
+// Run writes one directory for each example deployment.
 func (c *examplesCommand) Run() error {
 	for name, spec := range map[string]deployment.Spec{
 		"wycena":    deployment.Wycena(slotWycena),
@@ -33,6 +35,8 @@
 	return nil
 }
 
+// writeExample writes a deployment's configuration document and one settings file for
+// each host to dir.
 func writeExample(dir string, d deployment.Deployment) error {
 	if err := os.MkdirAll(filepath.Join(dir, "settings"), 0o755); err != nil {
 		return errors.Wrap(err, "standin examples")
--- a/cmd/standin/keys.go
+++ b/cmd/standin/keys.go
@@ -12,68 +12,76 @@
 const (
 	demoWorkspace = "zaklad-nowak"
 	demoKey       = "a-key-of-the-demo"
-	demoQuota     = 3 // requests at once in a region
+	// demoQuota sets the size of the quota step: the workspace has a burst of 4 times as
+	// many requests, and the demo sends 8 times as many.
+	demoQuota = 3
 )
 
-// keys shows who is served that shows a key, and how much.
-func (m *demo) keys(ctx context.Context) error {
-	m.step("keys and quota", "A workspace has a key and a quota: its callers are served up to it, others not.")
-	w := vetchtrail.Workspace{
+// runKeyStep checks authentication and quota of a workspace with a key. Requests without
+// a key, with a wrong key or with a removed key must be refused with status 401. With
+// the key, some requests must be served and those over the quota refused.
+func (m *demo) runKeyStep(ctx context.Context) error {
+	m.beginStep("keys and quota", "A workspace has a key and a quota: its callers are served up to it, others not.")
+	workspace := vetchtrail.Workspace{
 		Name: demoWorkspace, Keys: []vetchtrail.KeyHash{vetchtrail.HashKey(demoKey)}, Locked: true,
 		Quota: vetchtrail.Quota{Rate: 1, Burst: 4 * demoQuota},
 	}
-	if err := m.putWorkspace(ctx, "a workspace with a key", w); err != nil {
+	if err := m.putWorkspace(ctx, "a workspace with a key", workspace); err != nil {
 		return err
 	}
-	r := m.d.Spec.Regions[0]
-	m.expect(ctx, "no key", client.Ask{Workspace: demoWorkspace}, http.StatusUnauthorized)
-	m.expect(ctx, "a wrong key", client.Ask{Credential: "guess"}, http.StatusUnauthorized)
+	r := m.layout.Spec.Regions[0]
+	m.expectRefusal(ctx, "no key", client.Ask{Workspace: demoWorkspace}, http.StatusUnauthorized)
+	m.expectRefusal(ctx, "a wrong key", client.Ask{Credential: "guess"}, http.StatusUnauthorized)
 	served := 0
 	for range 8 * demoQuota {
-		res := m.w.Client.Do(ctx, m.keyed(client.Ask{Credential: demoKey}))
-		m.now().asked++
+		res := m.system.Client.Do(ctx, m.withDefaults(client.Ask{Credential: demoKey}))
+		m.currentStep().requests++
 		switch {
 		case res.Status == http.StatusOK && res.Whole:
 			served++
 		case res.Status == http.StatusTooManyRequests && res.Outcome == vetchtrail.NotRun.String():
-			m.now().denied++
+			m.currentStep().refused++
 		default:
-			m.fail(r, res)
+			m.recordWrong(r, res)
 		}
 	}
 	fmt.Printf("   with the key: %d served, the rest beyond the quota\n", served)
 	if served == 0 || served == 8*demoQuota {
-		m.fail(r, client.Result{Detail: fmt.Sprintf("%d of %d were served", served, 8*demoQuota)})
+		m.recordWrong(r, client.Result{Detail: fmt.Sprintf("%d of %d were served", served, 8*demoQuota)})
 	}
-	w.Keys = nil
-	if err := m.putWorkspace(ctx, "its key is taken away", w); err != nil {
+	workspace.Keys = nil
+	if err := m.putWorkspace(ctx, "its key is taken away", workspace); err != nil {
 		return err
 	}
-	m.expect(ctx, "a key that was taken away", client.Ask{Credential: demoKey}, http.StatusUnauthorized)
+	m.expectRefusal(ctx, "a key that was taken away", client.Ask{Credential: demoKey}, http.StatusUnauthorized)
 	return nil
 }
 
-func (m *demo) putWorkspace(ctx context.Context, reason string, w vetchtrail.Workspace) error {
-	revision, err := m.propose(ctx, reason, []vetchtrail.Edit{vetchtrail.PutWorkspace{Workspace: w}})
+// putWorkspace adds or replaces a workspace and waits until all hosts have the change.
+func (m *demo) putWorkspace(ctx context.Context, reason string, workspace vetchtrail.Workspace) error {
+	revision, err := m.propose(ctx, reason, []vetchtrail.Edit{vetchtrail.PutWorkspace{Workspace: workspace}})
 	if err != nil {
 		return err
 	}
-	return m.w.Ready(revision)
+	return m.system.Ready(revision)
 }
 
-func (m *demo) keyed(a client.Ask) client.Ask {
-	a.Host, a.Service, a.Prompt, a.Tokens = m.entry(m.d.Spec.Regions[0]), m.d.Spec.Model.Name, "is it weldable?", demoTokens
+// withDefaults returns the request with the host, service, prompt and length that all
+// requests of the key step have.
+func (m *demo) withDefaults(a client.Ask) client.Ask {
+	a.Host, a.Service, a.Prompt, a.Tokens = m.callerAddr(m.layout.Spec.Regions[0]), m.layout.Spec.Model.Name, "is it weldable?", demoTokens
 	return a
 }
 
-// expect asks once and looks at the status.
-func (m *demo) expect(ctx context.Context, who string, a client.Ask, status int) {
-	res := m.w.Client.Do(ctx, m.keyed(a))
-	m.now().asked++
+// expectRefusal sends a request that must be refused with the status and without having
+// run.
+func (m *demo) expectRefusal(ctx context.Context, who string, a client.Ask, status int) {
+	res := m.system.Client.Do(ctx, m.withDefaults(a))
+	m.currentStep().requests++
 	if res.Status != status || res.Outcome != vetchtrail.NotRun.String() {
-		m.fail(m.d.Spec.Regions[0], res)
+		m.recordWrong(m.layout.Spec.Regions[0], res)
 		return
 	}
-	m.now().denied++
+	m.currentStep().refused++
 	fmt.Printf("   %s: %d, %s\n", who, res.Status, res.Detail)
 }
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -16,32 +16,33 @@
 	"vetchtrail/standin/loadrun"
 )
 
-// loadCommand compares the policies on the same arrivals.
+// loadCommand compares the policies on the same arrivals, with and without faults.
 type loadCommand struct {
-	Deployment string                 `enum:"wycena,cadastral" default:"wycena" help:"Whose deployment of today."`
-	Policies   []string               `default:"round-robin,least-in-flight,two-choices,weighted" help:"Policies to run."`
-	Off        []vetchtrail.Mechanism `help:"Mechanisms of the policy that are switched off, by their names in the settings."`
-	Cases      []string               `help:"Cases to run, by the beginnings of their names; all if none are given."`
-	Rate       float64                `default:"100" help:"Arrivals a second at the steady case."`
-	Length     time.Duration          `default:"12s" help:"Of one run."`
-	Deadline   time.Duration          `default:"6s" help:"Of a request."`
-	Prefixes   int                    `default:"48" help:"Prompt beginnings in use."`
-	Seed       uint64                 `default:"1" help:"Of the arrivals."`
+	Deployment string                 `enum:"wycena,cadastral" default:"wycena" help:"Example deployment to run."`
+	Policies   []string               `default:"round-robin,least-in-flight,two-choices,weighted" help:"Policies to compare."`
+	Off        []vetchtrail.Mechanism `help:"Mechanisms of the policy to switch off, by their names in the settings."`
+	Cases      []string               `help:"Cases to run, by prefixes of their names; if none are given, all."`
+	Rate       float64                `default:"100" help:"Arrivals a second in the steady case."`
+	Length     time.Duration          `default:"12s" help:"Length of one run."`
+	Deadline   time.Duration          `default:"6s" help:"Deadline of a request."`
+	Prefixes   int                    `default:"48" help:"Number of shared prompt prefixes, at least 2."`
+	Seed       uint64                 `default:"1" help:"Seed of the arrivals."`
 }
 
 const (
-	loadSlot  = 4
-	mostTime  = 30 * time.Minute
-	mostRate  = 400
-	mostRunOf = time.Minute
+	loadSlot       = 4                // address slot of the deployment
+	maxTotalTime   = 30 * time.Minute // for all runs together
+	maxArrivalRate = 400              // arrivals a second
+	maxRunLength   = time.Minute
 )
 
-// Run implements the subcommand.
+// Run runs each selected case under each policy, in a deployment of its own, and prints
+// a table of the results. Progress goes to standard error.
 func (c *loadCommand) Run() error {
-	if c.Rate <= 0 || c.Rate > mostRate || c.Length <= 0 || c.Length > mostRunOf {
-		return errors.Errorf("standin load: a rate up to %d and a length up to %s", mostRate, mostRunOf)
+	if c.Rate <= 0 || c.Rate > maxArrivalRate || c.Length <= 0 || c.Length > maxRunLength {
+		return errors.Errorf("standin load: --rate must be above 0 and at most %d, --length above 0 and at most %s", maxArrivalRate, maxRunLength)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), mostTime)
+	ctx, cancel := context.WithTimeout(context.Background(), maxTotalTime)
 	defer cancel()
 	spec := deployment.Wycena(loadSlot)
 	if c.Deployment == "cadastral" {
@@ -51,15 +52,15 @@
 	var results []loadrun.Result
 	for _, k := range loadrun.Cases() {
 		for _, p := range c.Policies {
-			if !c.wants(k) {
+			if !c.selects(k) {
 				continue
 			}
-			run, name, err := variant(spec, p)
+			runSpec, policyName, err := variant(spec, p)
 			if err != nil {
 				return err
 			}
 			res, err := loadrun.Run(ctx, loadrun.Config{
-				Spec: run, Policy: name, SwitchedOff: c.Off, Name: p, Case: k, Rate: c.Rate, Length: c.Length, Seed: c.Seed, Deadline: c.Deadline, Prefixes: max(c.Prefixes, 2),
+				Spec: runSpec, Policy: policyName, SwitchedOff: c.Off, Name: p, Case: k, Rate: c.Rate, Length: c.Length, Seed: c.Seed, Deadline: c.Deadline, Prefixes: max(c.Prefixes, 2),
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			})
 			if err != nil {
@@ -73,25 +74,28 @@
 	return nil
 }
 
-// tailFirst is the system's policy with Wycena WO's weights, to compare the
-// Co-operative's with.
+// tailFirst is the value of --policies for the weighted policy with the model weights of
+// the example deployment wycena, where the time to the first token weighs most. It is
+// for comparison with the weights of the other example, which avoid remote regions.
 const tailFirst = "tail-first"
 
-// variant returns the deployment and the policy's name for a run.
+// variant returns the deployment and the policy's name for a value of --policies.
 func variant(spec deployment.Spec, name string) (deployment.Spec, string, error) {
 	if name == tailFirst {
 		spec.Model.Weights = deployment.Wycena(loadSlot).Model.Weights
 		return spec, policy.NameWeighted, nil
 	}
 	if _, ok := policy.ByName(name, 0); !ok {
-		return spec, "", errors.Errorf("standin load: no policy %q", name)
+		return spec, "", errors.Errorf("standin load: unknown policy %q", name)
 	}
 	return spec, name, nil
 }
 
-func (c *loadCommand) wants(k loadrun.Case) bool {
-	for _, w := range c.Cases {
-		if len(k) >= len(w) && string(k[:len(w)]) == w {
+// selects reports whether the case is to run: its name begins with one of the prefixes,
+// or no prefixes are given.
+func (c *loadCommand) selects(k loadrun.Case) bool {
+	for _, prefix := range c.Cases {
+		if len(k) >= len(prefix) && string(k[:len(prefix)]) == prefix {
 			return true
 		}
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,24 +1,28 @@
-// Command standin holds stand-ins for the systems outside, and the demo.
+// Command standin runs stand-ins for the systems that vetchtrail depends on, such as
+// model engines, the platform's key-value store and the links between regions. It also
+// contains tools built on them: the demo, the comparison of policies under load, the
+// tables of the capacity page and the example files. It is for tests and evaluation, not
+// for production.
 package main
 
 import "github.com/alecthomas/kong"
 
-// arguments are the subcommands.
+// arguments lists the subcommands for the command-line parser (kong).
 type arguments struct {
-	Demo      demoCommand      `cmd:"" help:"Run a small deployment in one process: serve, lose a region, get it back."`
-	Engine    engineCommand    `cmd:"" help:"Stand in for a model engine."`
-	Plain     plainCommand     `cmd:"" help:"Stand in for a plain service."`
-	Store     storeCommand     `cmd:"" help:"Stand in for the platform's key-value service."`
-	Hostlist  hostlistCommand  `cmd:"" help:"Stand in for the platform's lagging list of endpoints."`
-	Directory directoryCommand `cmd:"" help:"Stand in for the directory for clients."`
-	Link      linkCommand      `cmd:"" help:"Stand in for the links between regions."`
+	Demo      demoCommand      `cmd:"" help:"Run a small deployment in one process: serve requests, lose a region, recover it."`
+	Engine    engineCommand    `cmd:"" help:"Run a stand-in for a model engine."`
+	Plain     plainCommand     `cmd:"" help:"Run a stand-in for a plain HTTP service."`
+	Store     storeCommand     `cmd:"" help:"Run a stand-in for the platform's key-value store."`
+	Hostlist  hostlistCommand  `cmd:"" help:"Run a stand-in for the platform's list of endpoints, which lags behind."`
+	Directory directoryCommand `cmd:"" help:"Run a stand-in for the directory that names entry hosts to clients."`
+	Link      linkCommand      `cmd:"" help:"Run a stand-in for the links between regions."`
 	Load      loadCommand      `cmd:"" help:"Compare the policies under load and faults, on the same arrivals."`
-	Capacity  capacityCommand  `cmd:"" help:"Make the tables of docs/CAPACITY.md from benchmarks on standard input."`
-	Examples  examplesCommand  `cmd:"" help:"Write the users' deployments of today as files."`
+	Capacity  capacityCommand  `cmd:"" help:"Write the tables of docs/CAPACITY.md from benchmark output on standard input."`
+	Examples  examplesCommand  `cmd:"" help:"Write the configuration and settings files of the example deployments."`
 }
 
 func main() {
 	var a arguments
-	k := kong.Parse(&a, kong.Name("standin"), kong.Description("Stand-ins for the systems round vetchtrail."), kong.UsageOnError())
+	k := kong.Parse(&a, kong.Name("standin"), kong.Description("Stand-ins for the systems that vetchtrail depends on."), kong.UsageOnError())
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -20,13 +20,13 @@
 	"vetchtrail/standin/platform"
 )
 
-// server is any of the stand-ins.
-type server interface {
+// standIn is a server that stands in for an external system.
+type standIn interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// serve answers until told to stop.
-func serve(ctx context.Context, addr netip.AddrPort, s server) error {
+// serve listens on addr and runs the stand-in until ctx ends.
+func serve(ctx context.Context, addr netip.AddrPort, s standIn) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", addr.String())
 	if err != nil {
@@ -35,28 +35,29 @@
 	return s.Serve(ctx, l)
 }
 
-func untilStopped() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends on SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// engineCommand stands in for a model engine.
+// engineCommand runs a stand-in for a model engine.
 type engineCommand struct {
 	Addr    netip.AddrPort `arg:"" help:"Address to listen on."`
-	Slots   int            `default:"8" help:"Requests decoded at once."`
-	Queue   int            `default:"8" help:"Requests held back beyond them."`
-	Prefill time.Duration  `default:"200us" help:"For one uncached prompt token."`
-	Step    time.Duration  `default:"10ms" help:"Between two tokens of one request."`
+	Slots   int            `default:"8" help:"Number of requests decoded at once."`
+	Queue   int            `default:"8" help:"Number of further requests that are queued."`
+	Prefill time.Duration  `default:"200us" help:"Time to read one uncached prompt token."`
+	Step    time.Duration  `default:"10ms" help:"Time between two tokens of one request."`
 	Drag    float64        `default:"1" help:"Share by which a full batch lengthens a step."`
-	Cache   int            `default:"8192" help:"Prompt tokens cached."`
-	Lag     time.Duration  `default:"200ms" help:"Of load reports."`
-	Deadly  string         `help:"Text of a prompt under which the engine ends."`
-	After   time.Duration  `default:"50ms" help:"How long after it was begun."`
-	Back    time.Duration  `default:"1s" help:"Until an engine that ended listens again."`
+	Cache   int            `default:"8192" help:"Number of prompt tokens cached."`
+	Lag     time.Duration  `default:"200ms" help:"Age of load reports when they are served."`
+	Deadly  string         `help:"Text in a prompt that makes the engine crash."`
+	After   time.Duration  `default:"50ms" help:"Time from the start of such a request to the crash."`
+	Back    time.Duration  `default:"1s" help:"Time until a crashed engine listens again."`
 }
 
-// Run implements the subcommand.
+// Run serves the engine until a signal stops it.
 func (c *engineCommand) Run() error {
-	ctx, stop := untilStopped()
+	ctx, stop := signalContext()
 	defer stop()
 	return serve(ctx, c.Addr, engine.New(engine.Config{
 		Slots: c.Slots, Queue: c.Queue, Prefill: c.Prefill, Step: c.Step, Drag: c.Drag, Cache: c.Cache, Lag: c.Lag,
@@ -64,52 +65,53 @@
 	}))
 }
 
-// plainCommand stands in for a plain service.
+// plainCommand runs a stand-in for a plain HTTP service, one that is no model engine.
 type plainCommand struct {
 	Addr netip.AddrPort `arg:"" help:"Address to listen on."`
 }
 
-// Run implements the subcommand.
+// Run serves the plain service until a signal stops it.
 func (c *plainCommand) Run() error {
-	ctx, stop := untilStopped()
+	ctx, stop := signalContext()
 	defer stop()
 	return serve(ctx, c.Addr, plain.New())
 }
 
-// storeCommand stands in for the key-value service.
+// storeCommand runs a stand-in for the platform's key-value store.
 type storeCommand struct {
 	Addr netip.AddrPort `arg:"" help:"Address to listen on."`
 }
 
-// Run implements the subcommand.
+// Run serves the store until a signal stops it.
 func (c *storeCommand) Run() error {
-	ctx, stop := untilStopped()
+	ctx, stop := signalContext()
 	defer stop()
 	return serve(ctx, c.Addr, kv.New())
 }
 
-// hostlistCommand stands in for the list of endpoints.
+// hostlistCommand runs a stand-in for the platform's list of endpoints.
 type hostlistCommand struct {
 	Addr netip.AddrPort `arg:"" help:"Address to listen on."`
-	Lag  time.Duration  `default:"2s" help:"Until a change shows."`
+	Lag  time.Duration  `default:"2s" help:"Time until a change appears in the list."`
 }
 
-// Run implements the subcommand.
+// Run serves the list until a signal stops it.
 func (c *hostlistCommand) Run() error {
-	ctx, stop := untilStopped()
+	ctx, stop := signalContext()
 	defer stop()
 	return serve(ctx, c.Addr, platform.NewHostList(c.Lag))
 }
 
-// directoryCommand stands in for the directory.
+// directoryCommand runs a stand-in for the directory, which names entry hosts to
+// clients.
 type directoryCommand struct {
 	Addr  netip.AddrPort   `arg:"" help:"Address to listen on."`
-	Hosts []netip.AddrPort `arg:"" help:"Entry hosts to name."`
+	Hosts []netip.AddrPort `arg:"" help:"Addresses of the entry hosts to name."`
 }
 
-// Run implements the subcommand.
+// Run serves the list of hosts until a signal stops it.
 func (c *directoryCommand) Run() error {
-	ctx, stop := untilStopped()
+	ctx, stop := signalContext()
 	defer stop()
 	var text strings.Builder
 	for _, h := range c.Hosts {
@@ -118,15 +120,16 @@
 	return serve(ctx, c.Addr, &platform.Directory{Text: text.String()})
 }
 
-// linkCommand stands in for the links.
+// linkCommand runs a stand-in for the slow links between regions: TCP relays that delay
+// what they carry and can be cut.
 type linkCommand struct {
-	Addr netip.AddrPort `arg:"" help:"Address to be told at what to cut."`
-	File string         `arg:"" type:"existingfile" help:"JSON list of the link's pipes."`
+	Addr netip.AddrPort `arg:"" help:"Address of the control API, which cuts and restores links."`
+	File string         `arg:"" type:"existingfile" help:"JSON list of the relays: link name, listen address, target and delay."`
 }
 
-// Run implements the subcommand.
+// Run starts the relays and serves their control API until a signal stops it.
 func (c *linkCommand) Run() error {
-	ctx, stop := untilStopped()
+	ctx, stop := signalContext()
 	defer stop()
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -136,9 +139,9 @@
 	if err := json.Unmarshal(text, &pipes); err != nil {
 		return errors.Wrapf(err, "standin link: %s", c.File)
 	}
-	r := link.New(pipes)
-	if err := r.Start(ctx); err != nil {
+	relay := link.New(pipes)
+	if err := relay.Start(ctx); err != nil {
 		return errors.Wrap(err, "standin link")
 	}
-	return serve(ctx, c.Addr, r)
+	return serve(ctx, c.Addr, relay)
 }
