--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,7 @@
-// Command soak runs a deployment of the real programs under random faults and
-// checks the promises of docs/PROOFS.md while it runs.
+// Command soak is a fault-injection test. It starts a deployment of the real programs on
+// loopback addresses, injects random faults and checks the guarantees of docs/PROOFS.md
+// while requests run. The package parses the command line and writes the reports; the
+// test itself is in package soak.
 package main
 
 import (
@@ -18,66 +20,69 @@
 	"vetchtrail/standin/deployment"
 )
 
-// arguments are the flags.
+// arguments holds the flags for the command-line parser (kong).
 type arguments struct {
-	Seed     uint64  `default:"1" help:"Of the first run; the next runs take the next ones."`
-	Runs     int     `default:"1" help:"Runs, one after the other."`
-	Minutes  float64 `default:"0.5" help:"Faults are made for so long in a run."`
+	Seed     uint64  `default:"1" help:"Seed of the first run; each further run uses the next number."`
+	Runs     int     `default:"1" help:"Number of runs, one after the other."`
+	Minutes  float64 `default:"0.5" help:"Minutes for which a run injects faults."`
 	Rate     float64 `default:"0.5" help:"Faults a second."`
-	Regions  int     `default:"3" help:"Regions of one data centre each, 1 to 10."`
-	Hosts    int     `default:"2" help:"Entry hosts of a region."`
-	Engines  int     `default:"2" help:"Model engines of a region."`
-	Callers  int     `default:"2" help:"Callers that keep to a host."`
-	Rates    bool    `default:"true" negatable:"" help:"Engines name rates in their answers."`
-	Words    bool    `default:"true" negatable:"" help:"Engines say that they leave, or turn hosts away for a time."`
-	Deadly   bool    `default:"true" negatable:"" help:"A caller sends a request under which engines end."`
-	Slot     int     `default:"200" help:"Third number of the loopback addresses, apart from other deployments' on the machine."`
-	Binaries string  `default:"target" type:"existingdir" help:"Directory of vetchtraild, vetchtrail and standin."`
+	Regions  int     `default:"3" help:"Number of regions, of one data centre each, 1 to 10."`
+	Hosts    int     `default:"2" help:"Entry hosts in each region."`
+	Engines  int     `default:"2" help:"Model engines in each region."`
+	Callers  int     `default:"2" help:"Callers for each host."`
+	Rates    bool    `default:"true" negatable:"" help:"Engines advertise rate limits in their responses."`
+	Words    bool    `default:"true" negatable:"" help:"Engines announce that they are leaving, or pause requests from hosts for a time."`
+	Deadly   bool    `default:"true" negatable:"" help:"A caller sends a poison request, which crashes engines."`
+	Slot     int     `default:"200" help:"Third number of the loopback addresses; it must differ from that of other deployments on the machine."`
+	Binaries string  `default:"target" type:"existingdir" help:"Directory of the programs vetchtraild, vetchtrail and standin."`
 	Out      string  `default:"soak-out" help:"Directory for logs, reports and timelines."`
 }
 
-// errBroken says that a promise was broken.
-var errBroken = errors.New("promises were broken: see the reports")
+// errViolations is returned if at least one run found a violated guarantee.
+var errViolations = errors.New("guarantees were violated; see the reports")
 
-// Run runs the seeds.
+// Run runs the test once for each seed. A violated guarantee doesn't stop the further
+// runs; a run that itself fails does.
 func (a *arguments) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	if err := a.absolute(); err != nil {
+	if err := a.makePathsAbsolute(); err != nil {
 		return err
 	}
-	var broken []uint64
+	var failedSeeds []uint64
 	for n := range a.Runs {
 		seed := a.Seed + uint64(n)
-		ok, err := a.one(ctx, seed)
+		ok, err := a.runSeed(ctx, seed)
 		if err != nil {
 			return errors.Wrapf(err, "seed %d", seed)
 		}
 		if !ok {
-			broken = append(broken, seed)
+			failedSeeds = append(failedSeeds, seed)
 		}
 	}
-	fmt.Printf("%d runs, seeds with broken promises: %v\n", a.Runs, broken)
-	if len(broken) > 0 {
-		return errBroken
+	fmt.Printf("%d runs, seeds with broken promises: %v\n", a.Runs, failedSeeds)
+	if len(failedSeeds) > 0 {
+		return errViolations
 	}
 	return nil
 }
 
-// absolute makes the paths absolute: the programs run in directories of their own.
-func (a *arguments) absolute() error {
+// makePathsAbsolute replaces the paths in the flags by absolute ones, because the
+// programs run in other working directories.
+func (a *arguments) makePathsAbsolute() error {
 	for _, path := range []*string{&a.Binaries, &a.Out} {
-		whole, err := filepath.Abs(*path)
+		absolute, err := filepath.Abs(*path)
 		if err != nil {
-			return errors.Wrap(err, "soak: paths")
+			return errors.Wrap(err, "soak: absolute path")
 		}
-		*path = whole
+		*path = absolute
 	}
 	return nil
 }
 
-// one runs a seed and writes its report.
-func (a *arguments) one(ctx context.Context, seed uint64) (bool, error) {
+// runSeed runs the test with one seed, and writes its timeline to the seed's directory and
+// its report to standard output. It reports whether all guarantees held.
+func (a *arguments) runSeed(ctx context.Context, seed uint64) (bool, error) {
 	dir := filepath.Join(a.Out, fmt.Sprint(seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return false, err
