--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -204,11 +204,11 @@
 // lost holds the regions whose engines are lost, which must refuse bound requests.
 func (m *demo) sendFromAllRegions(ctx context.Context, lost map[string]bool) {
 	for i, r := range m.layout.Spec.Regions {
-		entry := m.callerAddr(r)
-		m.sendModelRequest(ctx, r, entry, fmt.Sprintf("%s drawing %d: tolerance notes", r.Name, i), "", true)
-		m.sendModelRequest(ctx, r, entry, fmt.Sprintf("%s: is steel 1.4301 weldable?", r.Name), "", false)
-		m.sendBoundRequest(ctx, r, entry, lost[r.Name])
-		m.bookTwice(ctx, r, entry)
+		callerAddr := m.callerAddr(r)
+		m.sendModelRequest(ctx, r, callerAddr, fmt.Sprintf("%s drawing %d: tolerance notes", r.Name, i), "", true)
+		m.sendModelRequest(ctx, r, callerAddr, fmt.Sprintf("%s: is steel 1.4301 weldable?", r.Name), "", false)
+		m.sendBoundRequest(ctx, r, callerAddr, lost[r.Name])
+		m.bookTwice(ctx, r, callerAddr)
 	}
 }
 
@@ -224,9 +224,9 @@
 
 // sendModelRequest sends a request to the model through a host of region r, and checks
 // and counts the answer.
-func (m *demo) sendModelRequest(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort, prompt, workspace string, stream bool) {
+func (m *demo) sendModelRequest(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort, prompt, workspace string, stream bool) {
 	a := client.Ask{
-		Host: entry, Service: m.layout.Spec.Model.Name, Workspace: workspace, Prompt: prompt, Tokens: demoTokens, Stream: stream,
+		Host: callerAddr, Service: m.layout.Spec.Model.Name, Workspace: workspace, Prompt: prompt, Tokens: demoTokens, Stream: stream,
 	}
 	res := m.system.Client.Do(ctx, a)
 	m.currentStep().requests++
@@ -242,13 +242,13 @@
 
 // sendBoundRequest sends a request of a workspace whose requests may not leave region r.
 // If the region's engines are lost, the request must be refused.
-func (m *demo) sendBoundRequest(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort, lost bool) {
+func (m *demo) sendBoundRequest(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort, lost bool) {
 	if !lost {
-		m.sendModelRequest(ctx, r, entry, r.Name+": a bound drawing", r.Name+"-bound", true)
+		m.sendModelRequest(ctx, r, callerAddr, r.Name+": a bound drawing", r.Name+"-bound", true)
 		return
 	}
 	res := m.system.Client.Do(ctx, client.Ask{
-		Host: entry, Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "bound", Tokens: demoTokens,
+		Host: callerAddr, Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "bound", Tokens: demoTokens,
 	})
 	m.currentStep().requests++
 	if res.Outcome != vetchtrail.NotRun.String() {
@@ -261,15 +261,15 @@
 
 // bookTwice sends the same booking twice, with one idempotency key. The booking may run
 // at most once, so the second answer must be the one to the first.
-func (m *demo) bookTwice(ctx context.Context, r deployment.RegionSpec, entry netip.AddrPort) {
-	hosts, err := m.system.Client.Hosts(ctx, entry)
+func (m *demo) bookTwice(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort) {
+	hosts, err := m.system.Client.Hosts(ctx, callerAddr)
 	if err != nil {
 		m.recordWrong(r, client.Result{Err: err})
 		return
 	}
 	var texts [2]string
 	for i := range texts {
-		res := m.system.Client.Plain(ctx, entry, http.MethodPost, m.layout.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4, Tuesday")
+		res := m.system.Client.Plain(ctx, callerAddr, http.MethodPost, m.layout.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4, Tuesday")
 		m.currentStep().requests++
 		if res.Status != http.StatusOK || !res.Whole {
 			m.recordWrong(r, res)
