--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -106,6 +106,6 @@
 
 func main() {
 	var a arguments
-	k := kong.Parse(&a, kong.Name("soak"), kong.Description("Run the real programs under random faults and check their promises."), kong.UsageOnError())
+	k := kong.Parse(&a, kong.Name("soak"), kong.Description("Run the real programs under random faults and check their guarantees."), kong.UsageOnError())
 	k.FatalIfErrorf(k.Run())
 }
