--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -49,7 +49,7 @@
 	Step    time.Duration  `default:"10ms" help:"Time between two tokens of one request."`
 	Drag    float64        `default:"1" help:"Share by which a full batch lengthens a step."`
 	Cache   int            `default:"8192" help:"Number of prompt tokens cached."`
-	Lag     time.Duration  `default:"200ms" help:"Age of load reports when they are served."`
+	Lag     time.Duration  `default:"200ms" help:"Delay until a load report is served."`
 	Deadly  string         `help:"Text in a prompt that makes the engine crash."`
 	After   time.Duration  `default:"50ms" help:"Time from the start of such a request to the crash."`
 	Back    time.Duration  `default:"1s" help:"Time until a crashed engine listens again."`
--- a/cmd/vetchtraild/main.go
+++ b/cmd/vetchtraild/main.go
@@ -10,7 +10,7 @@
 
 // arguments lists the subcommands for the command-line parser (kong).
 type arguments struct {
-	Serve    serveCommand    `cmd:"" help:"Serve callers, peers and operators until the process gets SIGTERM or SIGINT."`
+	Serve    serveCommand    `cmd:"" help:"Serve callers, peers and operators until stopped."`
 	Settings settingsCommand `cmd:"" help:"Print the effective settings, including defaults."`
 }
 
