--- a/standin/agenda/agenda.go
+++ b/standin/agenda/agenda.go
@@ -1,4 +1,6 @@
-// Package agenda keeps what is due when, for plays on virtual time.
+// Package agenda is the event queue of discrete-event simulations that run on
+// virtual time. It has no clock and no goroutine: the simulation takes the next
+// event and sets its own clock to the event's time.
 package agenda
 
 import (
@@ -6,45 +8,49 @@
 	"time"
 )
 
-// Agenda is what is due. It is not safe for use by many.
+// Agenda holds the scheduled events, ordered by time. It is not safe for
+// concurrent use.
 type Agenda struct {
-	queue queue
-	put   int
+	queue        queue
+	lastSequence int // of the newest event
 }
 
-type entry struct {
-	at     time.Time
-	number int
-	do     func()
+// event is a function to call at a virtual time.
+type event struct {
+	at       time.Time
+	sequence int // order of scheduling, which decides between events of the same time
+	do       func()
 }
 
-// Put has something done at a moment, after what was put for the same moment before.
+// Put schedules do for a virtual time. Events of the same time run in the order
+// in which they were put.
 func (a *Agenda) Put(at time.Time, do func()) {
-	a.put++
-	heap.Push(&a.queue, entry{at: at, number: a.put, do: do})
+	a.lastSequence++
+	heap.Push(&a.queue, event{at: at, sequence: a.lastSequence, do: do})
 }
 
-// Take returns what is due next and when, unless that is after a moment.
+// Take removes the earliest event and returns it with its time. ok is false if
+// there is no event, or if the earliest one is after until: it stays queued.
 func (a *Agenda) Take(until time.Time) (at time.Time, do func(), ok bool) {
 	if len(a.queue) == 0 || a.queue[0].at.After(until) {
 		return time.Time{}, nil, false
 	}
-	e := heap.Pop(&a.queue).(entry)
+	e := heap.Pop(&a.queue).(event)
 	return e.at, e.do, true
 }
 
-// queue is a heap.Interface.
-type queue []entry
+// queue implements heap.Interface with the earliest event first.
+type queue []event
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
-	return q[i].number < q[j].number
+	return q[i].sequence < q[j].sequence
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(entry)) }
+func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
 func (q *queue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/standin/agenda/agenda_test.go
+++ b/standin/agenda/agenda_test.go
@@ -7,8 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTake: what is due comes by its moment, and by when it was put where that is the same.
-func TestTake(t *testing.T) {
+// TestEventOrder guards against simulations that run events out of order: events
+// come by time, and events of the same time in the order in which they were put.
+// An event after the limit stays queued until the limit reaches it.
+func TestEventOrder(t *testing.T) {
 	start := time.Unix(1, 0)
 	var a Agenda
 	var got []int
