--- a/standin/listen/listen.go
+++ b/standin/listen/listen.go
@@ -1,4 +1,4 @@
-// Package listen serves the stand-ins' HTTP.
+// Package listen runs the HTTP servers of the stand-ins.
 package listen
 
 import (
@@ -8,14 +8,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxBody bounds a request to a stand-in, in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes bounds the body of a request to a stand-in.
+const maxBodyBytes = 64 << 20
 
-// Serve answers on a listener with a handler until ctx ends.
+// Serve handles the requests on a listener until ctx ends, and then returns nil.
+// It returns an error only if the server fails before.
 func Serve(ctx context.Context, l net.Listener, handler fasthttp.RequestHandler) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
-	s := fasthttp.Server{Handler: handler, NoDefaultServerHeader: true, MaxRequestBodySize: maxBody}
+	s := fasthttp.Server{Handler: handler, NoDefaultServerHeader: true, MaxRequestBodySize: maxBodyBytes}
 	err := s.Serve(l)
 	if ctx.Err() != nil {
 		return nil
--- a/standin/meter/meter.go
+++ b/standin/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter helps benchmarks measure what wall time can't: processor time
-// and bytes on the wire.
+// Package meter measures for benchmarks what their wall time does not show: the
+// processor time and the heap of this process, and the bytes of its connections.
 package meter
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// CPU returns the processor time that this process has used.
+// CPU returns the user and system time that this process has used so far.
 func CPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -19,7 +19,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Heap returns the bytes in use on the heap after a collection.
+// Heap returns the bytes of live heap objects. It collects garbage twice, as a
+// sync.Pool gives up its contents only in the second collection.
 func Heap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -28,13 +29,13 @@
 	return m.HeapAlloc
 }
 
-// Listener counts the bytes of its connections, both ways.
+// Listener counts the bytes that its accepted connections read and write.
 type Listener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-// Bytes returns the bytes so far.
+// Bytes returns the number of bytes read and written so far.
 func (l *Listener) Bytes() int64 { return l.bytes.Load() }
 
 // Accept implements net.Listener.
@@ -43,21 +44,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, bytes: &l.bytes}, nil
+	return &countingConn{Conn: c, bytes: &l.bytes}, nil
 }
 
-type conn struct {
+// countingConn adds what it reads and writes to the counter of its listener.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *conn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *conn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,7 @@
 // Package platform holds stand-ins for two small services of the platform: the
-// lagging list of live and leaving endpoints, and the directory that tells
-// clients where to start. Both are set by PUT of what GET gives.
+// list of live and leaving endpoints, which lags behind changes, and the
+// directory, which names the entry hosts to callers. A PUT to the list replaces
+// it with a JSON array of the form that GET returns; the directory is read-only.
 package platform
 
 import (
@@ -15,55 +16,55 @@
 	"vetchtrail/standin/listen"
 )
 
-// Line is an endpoint in the list.
-type Line struct {
+// Entry is an endpoint in the list.
+type Entry struct {
 	Endpoint string `json:"endpoint"`
-	State    string `json:"state"` // live or leaving
+	State    string `json:"state"` // "live" or "leaving"
 }
 
-// HostList serves the list at /hosts, late.
+// HostList serves the list at /hosts. GET returns a change only after the lag.
 type HostList struct {
-	lag time.Duration
+	lag time.Duration // from a change until GET returns it
 
-	mu    sync.Mutex
-	lines []Line
+	mu      sync.Mutex
+	entries []Entry // as GET returns them
 }
 
-// NewHostList returns an empty list whose changes show after the lag.
+// NewHostList returns an empty list with the given lag.
 func NewHostList(lag time.Duration) *HostList { return &HostList{lag: lag} }
 
-// Set replaces the list; it shows after the lag.
-func (h *HostList) Set(lines []Line) {
+// Set replaces the list. GET returns the new one after the lag.
+func (h *HostList) Set(entries []Entry) {
 	time.AfterFunc(h.lag, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.lines = lines
+		h.entries = entries
 	})
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve handles the requests on a listener until ctx ends.
 func (h *HostList) Serve(ctx context.Context, l net.Listener) error {
 	return listen.Serve(ctx, l, func(c *fasthttp.RequestCtx) {
 		if c.IsPut() {
-			var lines []Line
-			if err := json.Unmarshal(c.PostBody(), &lines); err != nil {
+			var entries []Entry
+			if err := json.Unmarshal(c.PostBody(), &entries); err != nil {
 				c.Error(err.Error(), fasthttp.StatusBadRequest)
 				return
 			}
-			h.Set(lines)
+			h.Set(entries)
 			return
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		body, _ := json.Marshal(h.lines)
+		body, _ := json.Marshal(h.entries)
 		c.SetBody(body)
 	})
 }
 
-// Directory serves a fixed text, the addresses of entry hosts, one a line.
+// Directory serves a fixed text: the addresses of the entry hosts, one per line.
 type Directory struct{ Text string }
 
-// Serve answers on the listener until ctx ends.
+// Serve answers every request with the text until ctx ends.
 func (d *Directory) Serve(ctx context.Context, l net.Listener) error {
 	return listen.Serve(ctx, l, func(c *fasthttp.RequestCtx) { c.SetBodyString(d.Text) })
 }
--- a/standin/seeded/seeded.go
+++ b/standin/seeded/seeded.go
@@ -1,18 +1,19 @@
-// Package seeded fixes the seed of property tests that import it, so that a run of all tests plays the
-// same cases each time. Other cases are played by hand: go test PACKAGE -rapid.seed N -rapid.checks M.
+// Package seeded fixes the seed of the property tests that import it, so that
+// each run of the whole test suite checks the same cases. To check other cases:
+// go test PACKAGE -rapid.seed N -rapid.checks M.
 package seeded
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // which registers the flag
+	_ "pgregory.net/rapid" // registers the flag rapid.seed
 )
 
-// seed is the first of the cases.
+// seed is the default of the flag rapid.seed for the importing tests.
 const seed = "1"
 
 func init() {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic(err) // the library has no such flag any more
+		panic(err) // this version of the library does not register the flag
 	}
 }
