--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -1,6 +1,9 @@
-// Package kv is a stand-in for the platform's key-value service. It answers
-// the part of Consul's published KV interface that the system uses, with
-// faults on demand. Faults are set by PUT /faults with a JSON Faults.
+// Package kv is a stand-in for the platform's key-value store. It implements the
+// part of Consul's published KV interface that the system uses: GET with blocking
+// queries, PUT with check-and-set, and DELETE. It keeps everything in memory.
+//
+// PUT /faults with a JSON Faults injects faults, and GET /faults returns the
+// Counts of calls.
 package kv
 
 import (
@@ -17,50 +20,52 @@
 	"vetchtrail/standin/listen"
 )
 
-// Faults are what can go wrong, as the brief names it.
+// Faults are the faults that the store injects into its calls.
 type Faults struct {
-	Outage      bool          `json:"outage"`       // refuse every call with 500
-	Silent      bool          `json:"silent"`       // take calls and never answer
-	LoseAnswers int           `json:"lose_answers"` // next writes take effect, unanswered
-	Delay       time.Duration `json:"delay"`        // before each answer
-	Writes      int           `json:"writes"`       // a second; 0: no limit
-	Reads       int           `json:"reads"`        // a second; 0: no limit
+	Outage      bool          `json:"outage"`       // answer every call with status 500
+	Silent      bool          `json:"silent"`       // answer every call only after a minute
+	LoseAnswers int           `json:"lose_answers"` // how many more writes take effect without an answer: the connection is closed
+	Delay       time.Duration `json:"delay"`        // before each answer, in nanoseconds
+	Writes      int           `json:"writes"`       // limit per second; 0: no limit; negative: none is allowed
+	Reads       int           `json:"reads"`        // limit per second; 0: no limit; negative: none is allowed
 }
 
-// Counts are the calls taken.
+// Counts are the numbers of calls since the start.
 type Counts struct {
-	Writes  int `json:"writes"`
-	Reads   int `json:"reads"`
-	Lost    int `json:"lost"`    // writes that took effect, unanswered
-	Refused int `json:"refused"` // by outage or rate
+	Writes  int `json:"writes"`  // calls other than GET, whether they took effect or not
+	Reads   int `json:"reads"`   // GET calls
+	Lost    int `json:"lost"`    // writes that took effect without an answer
+	Refused int `json:"refused"` // calls during an outage, calls left unanswered by Silent, and calls over a limit
 }
 
-// maxValue bounds a value, in bytes.
-const maxValue = 1 << 20
+// maxValueBytes bounds the size of a value; a larger one gets status 413.
+const maxValueBytes = 1 << 20
 
+// item is a stored value.
 type item struct {
 	value []byte
-	index uint64
+	index uint64 // of the change that wrote it, Consul's ModifyIndex
 }
 
-// Server is the stand-in.
+// Server is the key-value store.
 type Server struct {
 	mu      sync.Mutex
 	items   map[string]item
-	index   uint64
-	changed chan struct{} // closed at each write
+	index   uint64        // of the newest change
+	changed chan struct{} // closed and replaced at each change
 	faults  Faults
 	counts  Counts
-	second  int64 // the second the rates count in
-	used    Counts
+
+	currentSecond  int64  // Unix time to which usedThisSecond applies
+	usedThisSecond Counts // calls counted against the limits
 }
 
-// New returns a service without keys.
+// New returns an empty store.
 func New() *Server {
 	return &Server{items: map[string]item{}, index: 1, changed: make(chan struct{})}
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve handles the requests on a listener until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	return listen.Serve(ctx, l, s.handle)
 }
@@ -72,7 +77,7 @@
 	s.faults = f
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +111,7 @@
 }
 
 func (s *Server) handleKey(ctx *fasthttp.RequestCtx, key string) {
-	f, ok := s.admit(!ctx.IsGet())
+	f, ok := s.countCall(!ctx.IsGet())
 	if f.Silent {
 		time.Sleep(time.Minute)
 	}
@@ -121,7 +126,7 @@
 		ctx.Error("rate limit", fasthttp.StatusTooManyRequests)
 		return
 	}
-	if len(ctx.PostBody()) > maxValue {
+	if len(ctx.PostBody()) > maxValueBytes {
 		ctx.SetStatusCode(fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
@@ -138,22 +143,23 @@
 	}
 }
 
-// admit counts a call and says whether the rates allow it.
-func (s *Server) admit(write bool) (Faults, bool) {
+// countCall counts a call. It returns the faults in force and whether the limits
+// on reads and writes allow the call.
+func (s *Server) countCall(write bool) (Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now().Unix(); now != s.second {
-		s.second, s.used = now, Counts{}
+	if now := time.Now().Unix(); now != s.currentSecond {
+		s.currentSecond, s.usedThisSecond = now, Counts{}
 	}
 	var ok bool
 	if write {
 		s.counts.Writes++
-		s.used.Writes++
-		ok = s.faults.Writes == 0 || s.used.Writes <= s.faults.Writes
+		s.usedThisSecond.Writes++
+		ok = s.faults.Writes == 0 || s.usedThisSecond.Writes <= s.faults.Writes
 	} else {
 		s.counts.Reads++
-		s.used.Reads++
-		ok = s.faults.Reads == 0 || s.used.Reads <= s.faults.Reads
+		s.usedThisSecond.Reads++
+		ok = s.faults.Reads == 0 || s.usedThisSecond.Reads <= s.faults.Reads
 	}
 	if !ok || s.faults.Outage || s.faults.Silent {
 		s.counts.Refused++
@@ -168,8 +174,8 @@
 	if err != nil {
 		wait = 0
 	}
-	found, ok, now := s.await(key, index, time.Now().Add(wait))
-	ctx.Response.Header.Set("X-Consul-Index", strconv.FormatUint(now, 10))
+	found, ok, newest := s.waitForChange(key, index, time.Now().Add(wait))
+	ctx.Response.Header.Set("X-Consul-Index", strconv.FormatUint(newest, 10))
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
@@ -179,15 +185,17 @@
 	ctx.SetBody(body)
 }
 
-// await returns the key once it changed past the index, or at the deadline.
-func (s *Server) await(key string, index uint64, deadline time.Time) (item, bool, uint64) {
+// waitForChange returns a key's item and the index of the newest change. It waits
+// until the item's index is above the given one, or until the deadline. It does
+// not wait if the given index is 0.
+func (s *Server) waitForChange(key string, index uint64, deadline time.Time) (item, bool, uint64) {
 	for {
 		s.mu.Lock()
 		found, ok := s.items[key]
-		changed, now := s.changed, s.index
+		changed, newest := s.changed, s.index
 		s.mu.Unlock()
 		if index == 0 || (ok && found.index > index) || !time.Now().Before(deadline) {
-			return found, ok, now
+			return found, ok, newest
 		}
 		select {
 		case <-changed:
@@ -207,13 +215,15 @@
 	ctx.SetBodyString(strconv.FormatBool(done))
 }
 
+// write stores a value. done is false if cas is set and the key's index is not
+// the expected one. lost means that the write must stay unanswered.
 func (s *Server) write(key string, value []byte, cas bool, expect uint64) (done, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if cas && s.items[key].index != expect {
 		return false, false
 	}
-	s.touch()
+	s.recordChange()
 	s.items[key] = item{value: value, index: s.index}
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
@@ -226,12 +236,13 @@
 func (s *Server) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.touch()
+	s.recordChange()
 	delete(s.items, key)
 }
 
-// touch counts a write and wakes the watches. The caller holds the lock.
-func (s *Server) touch() {
+// recordChange raises the index and wakes the blocking queries. The caller holds
+// the lock.
+func (s *Server) recordChange() {
 	s.index++
 	close(s.changed)
 	s.changed = make(chan struct{})
