--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,7 +1,7 @@
-// Package link is a stand-in for the slow links between regions: a relay of
-// TCP connections that delays what passes and can be cut. While it is cut, new
-// connections are refused and what is under way is held; after healing it
-// arrives, late.
+// Package link is a stand-in for the slow network links between regions. It
+// relays TCP connections, delays the bytes in both directions and injects faults.
+// While a link is cut, it refuses new connections and holds the bytes of open
+// ones; once the link is restored, it delivers them.
 package link
 
 import (
@@ -17,61 +17,64 @@
 	"vetchtrail/standin/listen"
 )
 
-// Pipe is one address that the link answers for another.
+// Pipe relays the connections to one address to another address.
 type Pipe struct {
-	Link   string         `json:"link"` // name; several pipes may share it
-	Listen netip.AddrPort `json:"listen"`
-	To     netip.AddrPort `json:"to"`
-	Delay  time.Duration  `json:"delay"` // one way
+	Link   string         `json:"link"`   // name of the link that carries the pipe; a link may carry several
+	Listen netip.AddrPort `json:"listen"` // where callers connect
+	To     netip.AddrPort `json:"to"`     // where the relay connects
+	Delay  time.Duration  `json:"delay"`  // in each direction, in nanoseconds
 }
 
-// Trouble is what is wrong with a link.
+// Trouble is the fault of a link; the zero value is a healthy link.
 type Trouble struct {
-	Cut   bool          `json:"cut"`   // nothing passes, and nobody connects
-	Forth bool          `json:"forth"` // what the opener of a connection sends is held, what it gets passes
-	Reset bool          `json:"reset"` // connections are reset, once
-	Delay time.Duration `json:"delay"` // on top of the pipe's own
+	Cut   bool          `json:"cut"`   // hold the bytes of both directions and refuse new connections
+	Forth bool          `json:"forth"` // hold only what the side that opened a connection sends
+	Reset bool          `json:"reset"` // reset the connections that are open now
+	Delay time.Duration `json:"delay"` // in each direction, in addition to the pipe's own, in nanoseconds
 }
 
-// Relay carries all pipes.
+// Relay serves all pipes of all links.
 type Relay struct {
 	pipes []Pipe
 
-	mu      sync.Mutex
-	trouble map[string]Trouble
-	carried map[string]map[net.Conn]bool // open connections, by link
-	healed  chan struct{}                // closed at each change
+	mu            sync.Mutex
+	faults        map[string]Trouble           // by link
+	conns         map[string]map[net.Conn]bool // open connections, by link
+	faultsChanged chan struct{}                // closed and replaced when a fault is set
 }
 
-// New returns a relay that carries nothing yet.
+// New returns a relay that does not listen yet.
 func New(pipes []Pipe) *Relay {
 	return &Relay{
-		pipes: pipes, trouble: map[string]Trouble{}, carried: map[string]map[net.Conn]bool{}, healed: make(chan struct{}),
+		pipes: pipes, faults: map[string]Trouble{}, conns: map[string]map[net.Conn]bool{}, faultsChanged: make(chan struct{}),
 	}
 }
 
-// Start listens for all pipes until ctx ends.
+// Start opens the listeners of all pipes; they are served until ctx ends.
 func (r *Relay) Start(ctx context.Context) error {
 	for _, p := range r.pipes {
-		if err := r.listen(ctx, p); err != nil {
+		if err := r.openListener(ctx, p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// listen keeps a pipe's listener open while the link is not cut.
-func (r *Relay) listen(ctx context.Context, p Pipe) error {
+// openListener opens a pipe's listener and accepts connections in the background.
+func (r *Relay) openListener(ctx context.Context, p Pipe) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", p.Listen.String())
 	if err != nil {
 		return err
 	}
-	go r.accept(ctx, p, l)
+	go r.acceptConns(ctx, p, l)
 	return nil
 }
 
-func (r *Relay) accept(ctx context.Context, p Pipe, l net.Listener) {
+// acceptConns accepts a pipe's connections until its link is cut, which closes
+// the listener. When the link is restored it opens a new listener, and tries again
+// if that fails.
+func (r *Relay) acceptConns(ctx context.Context, p Pipe, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	go r.closeWhenCut(ctx, p, l)
@@ -80,33 +83,37 @@
 		if err != nil {
 			break
 		}
-		go r.carry(ctx, p, c)
+		go r.forwardConn(ctx, p, c)
 	}
 	for ctx.Err() == nil {
-		if r.await(ctx, p.Link, open) && r.listen(ctx, p) == nil {
+		if r.waitUntil(ctx, p.Link, isOpen) && r.openListener(ctx, p) == nil {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
+// closeWhenCut closes a pipe's listener when its link is cut or ctx ends.
 func (r *Relay) closeWhenCut(ctx context.Context, p Pipe, l net.Listener) {
-	r.await(ctx, p.Link, func(t Trouble) bool { return t.Cut })
+	r.waitUntil(ctx, p.Link, func(t Trouble) bool { return t.Cut })
 	_ = l.Close()
 }
 
-func open(t Trouble) bool { return !t.Cut }
+// isOpen reports whether connections are accepted and bytes pass to the side that
+// opened them.
+func isOpen(t Trouble) bool { return !t.Cut }
 
-// passesForth says whether what the opener of a connection sends passes.
-func passesForth(t Trouble) bool { return !t.Cut && !t.Forth }
+// isOutboundOpen reports whether bytes pass that the opener of a connection sends.
+func isOutboundOpen(t Trouble) bool { return !t.Cut && !t.Forth }
 
-// await returns when the link is as wanted; false: ctx ended.
-func (r *Relay) await(ctx context.Context, link string, wanted func(Trouble) bool) bool {
+// waitUntil waits until a link's fault meets the condition. It returns false if ctx
+// ended before.
+func (r *Relay) waitUntil(ctx context.Context, link string, condition func(Trouble) bool) bool {
 	for {
 		r.mu.Lock()
-		now, changed := r.trouble[link], r.healed
+		fault, changed := r.faults[link], r.faultsChanged
 		r.mu.Unlock()
-		if wanted(now) {
+		if condition(fault) {
 			return true
 		}
 		select {
@@ -117,46 +124,51 @@
 	}
 }
 
-// Cut cuts or heals a link.
-func (r *Relay) Cut(link string, cut bool) { r.Set(link, Trouble{Cut: cut}) }
+// Cut cuts a link or removes all its faults.
+func (r *Relay) Cut(link string, cut bool) { r.SetFault(link, Trouble{Cut: cut}) }
 
-// Set sets what is wrong with a link.
-func (r *Relay) Set(link string, t Trouble) {
+// SetFault replaces the fault of a link. Reset applies once, to the connections
+// that are open now.
+func (r *Relay) SetFault(link string, t Trouble) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.Reset {
-		for c := range r.carried[link] {
-			_ = c.(*net.TCPConn).SetLinger(0) // so that its end is a reset
+		for c := range r.conns[link] {
+			_ = c.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 			_ = c.Close()
 		}
 		t.Reset = false
 	}
-	r.trouble[link] = t
-	close(r.healed)
-	r.healed = make(chan struct{})
+	r.faults[link] = t
+	close(r.faultsChanged)
+	r.faultsChanged = make(chan struct{})
 }
 
-// note keeps a connection while it is open, so that it can be reset.
-func (r *Relay) note(link string, c net.Conn, open bool) {
+// trackConn adds a link's connection when it is opened and removes it when it is
+// closed, so that SetFault can reset the open ones.
+func (r *Relay) trackConn(link string, c net.Conn, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.carried[link] == nil {
-		r.carried[link] = map[net.Conn]bool{}
+	if r.conns[link] == nil {
+		r.conns[link] = map[net.Conn]bool{}
 	}
 	if open {
-		r.carried[link][c] = true
+		r.conns[link][c] = true
 	} else {
-		delete(r.carried[link], c)
+		delete(r.conns[link], c)
 	}
 }
 
-func (r *Relay) delay(p Pipe) time.Duration {
+// currentDelay returns the delay in each direction of a pipe.
+func (r *Relay) currentDelay(p Pipe) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return p.Delay + r.trouble[p.Link].Delay
+	return p.Delay + r.faults[p.Link].Delay
 }
 
-func (r *Relay) carry(ctx context.Context, p Pipe, in net.Conn) {
+// forwardConn relays an accepted connection until one of its directions ends, and
+// then closes both connections.
+func (r *Relay) forwardConn(ctx context.Context, p Pipe, in net.Conn) {
 	defer func() { _ = in.Close() }()
 	out, err := new(net.Dialer).DialContext(ctx, "tcp", p.To.String())
 	if err != nil {
@@ -164,72 +176,75 @@
 	}
 	defer func() { _ = out.Close() }()
 	for _, c := range []net.Conn{in, out} {
-		r.note(p.Link, c, true)
-		defer r.note(p.Link, c, false)
+		r.trackConn(p.Link, c, true)
+		defer r.trackConn(p.Link, c, false)
 	}
 	stop := context.AfterFunc(ctx, func() { _, _ = in.Close(), out.Close() })
 	defer stop()
 	done := make(chan struct{}, 2)
-	go r.pass(ctx, p, in, out, passesForth, done)
-	go r.pass(ctx, p, out, in, open, done)
+	go r.copyDelayed(ctx, p, in, out, isOutboundOpen, done)
+	go r.copyDelayed(ctx, p, out, in, isOpen, done)
 	<-done
 }
 
-// part is what was read at one time, with when it is due.
-type part struct {
+// chunk is the bytes of one read, and the time at which they are written on.
+type chunk struct {
 	due  time.Time
 	data []byte
 }
 
 const (
-	partSize  = 32 << 10 // bytes
-	partsHeld = 256
+	chunkBytes    = 32 << 10 // most bytes of one read
+	maxChunksHeld = 256      // read ahead in each direction of a connection
 )
 
-func (r *Relay) pass(ctx context.Context, p Pipe, from, to net.Conn, passes func(Trouble) bool, done chan<- struct{}) {
-	parts := make(chan part, partsHeld)
+// copyDelayed copies one direction of a connection: it reads ahead, and writes
+// each chunk after the delay and once the link lets it pass. It sends to done
+// when the direction has ended.
+func (r *Relay) copyDelayed(ctx context.Context, p Pipe, from, to net.Conn, mayPass func(Trouble) bool, done chan<- struct{}) {
+	chunks := make(chan chunk, maxChunksHeld)
 	go func() {
-		defer close(parts)
+		defer close(chunks)
 		for {
-			b := make([]byte, partSize)
+			b := make([]byte, chunkBytes)
 			n, err := from.Read(b)
 			if n > 0 {
-				parts <- part{due: time.Now().Add(r.delay(p)), data: b[:n]}
+				chunks <- chunk{due: time.Now().Add(r.currentDelay(p)), data: b[:n]}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for q := range parts {
-		time.Sleep(time.Until(q.due))
-		if !r.await(ctx, p.Link, passes) {
+	for c := range chunks {
+		time.Sleep(time.Until(c.due))
+		if !r.waitUntil(ctx, p.Link, mayPass) {
 			break
 		}
-		if _, err := to.Write(q.data); err != nil {
+		if _, err := to.Write(c.data); err != nil {
 			break
 		}
 	}
-	r.await(ctx, p.Link, passes) // an end of the connection is held as well
+	r.waitUntil(ctx, p.Link, mayPass) // the end of a connection is held like its bytes
 	done <- struct{}{}
-	for range parts { //nolint:revive // lets the reading thread end
+	for range chunks { //nolint:revive // drains the channel, so that the reading goroutine ends
 	}
 }
 
-// cutCall is the body of PUT /cut.
-type cutCall struct {
+// faultRequest is the body of PUT /cut: the name of a link and its fault.
+type faultRequest struct {
 	Link string `json:"link"`
 	Trouble
 }
 
-// Serve answers PUT /cut until ctx ends.
+// Serve sets faults by PUT /cut until ctx ends. It does not relay: see Start.
 func (r *Relay) Serve(ctx context.Context, l net.Listener) error {
 	return listen.Serve(ctx, l, func(c *fasthttp.RequestCtx) {
-		var q cutCall
+		var q faultRequest
 		if err := json.Unmarshal(c.PostBody(), &q); err != nil {
 			c.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
-		r.Set(q.Link, q.Trouble)
+		r.SetFault(q.Link, q.Trouble)
 	})
 }
