--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -126,11 +126,11 @@
 	case path == "/words":
 		s.handleWords(ctx)
 	case path == "/arrivals":
-		s.arrivals.Answer(ctx)
+		s.arrivals.WriteJSON(ctx)
 	case path == "/load":
 		s.handleLoad(ctx)
 	case path == "/executions":
-		s.runs.Answer(ctx)
+		s.runs.WriteJSON(ctx)
 	case path == "/life":
 		writeJSON(ctx, s.Life())
 	case path == "/stats":
@@ -139,7 +139,7 @@
 		s.say(ctx)
 		s.handleResume(ctx, strings.TrimPrefix(path, "/v1/streams/"))
 	case strings.HasPrefix(path, "/v1/"):
-		s.arrivals.Note(&ctx.Request.Header)
+		s.arrivals.Record(&ctx.Request.Header)
 		s.say(ctx)
 		s.handleCompletion(ctx)
 	default:
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -126,7 +126,7 @@
 		return
 	}
 	time.Sleep(f.Delay)
-	s.runs.Note(&ctx.Request.Header)
+	s.runs.Record(&ctx.Request.Header)
 	window, _ := strconv.Atoi(string(ctx.Request.Header.Peek("Resume-Window")))
 	st, run := newStream(time.Duration(window) * time.Second)
 	name := string(ctx.Request.Header.Peek("X-Request-Id"))
@@ -159,12 +159,12 @@
 	case f.Reset > 0:
 		_ = ctx.Conn().Close()
 	case f.Silent:
-		s.runs.Note(&ctx.Request.Header)
+		s.runs.Record(&ctx.Request.Header)
 		for !probe.Closed(ctx.Conn()) {
 			time.Sleep(20 * time.Millisecond)
 		}
 	case f.Nonsense:
-		s.runs.Note(&ctx.Request.Header)
+		s.runs.Record(&ctx.Request.Header)
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(c net.Conn) { _, _ = c.Write([]byte("what a lovely day\r\n\r\n")) })
 	default:
--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger counts what stand-ins really executed, for checks that must
-// not trust the gateway's own word.
+// Package ledger records which requests a stand-in executed. Tests compare it
+// with what the gateway reports, so that they find requests that ran twice or
+// that ran although the gateway said otherwise.
 package ledger
 
 import (
@@ -11,40 +12,39 @@
 	"encoding/json"
 )
 
-// Execution is one request that was started.
+// Execution is one started request.
 type Execution struct {
-	Request   string `json:"request"`
-	Key       string `json:"key"`
-	Workspace string `json:"workspace"`
-	// At is when it was started.
-	At time.Time `json:"at"`
+	Request   string    `json:"request"`   // request id, from X-Request-Id
+	Key       string    `json:"key"`       // idempotency key; empty: none
+	Workspace string    `json:"workspace"` // empty: none
+	At        time.Time `json:"at"`        // when it was started
 }
 
-// Ledger is the list of executions. It is safe for use by many.
+// Ledger is the list of executions. It is safe for concurrent use.
 type Ledger struct {
-	mu   sync.Mutex
-	list []Execution
+	mu         sync.Mutex
+	executions []Execution
 }
 
-// Note adds the execution of an HTTP request.
-func (l *Ledger) Note(h *fasthttp.RequestHeader) {
+// Record adds the execution of a request with these headers, started now.
+func (l *Ledger) Record(h *fasthttp.RequestHeader) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.list = append(l.list, Execution{
+	l.executions = append(l.executions, Execution{
 		Request: string(h.Peek("X-Request-Id")), Key: string(h.Peek("Idempotency-Key")), Workspace: string(h.Peek("X-Workspace")),
 		At: time.Now(),
 	})
 }
 
-// All returns the executions so far.
+// All returns a copy of the executions so far.
 func (l *Ledger) All() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Execution(nil), l.list...)
+	return append([]Execution(nil), l.executions...)
 }
 
-// Answer writes the executions as JSON.
-func (l *Ledger) Answer(ctx *fasthttp.RequestCtx) {
+// WriteJSON answers an HTTP request with the executions.
+func (l *Ledger) WriteJSON(ctx *fasthttp.RequestCtx) {
 	body, _ := json.Marshal(l.All())
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,6 +1,7 @@
-// Package plain is a stand-in for a plain HTTP service beside the model
-// engines. It answers any method with what it was asked. Faults are set by PUT
-// /faults with a JSON Faults.
+// Package plain is a stand-in for a plain HTTP service, one that is not a model
+// engine. It records each request as an execution and answers with a JSON Echo.
+// GET /load returns its load report and GET /executions its executions. PUT
+// /faults with a JSON Faults injects faults.
 package plain
 
 import (
@@ -16,43 +17,43 @@
 	"vetchtrail/standin/listen"
 )
 
-// Faults are what can go wrong.
+// Faults are the faults that the service injects into its requests.
 type Faults struct {
-	LoseAnswers int           `json:"lose_answers"` // next requests run, unanswered
-	Refuse      bool          `json:"refuse"`       // 503 before starting, said so
-	Delay       time.Duration `json:"delay"`        // of a run
-	Leaving     bool          `json:"leaving"`
+	LoseAnswers int           `json:"lose_answers"` // how many more requests are executed without an answer: the connection is closed
+	Refuse      bool          `json:"refuse"`       // answer with status 503, and X-Not-Started, as nothing was executed
+	Delay       time.Duration `json:"delay"`        // how long an execution takes, in nanoseconds
+	Leaving     bool          `json:"leaving"`      // report in /load that it leaves; it still executes requests
 }
 
-// Answer is what every request gets.
-type Answer struct {
-	Method string `json:"method"`
-	Path   string `json:"path"`
-	Key    string `json:"key"`
-	Body   string `json:"body"`
-	Run    int    `json:"run"` // number of the execution here
+// Echo is the answer to an executed request.
+type Echo struct {
+	Method          string `json:"method"`
+	Path            string `json:"path"` // with the query
+	Key             string `json:"key"`  // idempotency key; empty: none
+	Body            string `json:"body"`
+	ExecutionNumber int    `json:"run"` // counts this process's executions from 1
 }
 
-// Server is the stand-in.
+// Server is the plain service.
 type Server struct {
-	runs ledger.Ledger
+	executions ledger.Ledger
 
-	mu      sync.Mutex
-	faults  Faults
-	running int
-	count   int
+	mu       sync.Mutex
+	faults   Faults
+	running  int // executions under way
+	executed int // executions started
 }
 
-// New returns a service.
+// New returns a service without faults.
 func New() *Server { return &Server{} }
 
-// Serve answers on the listener until ctx ends.
+// Serve handles the requests on a listener until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	return listen.Serve(ctx, l, s.handle)
 }
 
-// Executions returns what was started.
-func (s *Server) Executions() []ledger.Execution { return s.runs.All() }
+// Executions returns the requests that were started.
+func (s *Server) Executions() []ledger.Execution { return s.executions.All() }
 
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(f Faults) {
@@ -73,30 +74,33 @@
 	case "/load":
 		s.handleLoad(ctx)
 	case "/executions":
-		s.runs.Answer(ctx)
+		s.executions.WriteJSON(ctx)
 	default:
-		s.run(ctx)
+		s.execute(ctx)
 	}
 }
 
-// load is a load report.
-type load struct {
-	At      int64 `json:"at"`
+// loadReport is the answer to GET /load.
+type loadReport struct {
+	At      int64 `json:"at"` // Unix time in milliseconds
 	Running int   `json:"running"`
 	Slots   int   `json:"slots"`
 	Leaving bool  `json:"leaving"`
 }
 
-const slots = 64
+// reportedSlots is the number of slots in load reports. The service executes any
+// number of requests at once.
+const reportedSlots = 64
 
 func (s *Server) handleLoad(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	body, _ := json.Marshal(load{At: time.Now().UnixMilli(), Running: s.running, Slots: slots, Leaving: s.faults.Leaving})
+	body, _ := json.Marshal(loadReport{At: time.Now().UnixMilli(), Running: s.running, Slots: reportedSlots, Leaving: s.faults.Leaving})
 	ctx.SetBody(body)
 }
 
-func (s *Server) run(ctx *fasthttp.RequestCtx) {
+// execute records and answers a request, unless the fault Refuse turns it down.
+func (s *Server) execute(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	f := s.faults
 	if f.Refuse {
@@ -106,25 +110,25 @@
 		return
 	}
 	s.running++
-	s.count++
-	n := s.count
-	lose := f.LoseAnswers > 0
-	if lose {
+	s.executed++
+	number := s.executed
+	loseAnswer := f.LoseAnswers > 0
+	if loseAnswer {
 		s.faults.LoseAnswers--
 	}
 	s.mu.Unlock()
-	s.runs.Note(&ctx.Request.Header)
+	s.executions.Record(&ctx.Request.Header)
 	time.Sleep(f.Delay)
 	s.mu.Lock()
 	s.running--
 	s.mu.Unlock()
-	if lose {
+	if loseAnswer {
 		_ = ctx.Conn().Close()
 		return
 	}
-	body, _ := json.Marshal(Answer{
+	body, _ := json.Marshal(Echo{
 		Method: string(ctx.Method()), Path: string(ctx.RequestURI()), Key: string(ctx.Request.Header.Peek("Idempotency-Key")),
-		Body: string(ctx.PostBody()), Run: n,
+		Body: string(ctx.PostBody()), ExecutionNumber: number,
 	})
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
