--- /dev/null
+++ b/standin/engine/announcement.go
@@ -0,0 +1,73 @@
+package engine
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"vetchtrail/connection/dialect"
+)
+
+// Words are what an engine announces about its availability in its answers, in
+// addition to its rate limit.
+type Words struct {
+	Leaving string `json:"leaving"` // value of the header X-Leaving in all answers; empty: no header
+	Away    string `json:"away"`    // Retry-After, in seconds, with which it rejects all requests; empty: it accepts them
+	// Anew makes it announce this as a new process instance: its uptime starts again.
+	Anew bool `json:"anew"`
+}
+
+// uptimeMillis returns the time since the process instance started, at least 1
+// millisecond. The caller holds the lock.
+func (s *Server) uptimeMillis() int64 { return max(1, time.Since(s.startedAt).Milliseconds()) }
+
+// handleAnnouncement returns or replaces what the engine announces.
+func (s *Server) handleAnnouncement(ctx *fasthttp.RequestCtx) {
+	if ctx.IsGet() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		writeJSON(ctx, s.announced)
+		return
+	}
+	var w Words
+	if err := json.Unmarshal(ctx.PostBody(), &w); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.announced = w
+	if w.Anew {
+		s.startedAt = time.Now()
+	}
+}
+
+// announce sets the headers of an answer that announce the rate limit and the
+// availability.
+func (s *Server) announce(ctx *fasthttp.RequestCtx) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.rateLimit != "" {
+		ctx.Response.Header.Set(dialect.HeaderRate, s.rateLimit)
+	}
+	if s.announced.Leaving != "" {
+		ctx.Response.Header.Set(dialect.HeaderLeaving, s.announced.Leaving)
+	}
+}
+
+// reject answers a request that the engine does not start, with the time for which
+// it wants no requests.
+func reject(ctx *fasthttp.RequestCtx, seconds string) {
+	ctx.Response.Header.Set("X-Not-Started", "1")
+	ctx.Response.Header.Set("Retry-After", seconds)
+	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
+}
+
+// rejectSeconds returns the Retry-After with which the engine rejects all requests;
+// empty: it accepts them.
+func (s *Server) rejectSeconds() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.announced.Away
+}
--- /dev/null
+++ b/standin/engine/completion.go
@@ -0,0 +1,293 @@
+package engine
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"vetchtrail/connection/probe"
+)
+
+// streamRetention is how long after its start a stream can be resumed.
+const streamRetention = time.Minute
+
+// stream is an answer that is being generated. Several connections may read it.
+type stream struct {
+	mu           sync.Mutex
+	tokens       []string           // generated so far
+	complete     bool               // the answer has all its tokens
+	ended        bool               // no token follows, whether complete or not
+	changed      chan struct{}      // closed and replaced at each change
+	cancel       context.CancelFunc // ends the generation
+	readers      int
+	resumeWindow time.Duration // how long the generation goes on without a reader
+}
+
+// newStream returns an empty stream, and the context of its generation.
+func newStream(resumeWindow time.Duration) (*stream, context.Context) {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &stream{changed: make(chan struct{}), cancel: cancel, resumeWindow: resumeWindow}, ctx
+}
+
+func (st *stream) addToken(token string) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.tokens = append(st.tokens, token)
+	st.notify()
+}
+
+// markComplete marks that the answer has all its tokens. finish follows it.
+func (st *stream) markComplete() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.complete = true
+}
+
+// finish marks the end of the generation, complete or not.
+func (st *stream) finish(context.Context) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.ended = true
+	st.notify()
+}
+
+// notify wakes the readers. The caller holds the lock.
+func (st *stream) notify() {
+	close(st.changed)
+	st.changed = make(chan struct{})
+}
+
+// read waits for the token of index n and returns it. ok is false if the stream
+// ended before that token, or if giveUp returned true, which read calls while it
+// waits. If ok is false, completed tells whether the answer has all its tokens.
+func (st *stream) read(n int, giveUp func() bool) (token string, ok, completed bool) {
+	for {
+		st.mu.Lock()
+		if n < len(st.tokens) {
+			defer st.mu.Unlock()
+			return st.tokens[n], true, false
+		}
+		if st.ended {
+			defer st.mu.Unlock()
+			return "", false, st.complete
+		}
+		changed := st.changed
+		st.mu.Unlock()
+		select {
+		case <-changed:
+		case <-time.After(20 * time.Millisecond):
+			if giveUp() {
+				return "", false, false
+			}
+		}
+	}
+}
+
+// addReader counts a reader.
+func (st *stream) addReader() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.readers++
+}
+
+// removeReader counts a reader that has gone. If it was the last one, the generation
+// is cancelled at the end of the resume window, unless there is a reader then.
+func (st *stream) removeReader() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.readers--
+	if st.readers == 0 && !st.ended {
+		time.AfterFunc(st.resumeWindow, func() {
+			st.mu.Lock()
+			defer st.mu.Unlock()
+			if st.readers == 0 {
+				st.cancel()
+			}
+		})
+	}
+}
+
+// handleCompletion answers a completion request. It rejects the request before it
+// starts if a fault or announcement says so, or if the queue is full.
+func (s *Server) handleCompletion(ctx *fasthttp.RequestCtx) {
+	f := s.consumeFaults()
+	if s.injectFault(ctx, f) {
+		return
+	}
+	var q completionRequest
+	if err := json.Unmarshal(ctx.PostBody(), &q); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	if seconds := s.rejectSeconds(); seconds != "" {
+		reject(ctx, seconds)
+		return
+	}
+	if f.Refuse || s.queueFull() {
+		reject(ctx, "1")
+		return
+	}
+	time.Sleep(f.Delay)
+	s.executions.Record(&ctx.Request.Header)
+	resumeWindow, _ := strconv.Atoi(string(ctx.Request.Header.Peek("Resume-Window")))
+	st, generationCtx := newStream(time.Duration(resumeWindow) * time.Second)
+	requestID := string(ctx.Request.Header.Peek("X-Request-Id"))
+	s.storeStream(requestID, st)
+	st.addReader()
+	prompt := q.promptText()
+	s.crashIfPoison(prompt)
+	go s.generate(generationCtx, st, prompt, q.answerTokens())
+	if q.Stream {
+		s.sendEvents(ctx, st, 0, f)
+		return
+	}
+	s.sendWhole(ctx, st)
+}
+
+// consumeFaults returns the faults for one request and counts down Reset.
+func (s *Server) consumeFaults() Faults {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f := s.faults
+	if s.faults.Reset > 0 {
+		s.faults.Reset--
+	}
+	return f
+}
+
+// injectFault handles a request that is subject to Reset, Silent or Nonsense. It
+// returns false, and does nothing, if none of these faults is set.
+func (s *Server) injectFault(ctx *fasthttp.RequestCtx, f Faults) bool {
+	switch {
+	case f.Reset > 0:
+		_ = ctx.Conn().Close()
+	case f.Silent:
+		s.executions.Record(&ctx.Request.Header)
+		for !probe.Closed(ctx.Conn()) {
+			time.Sleep(20 * time.Millisecond)
+		}
+	case f.Nonsense:
+		s.executions.Record(&ctx.Request.Header)
+		ctx.HijackSetNoResponse(true)
+		ctx.Hijack(func(c net.Conn) { _, _ = c.Write([]byte("what a lovely day\r\n\r\n")) })
+	default:
+		return false
+	}
+	return true
+}
+
+// storeStream makes a stream available to be resumed, by its request id.
+func (s *Server) storeStream(requestID string, st *stream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.streams[requestID] = st
+	time.AfterFunc(streamRetention, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.streams, requestID)
+	})
+}
+
+// handleResume sends the rest of a stream after the event that the caller names in
+// Last-Event-Id. It answers with status 410 if the stream is unknown.
+func (s *Server) handleResume(ctx *fasthttp.RequestCtx, requestID string) {
+	from, err := strconv.Atoi(string(ctx.Request.Header.Peek("Last-Event-Id")))
+	s.mu.Lock()
+	st, ok := s.streams[requestID]
+	s.mu.Unlock()
+	if !ok || err != nil {
+		ctx.SetStatusCode(fasthttp.StatusGone)
+		return
+	}
+	st.addReader()
+	s.sendEvents(ctx, st, from, Faults{})
+}
+
+// sendEvents sends the tokens of index from and above, each as an event. It stops
+// when the caller has closed the connection.
+func (s *Server) sendEvents(ctx *fasthttp.RequestCtx, st *stream, from int, f Faults) {
+	conn := ctx.Conn()
+	ctx.SetContentType("text/event-stream")
+	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
+		defer st.removeReader()
+		for n := from; ; n++ {
+			if f.CutAfter > 0 && n >= f.CutAfter {
+				_ = conn.Close()
+				return
+			}
+			if f.EndEarly > 0 && n >= f.EndEarly {
+				return
+			}
+			token, ok, completed := st.read(n, func() bool { return probe.Closed(conn) })
+			if !ok {
+				finishEvents(w, conn, completed)
+				return
+			}
+			chunk, _ := json.Marshal(newChunk(token))
+			_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", n+1, chunk)
+			if w.Flush() != nil {
+				return
+			}
+		}
+	})
+}
+
+// finishEvents ends a stream: with the last event [DONE] if the answer is complete,
+// otherwise by closing the connection.
+func finishEvents(w *bufio.Writer, conn net.Conn, completed bool) {
+	if !completed {
+		_ = conn.Close()
+		return
+	}
+	_, _ = w.WriteString("data: [DONE]\n\n")
+	_ = w.Flush()
+}
+
+// Chunk is the data of an event, or an answer that is not streamed.
+type Chunk struct {
+	Object  string   `json:"object"`
+	Choices []Choice `json:"choices"`
+}
+
+// Choice is the only choice of a chunk or an answer.
+type Choice struct {
+	Delta   *Message `json:"delta,omitempty"`   // of an event
+	Message *Message `json:"message,omitempty"` // of an answer that is not streamed
+}
+
+// Message is a part of the answer's text, or all of it.
+type Message struct {
+	Content string `json:"content"`
+}
+
+func newChunk(token string) Chunk {
+	return Chunk{Object: "chat.completion.chunk", Choices: []Choice{{Delta: &Message{Content: token}}}}
+}
+
+// sendWhole sends the answer as one body once it is complete. It closes the
+// connection if the answer stays incomplete.
+func (s *Server) sendWhole(ctx *fasthttp.RequestCtx, st *stream) {
+	defer st.removeReader()
+	var b strings.Builder
+	conn := ctx.Conn()
+	for n := 0; ; n++ {
+		token, ok, completed := st.read(n, func() bool { return probe.Closed(conn) })
+		if !ok && !completed {
+			_ = conn.Close()
+			return
+		}
+		if !ok {
+			break
+		}
+		b.WriteString(token)
+	}
+	writeJSON(ctx, Chunk{Object: "chat.completion", Choices: []Choice{{Message: &Message{Content: b.String()}}}})
+}
--- /dev/null
+++ b/standin/engine/crash.go
@@ -0,0 +1,135 @@
+package engine
+
+import (
+	"context"
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"vetchtrail/standin/listen"
+)
+
+// Mortality is how an engine crashes under a poison request, and comes back.
+type Mortality struct {
+	Prompt string        // a request is a poison request if its prompt contains this text; empty: none is
+	After  time.Duration // from the start of the request to the crash
+	Back   time.Duration // from the crash until the engine listens again, with empty state
+}
+
+// Life is the history of an engine's crashes.
+type Life struct {
+	Ends []time.Time `json:"ends"` // time of each crash
+	// InFlight is the number of requests at each crash, running and queued, the
+	// poison request included.
+	InFlight []int `json:"beside"`
+	// Deadly is the time at which each poison request was started. It includes those
+	// that caused no crash themselves, as the engine crashed under an earlier one.
+	Deadly []time.Time `json:"deadly"`
+}
+
+// serveWithCrashes handles the requests on a listener. After each crash it waits,
+// listens on the same address again and starts with empty state.
+func (s *Server) serveWithCrashes(ctx context.Context, l net.Listener) error {
+	for {
+		tracking := &trackingListener{Listener: l, conns: map[net.Conn]bool{}}
+		instanceCtx, cancel := context.WithCancel(ctx)
+		s.mu.Lock()
+		s.abort = func() {
+			tracking.resetAll()
+			cancel()
+		}
+		s.mu.Unlock()
+		err := listen.Serve(instanceCtx, tracking, s.handle)
+		cancel()
+		if ctx.Err() != nil || err != nil {
+			return err
+		}
+		sleep(ctx, s.cfg.Mortality.Back)
+		var lc net.ListenConfig
+		if l, err = lc.Listen(ctx, "tcp", l.Addr().String()); err != nil {
+			return err
+		}
+		s.resetState()
+	}
+}
+
+// resetState gives the engine the state of a process that has just started. The
+// injected faults, the advertised rate limit, the totals and the history stay.
+func (s *Server) resetState() {
+	s.ClearCache()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.announced, s.startedAt = Words{}, time.Now()
+	s.streams, s.reports, s.waiting, s.running = map[string]*stream{}, nil, nil, 0
+}
+
+// crashIfPoison schedules a crash if the prompt is that of a poison request.
+func (s *Server) crashIfPoison(prompt string) {
+	if s.cfg.Mortality.Prompt == "" || !strings.Contains(prompt, s.cfg.Mortality.Prompt) {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.crashHistory.Deadly = append(s.crashHistory.Deadly, time.Now())
+	instance := len(s.crashHistory.Ends)
+	time.AfterFunc(s.cfg.Mortality.After, func() { s.crash(instance) })
+}
+
+// crash ends a process instance, unless it has crashed already. An instance's
+// number is the number of crashes before it.
+func (s *Server) crash(instance int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if instance != len(s.crashHistory.Ends) || s.abort == nil {
+		return
+	}
+	s.crashHistory.Ends = append(s.crashHistory.Ends, time.Now())
+	s.crashHistory.InFlight = append(s.crashHistory.InFlight, s.running+len(s.waiting))
+	go s.abort()
+	s.abort = nil
+}
+
+// Life returns a copy of the history of crashes.
+func (s *Server) Life() Life {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return Life{
+		Ends: append([]time.Time{}, s.crashHistory.Ends...), InFlight: append([]int{}, s.crashHistory.InFlight...),
+		Deadly: append([]time.Time{}, s.crashHistory.Deadly...),
+	}
+}
+
+// trackingListener records the connections that it accepts, so that resetAll can reset them.
+type trackingListener struct {
+	net.Listener
+
+	mu    sync.Mutex
+	conns map[net.Conn]bool
+}
+
+// Accept implements net.Listener.
+func (o *trackingListener) Accept() (net.Conn, error) {
+	c, err := o.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.conns[c] = true
+	return c, nil
+}
+
+// resetAll closes the listener and resets all connections, as the kernel does when
+// a process crashes.
+func (o *trackingListener) resetAll() {
+	_ = o.Close()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for c := range o.conns {
+		if tc, ok := c.(*net.TCPConn); ok {
+			_ = tc.SetLinger(0) // makes Close send a reset
+		}
+		_ = c.Close()
+	}
+}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,9 +1,19 @@
-// Package engine is a stand-in for a model engine: it batches continuously,
-// caches prompt prefixes in limited memory, slows as its batch fills, reports
-// its load with a lag, resumes and cancels streams. Its answers follow from the
-// prompt, so that a check can tell a wrong or cut one. Faults are set by PUT
-// /faults with a JSON Faults, the rate that it names by PUT /rate with a JSON text, and what else
-// it says of itself by PUT /words with a JSON Words.
+// Package engine is a stand-in for a model engine. It decodes several requests at
+// once, caches prompt prefixes in limited memory, slows down as its batch fills,
+// reports its load with a lag, and resumes and cancels streams. Its answers are a
+// function of the prompt, so that a test can tell a wrong or truncated one. It
+// models the timing of an engine and runs no model.
+//
+// Its paths besides /v1/ are:
+//
+//	PUT /faults       injects faults, a JSON Faults
+//	PUT /rate         sets the rate limit that it advertises, a JSON string
+//	GET, PUT /words   what else it announces in its answers, a JSON Words
+//	GET /load         its load report
+//	GET /arrivals     completion requests that arrived, rejected ones included
+//	GET /executions   completion requests that it started
+//	GET /life         its crashes, a JSON Life
+//	GET /stats        totals, a JSON Stats
 package engine
 
 import (
@@ -23,71 +33,70 @@
 // Config is an engine's size and speed.
 type Config struct {
 	Slots   int           // requests decoded at once
-	Queue   int           // requests held back beyond them
-	Prefill time.Duration // for one uncached prompt token
-	Step    time.Duration // between two tokens of one request, alone
-	Drag    float64       // share by which a full batch lengthens a step
-	Cache   int           // prompt tokens cached
-	Lag     time.Duration // of load reports
-	// Mortality is how it ends under a request.
+	Queue   int           // requests that may wait for a slot; further ones are rejected
+	Prefill time.Duration // for each prompt token that is not cached
+	Step    time.Duration // between two tokens of a request that is decoded alone
+	Drag    float64       // share by which a step takes longer if all slots are in use
+	Cache   int           // capacity of the prefix cache, in prompt tokens
+	Lag     time.Duration // age of the load reports that it returns
+	// Mortality is how it crashes under a poison request.
 	Mortality Mortality
 }
 
-// Faults are what can go wrong.
+// Faults are the faults that the engine injects into its requests.
 type Faults struct {
 	Slow      float64       `json:"slow"`       // factor on all times; 0: 1
-	Refuse    bool          `json:"refuse"`     // 503 before starting, said so
-	Reset     int           `json:"reset"`      // next requests: close the connection unread answers
-	CutAfter  int           `json:"cut_after"`  // events after which streams break off; 0: never
-	EndEarly  int           `json:"end_early"`  // events after which streams end as if whole
-	Nonsense  bool          `json:"nonsense"`   // answer bytes that are no HTTP
-	Silent    bool          `json:"silent"`     // take requests and never answer
-	NoReports bool          `json:"no_reports"` // load reports stop
-	Leaving   bool          `json:"leaving"`    // say so in reports, refuse nothing
-	Delay     time.Duration `json:"delay"`      // before a request is started
-}
-
-// Server is the stand-in.
+	Refuse    bool          `json:"refuse"`     // answer with status 503, and X-Not-Started, as nothing was executed
+	Reset     int           `json:"reset"`      // for how many more requests the connection is closed without an answer
+	CutAfter  int           `json:"cut_after"`  // events after which the connection of a stream is closed; 0: never
+	EndEarly  int           `json:"end_early"`  // events after which the body of a stream ends in order, without its last event; 0: never
+	Nonsense  bool          `json:"nonsense"`   // answer with bytes that are not HTTP
+	Silent    bool          `json:"silent"`     // start requests and never answer, until the caller closes the connection
+	NoReports bool          `json:"no_reports"` // answer /load with status 503
+	Leaving   bool          `json:"leaving"`    // report in /load that it leaves; it still executes requests
+	Delay     time.Duration `json:"delay"`      // before a request is started, in nanoseconds
+}
+
+// Server is the engine.
 type Server struct {
-	cfg  Config
-	runs ledger.Ledger
-	// arrivals are all requests, those too that it turns away.
-	arrivals ledger.Ledger
-
-	mu      sync.Mutex
-	faults  Faults
-	rate    string // requests a second that it names in its answers; empty: none
-	words   Words
-	started time.Time // of its process, or its last life
-	running int
-	waiting []chan struct{}
-	cache   prefixCache
-	streams map[string]*stream
-	reports []report
-	stats   Stats
-	life    Life
-	die     func() // ends this life; nil: it is over
-}
-
-// Stats are an engine's totals.
+	cfg        Config
+	executions ledger.Ledger // completion requests that it started
+	arrivals   ledger.Ledger // completion requests that arrived, rejected ones included
+
+	mu           sync.Mutex
+	faults       Faults
+	rateLimit    string // requests a second, as announced in its answers; empty: not announced
+	announced    Words
+	startedAt    time.Time       // of the process instance; set anew after a crash
+	running      int             // slots in use
+	waiting      []chan struct{} // queue for a slot, oldest first; a channel is closed when its request gets one
+	cache        prefixCache
+	streams      map[string]*stream // by request id
+	reports      []loadReport       // oldest first
+	stats        Stats
+	crashHistory Life
+	abort        func() // closes the listener and resets its connections; nil once it was called
+}
+
+// Stats are an engine's totals since its first start.
 type Stats struct {
-	Started   int           `json:"started"`
-	Cancelled int           `json:"cancelled"`
-	Prompt    int           `json:"prompt"` // tokens
-	Cached    int           `json:"cached"` // of them
-	Busy      time.Duration `json:"busy"`   // slot time
+	Started   int           `json:"started"`   // generations
+	Cancelled int           `json:"cancelled"` // generations that were cancelled, as they had no reader
+	Prompt    int           `json:"prompt"`    // prompt tokens
+	Cached    int           `json:"cached"`    // prompt tokens found in the prefix cache
+	SlotTime  time.Duration `json:"busy"`      // sum over all slots of the time in use, in nanoseconds
 }
 
-// New returns an engine with empty caches.
+// New returns an engine with an empty cache.
 func New(c Config) *Server {
-	return &Server{cfg: c, streams: map[string]*stream{}, cache: prefixCache{capacity: c.Cache}, started: time.Now()}
+	return &Server{cfg: c, streams: map[string]*stream{}, cache: prefixCache{capacityTokens: c.Cache}, startedAt: time.Now()}
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve handles the requests on a listener until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	go s.report(ctx)
+	go s.recordLoad(ctx)
 	if s.cfg.Mortality.Prompt != "" {
-		return s.serveLives(ctx, l)
+		return s.serveWithCrashes(ctx, l)
 	}
 	return listen.Serve(ctx, l, s.handle)
 }
@@ -99,15 +108,15 @@
 	s.faults = f
 }
 
-// Faults returns the faults set.
+// Faults returns the faults in force.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Executions returns what was started.
-func (s *Server) Executions() []ledger.Execution { return s.runs.All() }
+// Executions returns the requests that were started.
+func (s *Server) Executions() []ledger.Execution { return s.executions.All() }
 
 // Stats returns the totals so far.
 func (s *Server) Stats() Stats {
@@ -122,25 +131,25 @@
 	case path == "/faults":
 		s.handleFaults(ctx)
 	case path == "/rate":
-		s.handleRate(ctx)
+		s.handleRateLimit(ctx)
 	case path == "/words":
-		s.handleWords(ctx)
+		s.handleAnnouncement(ctx)
 	case path == "/arrivals":
 		s.arrivals.WriteJSON(ctx)
 	case path == "/load":
 		s.handleLoad(ctx)
 	case path == "/executions":
-		s.runs.WriteJSON(ctx)
+		s.executions.WriteJSON(ctx)
 	case path == "/life":
 		writeJSON(ctx, s.Life())
 	case path == "/stats":
 		writeJSON(ctx, s.Stats())
 	case strings.HasPrefix(path, "/v1/streams/"):
-		s.say(ctx)
+		s.announce(ctx)
 		s.handleResume(ctx, strings.TrimPrefix(path, "/v1/streams/"))
 	case strings.HasPrefix(path, "/v1/"):
 		s.arrivals.Record(&ctx.Request.Header)
-		s.say(ctx)
+		s.announce(ctx)
 		s.handleCompletion(ctx)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -156,7 +165,7 @@
 	s.SetFaults(f)
 }
 
-func (s *Server) handleRate(ctx *fasthttp.RequestCtx) {
+func (s *Server) handleRateLimit(ctx *fasthttp.RequestCtx) {
 	var rate string
 	if err := json.Unmarshal(ctx.PostBody(), &rate); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -164,7 +173,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rate = rate
+	s.rateLimit = rate
 }
 
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
@@ -173,31 +182,33 @@
 	ctx.SetBody(body)
 }
 
-// report is a load report as the gateway reads it.
-type report struct {
-	At      int64 `json:"at"`
-	Running int   `json:"running"`
-	Queued  int   `json:"queued"`
+// loadReport is the answer to GET /load.
+type loadReport struct {
+	At      int64 `json:"at"`      // Unix time of the figures, in milliseconds
+	Running int   `json:"running"` // slots in use
+	Queued  int   `json:"queued"`  // requests that wait for a slot
 	Slots   int   `json:"slots"`
-	StepUS  int64 `json:"step_us"`
+	StepUS  int64 `json:"step_us"` // time between two tokens of a request, in microseconds
 	Leaving bool  `json:"leaving"`
-	Up      int64 `json:"up"` // milliseconds since it started
+	Up      int64 `json:"up"` // time since the process instance started, in milliseconds
 }
 
-const reportEvery = 20 * time.Millisecond
+// reportInterval is the time between two recorded load reports.
+const reportInterval = 20 * time.Millisecond
 
-// report notes the load now and then; callers get it once the lag is over.
-func (s *Server) report(ctx context.Context) {
-	t := time.NewTicker(reportEvery)
+// recordLoad records a load report at each interval until ctx ends. It keeps the
+// newest ones only.
+func (s *Server) recordLoad(ctx context.Context) {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		s.reports = append(s.reports, report{
+		s.reports = append(s.reports, loadReport{
 			At: time.Now().UnixMilli(), Running: s.running, Queued: len(s.waiting), Slots: s.cfg.Slots,
-			StepUS: s.step().Microseconds(), Leaving: s.faults.Leaving,
+			StepUS: s.stepTime().Microseconds(), Leaving: s.faults.Leaving,
 		})
 		if n := len(s.reports); n > 1024 {
-			s.reports = append([]report(nil), s.reports[n-512:]...)
+			s.reports = append([]loadReport(nil), s.reports[n-512:]...)
 		}
 		s.mu.Unlock()
 		select {
@@ -207,6 +218,9 @@
 	}
 }
 
+// handleLoad returns the newest load report that is at least as old as the lag, but
+// with the present values of Leaving and Up. If none is old enough, it reports an
+// idle engine.
 func (s *Server) handleLoad(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,24 +228,26 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	limit := time.Now().Add(-s.cfg.Lag).UnixMilli()
+	newestAt := time.Now().Add(-s.cfg.Lag).UnixMilli()
 	for i := len(s.reports) - 1; i >= 0; i-- {
-		if r := s.reports[i]; r.At <= limit {
-			r.Leaving, r.Up = s.faults.Leaving, s.up()
+		if r := s.reports[i]; r.At <= newestAt {
+			r.Leaving, r.Up = s.faults.Leaving, s.uptimeMillis()
 			writeJSON(ctx, r)
 			return
 		}
 	}
-	writeJSON(ctx, report{At: limit, Slots: s.cfg.Slots, Leaving: s.faults.Leaving, Up: s.up()})
+	writeJSON(ctx, loadReport{At: newestAt, Slots: s.cfg.Slots, Leaving: s.faults.Leaving, Up: s.uptimeMillis()})
 }
 
-// step is the time between tokens now. The caller holds the lock.
-func (s *Server) step() time.Duration {
-	full := float64(s.running) / float64(max(s.cfg.Slots, 1))
-	return time.Duration(float64(s.cfg.Step) * (1 + s.cfg.Drag*full) * s.slow())
+// stepTime returns the time between two tokens of a request at the present load.
+// The caller holds the lock.
+func (s *Server) stepTime() time.Duration {
+	usedShare := float64(s.running) / float64(max(s.cfg.Slots, 1))
+	return time.Duration(float64(s.cfg.Step) * (1 + s.cfg.Drag*usedShare) * s.slowFactor())
 }
 
-func (s *Server) slow() float64 {
+// slowFactor returns the factor by which Faults.Slow lengthens all times. The caller holds the lock.
+func (s *Server) slowFactor() float64 {
 	if s.faults.Slow > 0 {
 		return s.faults.Slow
 	}
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	defaultTokens = 16
-	maxTokens     = 4096
-	bytesPerToken = 4
-	blockTokens   = 16 // of the prefix cache
+	defaultAnswerTokens = 16   // of a request that sets no max_tokens
+	maxAnswerTokens     = 4096 // most tokens of any answer
+	bytesPerToken       = 4    // of a prompt
+	tokensPerBlock      = 16   // of the prefix cache, which finds whole blocks only
 )
 
-// question is the part of a completion request that the engine reads.
-type question struct {
+// completionRequest holds the fields of a completion request that the engine reads.
+type completionRequest struct {
 	Stream    bool            `json:"stream"`
 	MaxTokens int             `json:"max_tokens"`
 	Prompt    json.RawMessage `json:"prompt"`
@@ -28,7 +28,9 @@
 	} `json:"messages"`
 }
 
-func (q *question) text() string {
+// promptText returns the prompt: the raw JSON of the messages' contents one after
+// the other, or of the field prompt if there are no messages.
+func (q *completionRequest) promptText() string {
 	if len(q.Messages) == 0 {
 		return string(q.Prompt)
 	}
@@ -39,20 +41,21 @@
 	return b.String()
 }
 
-func (q *question) tokens() int {
+// answerTokens returns the number of tokens of the answer.
+func (q *completionRequest) answerTokens() int {
 	if q.MaxTokens <= 0 {
-		return defaultTokens
+		return defaultAnswerTokens
 	}
-	return min(q.MaxTokens, maxTokens)
+	return min(q.MaxTokens, maxAnswerTokens)
 }
 
-// Token returns the n-th token of the answer to a prompt, where the prompt is
-// the raw JSON of its contents one after the other.
+// Token returns the token of index n, from 0, of the answer to a prompt. The
+// prompt is the raw JSON of its contents one after the other.
 func Token(prompt string, n int) string {
 	return fmt.Sprintf("%08x-%d ", uint32(xxhash.Sum64String(prompt)), n)
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the complete answer to a prompt.
 func Answer(prompt string, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
@@ -61,44 +64,46 @@
 	return b.String()
 }
 
-// admit takes a slot, waiting in the engine's queue if there is room; false:
-// there is none.
-func (s *Server) admit(ctx context.Context) bool {
+// acquireSlot takes a slot, and waits in the queue until one is free. It returns
+// false, without a slot, if ctx ended before. It does not check the queue's limit:
+// see queueFull.
+func (s *Server) acquireSlot(ctx context.Context) bool {
 	s.mu.Lock()
 	if s.running < s.cfg.Slots && len(s.waiting) == 0 {
 		s.running++
 		s.mu.Unlock()
 		return true
 	}
-	turn := make(chan struct{})
-	s.waiting = append(s.waiting, turn)
+	granted := make(chan struct{})
+	s.waiting = append(s.waiting, granted)
 	s.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return true
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, w := range s.waiting {
-		if w == turn {
+		if w == granted {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return false
 		}
 	}
-	s.pass() // the turn came meanwhile
+	s.releaseSlot() // the slot was granted at the same time as ctx ended
 	return false
 }
 
-// full says whether the queue has no room.
-func (s *Server) full() bool {
+// queueFull reports whether no slot is free and the queue is at its limit.
+func (s *Server) queueFull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running >= s.cfg.Slots && len(s.waiting) >= s.cfg.Queue
 }
 
-// pass gives a slot to the next, or frees it. The caller holds the lock.
-func (s *Server) pass() {
+// releaseSlot hands a slot to the oldest waiting request, or frees it if none
+// waits. The caller holds the lock.
+func (s *Server) releaseSlot() {
 	if len(s.waiting) > 0 {
 		close(s.waiting[0])
 		s.waiting = s.waiting[1:]
@@ -107,50 +112,53 @@
 	s.running--
 }
 
-// generate fills a stream with the answer's tokens.
+// generate waits for a slot and fills a stream with the answer's tokens at the
+// engine's speed, until the answer is complete or ctx ends.
 func (s *Server) generate(ctx context.Context, st *stream, prompt string, tokens int) {
-	defer st.end(ctx)
-	if !s.admit(ctx) {
+	defer st.finish(ctx)
+	if !s.acquireSlot(ctx) {
 		return
 	}
 	began := time.Now()
 	defer func() {
 		s.mu.Lock()
-		s.stats.Busy += time.Since(began)
+		s.stats.SlotTime += time.Since(began)
 		if ctx.Err() != nil {
 			s.stats.Cancelled++
 		}
-		s.pass()
+		s.releaseSlot()
 		s.mu.Unlock()
 	}()
-	sleep(ctx, s.prefill(prompt))
+	sleep(ctx, s.prefillTime(prompt))
 	for n := range tokens {
 		if ctx.Err() != nil {
 			return
 		}
-		st.add(Token(prompt, n))
+		st.addToken(Token(prompt, n))
 		s.mu.Lock()
-		step := s.step()
+		step := s.stepTime()
 		s.mu.Unlock()
 		sleep(ctx, step)
 	}
 	if ctx.Err() == nil {
-		st.whole()
+		st.markComplete()
 	}
 }
 
-// prefill returns the time for the uncached part of a prompt and caches it.
-func (s *Server) prefill(prompt string) time.Duration {
+// prefillTime returns the time to process the part of a prompt that is not cached,
+// adds the prompt to the cache and counts its tokens.
+func (s *Server) prefillTime(prompt string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := len(prompt)/bytesPerToken + 1
-	cached := s.cache.use(prompt)
+	promptTokens := len(prompt)/bytesPerToken + 1
+	cached := s.cache.lookUpAndAdd(prompt)
 	s.stats.Started++
-	s.stats.Prompt += all
-	s.stats.Cached += min(cached, all)
-	return time.Duration(float64(s.cfg.Prefill) * float64(max(all-cached, 1)) * s.slow())
+	s.stats.Prompt += promptTokens
+	s.stats.Cached += min(cached, promptTokens)
+	return time.Duration(float64(s.cfg.Prefill) * float64(max(promptTokens-cached, 1)) * s.slowFactor())
 }
 
+// sleep waits for a time or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -158,21 +166,23 @@
 	}
 }
 
-// prefixCache keeps the newest blocks of prompts.
+// prefixCache holds the most recently used blocks of prompts. A block is identified
+// by the hash of the prompt from its beginning to the end of the block.
 type prefixCache struct {
-	capacity int // tokens
-	blocks   map[uint64]*list.Element
-	order    list.List // newest first; values are the blocks' hashes
+	capacityTokens int
+	blocks         map[uint64]*list.Element
+	order          list.List // most recently used first; the values are the blocks' hashes
 }
 
-// use returns how many tokens of a prompt's beginning were cached, and caches
-// the whole.
-func (c *prefixCache) use(prompt string) int {
+// lookUpAndAdd returns how many tokens of a prompt's beginning were cached, and
+// caches all its whole blocks. Over its capacity it drops the blocks that were
+// used longest ago.
+func (c *prefixCache) lookUpAndAdd(prompt string) int {
 	if c.blocks == nil {
 		c.blocks = map[uint64]*list.Element{}
 	}
 	hits, missed := 0, false
-	const size = blockTokens * bytesPerToken
+	const size = tokensPerBlock * bytesPerToken
 	for end := size; end <= len(prompt); end += size {
 		h := xxhash.Sum64String(prompt[:end])
 		if e, ok := c.blocks[h]; ok {
@@ -185,17 +195,17 @@
 		missed = true
 		c.blocks[h] = c.order.PushFront(h)
 	}
-	for c.order.Len()*blockTokens > c.capacity && c.order.Len() > 0 {
+	for c.order.Len()*tokensPerBlock > c.capacityTokens && c.order.Len() > 0 {
 		last := c.order.Back()
 		delete(c.blocks, last.Value.(uint64))
 		c.order.Remove(last)
 	}
-	return hits * blockTokens
+	return hits * tokensPerBlock
 }
 
-// ClearCache forgets all prefixes, as a restart does.
+// ClearCache empties the prefix cache, as a restart does.
 func (s *Server) ClearCache() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cache = prefixCache{capacity: s.cfg.Cache}
+	s.cache = prefixCache{capacityTokens: s.cfg.Cache}
 }
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -328,7 +328,7 @@
 	var prompt, cached int
 	for _, e := range r.w.Engines {
 		s := e.Stats()
-		r.res.Busy += s.Busy
+		r.res.Busy += s.SlotTime
 		prompt += s.Prompt
 		cached += s.Cached
 		for _, x := range e.Executions() {
