--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,5 +1,7 @@
-// Package client is a caller for the demo, the scenarios and the load runs. It
-// checks answers against what the stand-in engines must say.
+// Package client is an HTTP caller of the entry hosts, for the demo, the scenarios,
+// the soak and the load runs. It reads each answer to its end and knows which
+// answer the stand-in engine must give. It also reads and sets the faults and
+// records of the stand-ins.
 package client
 
 import (
@@ -22,24 +24,24 @@
 
 // Result is what a caller saw of one request.
 type Result struct {
-	Status  int    // 0: no answer
-	Outcome string // of a problem document
-	Reason  string
-	Detail  string
-	RetryAt time.Time
-	Whole   bool   // the answer came to its end
-	Text    string // the content, as far as it came
-	LastID  string // of the newest event
-	Where   string // the endpoint, as the answer tells
-	First   time.Duration
-	Took    time.Duration
-	Err     error
+	Status           int    // HTTP status; 0: no answer
+	Outcome          string // of a problem document, as are Reason and Detail
+	Reason           string
+	Detail           string
+	RetryAt          time.Time     // when Retry-After of a problem document is over; zero: it has none
+	Whole            bool          // the answer was received to its end: the whole body, or the last event of a stream
+	Text             string        // content of the answer, as far as it was received
+	LastID           string        // id of the newest event
+	Where            string        // name of the endpoint, from X-Vetchtrail-Endpoint
+	TimeToFirstToken time.Duration // until the first event, or the body of an answer that is not streamed
+	Took             time.Duration // from sending the request to the end of the answer
+	Err              error         // why the request could not be sent or the answer not be read
 }
 
 // Client calls entry hosts.
 type Client struct{ http *http.Client }
 
-// New returns a client that never retries and keeps connections.
+// New returns a client that reuses connections and never sends a request twice.
 func New() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -47,64 +49,65 @@
 	}}}
 }
 
-// Ask is a model request.
+// Ask is a completion request to a model service.
 type Ask struct {
-	Host      netip.AddrPort
-	Service   string
-	Workspace string
-	Prompt    string
-	Tokens    int
-	Stream    bool
-	Key       string
-	Timeout   time.Duration
-	LastID    string // resume after this event
-	Window    int    // seconds that the stream may be resumed
-	StopAfter int    // events after which to leave; 0: never
-	// Credential is the key of a workspace; empty: none is shown.
-	Credential string
+	Host       netip.AddrPort // entry host
+	Service    string
+	Workspace  string // empty: none is named
+	Prompt     string
+	Tokens     int // of the answer
+	Stream     bool
+	Key        string        // idempotency key; empty: none
+	Timeout    time.Duration // sent as Request-Timeout; 0: none is sent
+	LastID     string        // resume after the event of this id; empty: from the start
+	Window     int           // seconds for which the stream may be resumed; 0: none is sent
+	StopAfter  int           // events after which the client closes the connection; 0: never
+	Credential string        // API key of a workspace; empty: none is sent
 }
 
-// raw is the prompt as the engine sees it: the JSON of the message's content.
-func (a Ask) raw() string {
+// rawPrompt returns the prompt as the engine sees it: the JSON of the message's
+// content.
+func (a Ask) rawPrompt() string {
 	b, _ := json.Marshal(a.Prompt)
 	return string(b)
 }
 
-// Want returns the whole answer that the request must get.
-func (a Ask) Want() string { return engine.Answer(a.raw(), a.Tokens) }
+// Want returns the complete answer that the engine must give.
+func (a Ask) Want() string { return engine.Answer(a.rawPrompt(), a.Tokens) }
 
-// Right says whether a whole answer is the right one.
+// Right reports whether a result is the complete and correct answer.
 func (a Ask) Right(r Result) bool { return r.Status == http.StatusOK && r.Whole && r.Text == a.Want() }
 
-// message is one message of a completion request.
+// message is a message of a completion request.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// body is a completion request.
-type body struct {
+// completionRequest is the JSON body of a completion request.
+type completionRequest struct {
 	Model     string    `json:"model"`
 	Stream    bool      `json:"stream"`
 	MaxTokens int       `json:"max_tokens"`
 	Messages  []message `json:"messages"`
 }
 
-// Do sends a model request and reads its answer to the end.
+// Do sends a completion request and reads its answer to the end, or up to the event
+// of StopAfter.
 func (c *Client) Do(ctx context.Context, a Ask) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	text, _ := json.Marshal(body{
+	text, _ := json.Marshal(completionRequest{
 		Model: a.Service, Stream: a.Stream, MaxTokens: a.Tokens, Messages: []message{{Role: "user", Content: a.Prompt}},
 	})
 	h := http.Header{}
 	h.Set("Content-Type", "application/json")
-	set(h, "X-Workspace", a.Workspace)
+	setNonEmpty(h, "X-Workspace", a.Workspace)
 	if a.Credential != "" {
 		h.Set("Authorization", "Bearer "+a.Credential)
 	}
-	set(h, "Idempotency-Key", a.Key)
-	set(h, "Last-Event-Id", a.LastID)
+	setNonEmpty(h, "Idempotency-Key", a.Key)
+	setNonEmpty(h, "Last-Event-Id", a.LastID)
 	if a.Window > 0 {
 		h.Set("Resume-Window", strconv.Itoa(a.Window))
 	}
@@ -114,20 +117,22 @@
 	return c.send(ctx, http.MethodPost, "http://"+a.Host.String()+"/v1/chat/completions", h, text, a.StopAfter)
 }
 
-func set(h http.Header, name, value string) {
+// setNonEmpty sets a header field unless its value is empty.
+func setNonEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
 }
 
-// Plain sends a request to a plain service.
+// Plain sends a request to a plain service. An empty key or workspace is not sent.
 func (c *Client) Plain(ctx context.Context, host netip.AddrPort, method, service, path, key, workspace, text string) Result {
 	h := http.Header{}
-	set(h, "Idempotency-Key", key)
-	set(h, "X-Workspace", workspace)
+	setNonEmpty(h, "Idempotency-Key", key)
+	setNonEmpty(h, "X-Workspace", workspace)
 	return c.send(ctx, method, "http://"+host.String()+"/services/"+service+path, h, []byte(text), 0)
 }
 
+// send sends a request and reads its answer by its content type.
 func (c *Client) send(ctx context.Context, method, url string, h http.Header, text []byte, stopAfter int) Result {
 	began := time.Now()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(text))
@@ -135,7 +140,7 @@
 		return Result{Err: err}
 	}
 	req.Header = h
-	req.GetBody = nil // a request is never sent twice
+	req.GetBody = nil // keeps net/http from sending the request a second time
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return Result{Err: err, Took: time.Since(began)}
@@ -144,17 +149,18 @@
 	r := Result{Status: resp.StatusCode, Where: resp.Header.Get("X-Vetchtrail-Endpoint")}
 	switch resp.Header.Get("Content-Type") {
 	case "text/event-stream":
-		r.events(resp.Body, began, stopAfter)
+		r.readEvents(resp.Body, began, stopAfter)
 	case "application/problem+json":
-		r.problem(resp)
+		r.readProblem(resp)
 	default:
-		r.whole(resp.Body, began)
+		r.readBody(resp.Body, began)
 	}
 	r.Took = time.Since(began)
 	return r
 }
 
-func (r *Result) problem(resp *http.Response) {
+// readProblem reads a problem document, with which a host refuses a request.
+func (r *Result) readProblem(resp *http.Response) {
 	var p struct {
 		Outcome string `json:"outcome"`
 		Reason  string `json:"reason"`
@@ -167,9 +173,11 @@
 	}
 }
 
-func (r *Result) whole(in io.Reader, began time.Time) {
+// readBody reads an answer that is not streamed. The text is the content of a
+// completion, or the body as it is.
+func (r *Result) readBody(in io.Reader, began time.Time) {
 	text, err := io.ReadAll(in)
-	r.First = time.Since(began)
+	r.TimeToFirstToken = time.Since(began)
 	r.Text, r.Err, r.Whole = string(text), err, err == nil
 	var chunk engine.Chunk
 	if json.Unmarshal(text, &chunk) == nil && len(chunk.Choices) == 1 && chunk.Choices[0].Message != nil {
@@ -177,7 +185,9 @@
 	}
 }
 
-func (r *Result) events(in io.Reader, began time.Time, stopAfter int) {
+// readEvents reads a stream of completion chunks up to its end, or up to a number of
+// events if stopAfter is above 0.
+func (r *Result) readEvents(in io.Reader, began time.Time, stopAfter int) {
 	s := bufio.NewScanner(in)
 	n := 0
 	for s.Scan() {
@@ -193,12 +203,12 @@
 			r.Whole = true
 			continue
 		}
-		if r.First == 0 {
-			r.First = time.Since(began)
+		if r.TimeToFirstToken == 0 {
+			r.TimeToFirstToken = time.Since(began)
 		}
 		var chunk engine.Chunk
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil || len(chunk.Choices) != 1 || chunk.Choices[0].Delta == nil {
-			r.Err = errors.Errorf("client: an event is no chunk: %s", data)
+			r.Err = errors.Errorf("client: event is not a completion chunk: %s", data)
 			return
 		}
 		r.Text += chunk.Choices[0].Delta.Content
@@ -211,7 +221,8 @@
 	}
 }
 
-// Hosts is the answer of GET /v1/hosts.
+// Hosts is the answer to GET /v1/hosts: the hosts that a caller may use, and an
+// idempotency key for one request.
 type Hosts struct {
 	Hosts []struct {
 		Name    string         `json:"name"`
@@ -222,14 +233,15 @@
 	Key string `json:"key"`
 }
 
-// Hosts asks which hosts to use.
+// Hosts queries a host for the hosts that a caller may use.
 func (c *Client) Hosts(ctx context.Context, host netip.AddrPort) (Hosts, error) {
 	var out Hosts
 	err := c.Get(ctx, host, "/v1/hosts", &out)
 	return out, err
 }
 
-// Get reads JSON from a path; without a place to put it, only the status.
+// Get decodes the JSON at a path into a value. If into is nil, it only checks that
+// the status is 200.
 func (c *Client) Get(ctx context.Context, host netip.AddrPort, path string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host.String()+path, nil)
 	if err != nil {
@@ -249,7 +261,7 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// Put sets a stand-in's faults.
+// Put sends a value as JSON to a path of a stand-in, for example its faults.
 func (c *Client) Put(ctx context.Context, host netip.AddrPort, path string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -166,14 +166,14 @@
 }
 
 func (s *Server) handleRateLimit(ctx *fasthttp.RequestCtx) {
-	var rate string
-	if err := json.Unmarshal(ctx.PostBody(), &rate); err != nil {
+	var rateLimit string
+	if err := json.Unmarshal(ctx.PostBody(), &rateLimit); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rateLimit = rate
+	s.rateLimit = rateLimit
 }
 
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -136,9 +136,9 @@
 		}
 		st.addToken(Token(prompt, n))
 		s.mu.Lock()
-		step := s.stepTime()
+		stepTime := s.stepTime()
 		s.mu.Unlock()
-		sleep(ctx, step)
+		sleep(ctx, stepTime)
 	}
 	if ctx.Err() == nil {
 		st.markComplete()
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -137,23 +137,23 @@
 
 // Result is what a run showed.
 type Result struct {
-	Policy     string
-	Case       Case
-	Sent       int
-	Answered   int // whole, right and in time
-	Cut        int // begun, and broken off in a way that the caller saw
-	Wrong      int // answered with something else, or cut and looking whole
-	NotRun     int
-	Unknown    int
-	Away       int // answered in another region than the caller's
-	Duplicates int // executions beyond one a request
-	Retries    int
-	First      *hdrhistogram.Histogram // microseconds to the first token
-	Whole      *hdrhistogram.Histogram // microseconds to the whole answer
-	Refused    *hdrhistogram.Histogram // microseconds to a refusal
-	Busy       time.Duration           // engines' slot time
-	Stall      time.Duration           // longest that the machine kept a ready thread waiting
-	Cached     float64                 // share of prompt tokens found cached
+	Policy           string
+	Case             Case
+	Sent             int
+	Answered         int // whole, right and in time
+	Cut              int // begun, and broken off in a way that the caller saw
+	Wrong            int // answered with something else, or cut and looking whole
+	NotRun           int
+	Unknown          int
+	Away             int // answered in another region than the caller's
+	Duplicates       int // executions beyond one a request
+	Retries          int
+	TimeToFirstToken *hdrhistogram.Histogram // microseconds to the first token
+	Whole            *hdrhistogram.Histogram // microseconds to the whole answer
+	Refused          *hdrhistogram.Histogram // microseconds to a refusal
+	SlotTime         time.Duration           // engines' slot time
+	Stall            time.Duration           // longest that the machine kept a ready thread waiting
+	Cached           float64                 // share of prompt tokens found cached
 }
 
 // run is one under way.
@@ -176,7 +176,7 @@
 	}
 	defer w.Close()
 	r := &run{cfg: c, d: d, w: w, res: Result{
-		Policy: c.Name, Case: c.Case, First: histogram(), Whole: histogram(), Refused: histogram(),
+		Policy: c.Name, Case: c.Case, TimeToFirstToken: histogram(), Whole: histogram(), Refused: histogram(),
 	}}
 	if err := r.configure(ctx); err != nil {
 		return Result{}, err
@@ -278,7 +278,7 @@
 	switch {
 	case ask.Right(*res):
 		r.res.Answered++
-		_ = r.res.First.RecordValue(res.First.Microseconds())
+		_ = r.res.TimeToFirstToken.RecordValue(res.TimeToFirstToken.Microseconds())
 		_ = r.res.Whole.RecordValue(res.Took.Microseconds())
 		if r.regionOf(res.Where) != from {
 			r.res.Away++
@@ -328,7 +328,7 @@
 	var prompt, cached int
 	for _, e := range r.w.Engines {
 		s := e.Stats()
-		r.res.Busy += s.SlotTime
+		r.res.SlotTime += s.SlotTime
 		prompt += s.Prompt
 		cached += s.Cached
 		for _, x := range e.Executions() {
@@ -351,9 +351,9 @@
 		r := &results[i]
 		answered := max(r.Answered, 1)
 		_, _ = fmt.Fprintf(w, "| %s | %s | %d | %d | %s | %s | %s | %s | %.1f%% | %d | %s | %d | %d | %d | %d | %d | %.3f | %.0f%% | %d |\n",
-			r.Case, r.Policy, r.Sent, r.Answered, ms(r.First, 50), ms(r.First, 95), ms(r.First, 99), ms(r.Whole, 99),
+			r.Case, r.Policy, r.Sent, r.Answered, ms(r.TimeToFirstToken, 50), ms(r.TimeToFirstToken, 95), ms(r.TimeToFirstToken, 99), ms(r.Whole, 99),
 			100*float64(r.Away)/float64(answered), r.NotRun, ms(r.Refused, 99), r.Unknown, r.Cut, r.Wrong, r.Retries, r.Duplicates,
-			r.Busy.Seconds()/float64(answered), 100*r.Cached, r.Stall.Milliseconds())
+			r.SlotTime.Seconds()/float64(answered), 100*r.Cached, r.Stall.Milliseconds())
 	}
 }
 
