--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -1,6 +1,7 @@
-// Package deployment describes whole deployments on loopback addresses: the
-// users' two of today, and small ones for tests. The same description makes the
-// example files, the demo, the scenarios and the load runs.
+// Package deployment describes whole deployments of the system on loopback
+// addresses: hosts, endpoints, services, the platform's services and the links
+// between regions. It starts nothing: the example files, the demo, the scenarios,
+// the soak and the load runs are all made from the same description.
 package deployment
 
 import (
@@ -24,28 +25,29 @@
 	portControl  = 8600
 )
 
-// Last numbers of the addresses in a data centre's network.
+// Last byte of the first address of each kind in a data centre's network.
 const (
-	firstHost   = 1
-	firstEngine = 20
-	firstPlain  = 120
+	firstHostNumber   = 1
+	firstEngineNumber = 20
+	firstPlainNumber  = 120
 )
 
-// Networks are 127.N.S.0/24 with S the deployment's slot: N is the number of a
-// region from 1, or one of these.
+// An address is 127.N.S.x, with S the deployment's subnet. N is the number of a
+// region, from 1, or one of these. The networks of links hold the addresses on
+// which a link listens for connections from one region.
 const (
-	platformNet = 20
-	linkNet     = 40 // + mostRegions × from + to
-	storeNet    = 30 // + from
+	platformNetwork   = 20
+	firstLinkNetwork  = 40 // + maxRegions × index of the region from + index of the region to
+	firstStoreNetwork = 30 // + index of the region from; links to the store
 )
 
-// Spec says how large a deployment is.
+// Spec is the size of a deployment and its services.
 type Spec struct {
-	Slot    int // sets the deployment's addresses apart from others'
+	Subnet  int // third byte of all addresses, which keeps deployments apart
 	Regions []RegionSpec
 	Model   ServiceSpec
 	Plain   ServiceSpec
-	Delay   time.Duration // one way between regions
+	Delay   time.Duration // of the links between regions, in each direction
 }
 
 // RegionSpec is a region with one data centre.
@@ -53,35 +55,36 @@
 	Name       string
 	DataCentre string
 	Hosts      int
-	Engines    int
-	Plains     int
+	Engines    int // endpoints of the model service
+	Plains     int // endpoints of the plain service
 }
 
 // ServiceSpec is a service.
 type ServiceSpec struct {
 	Name    string
 	Weights document.Weights
-	Slots   int
-	Within  time.Duration
-	Queue   int
+	Slots   int           // of each endpoint
+	Within  time.Duration // most time of a request whose caller sets no deadline
+	Queue   int           // limit of the service's queue
 }
 
-// Deployment is all that is needed to start one.
+// Deployment holds all that is needed to start a deployment.
 type Deployment struct {
-	Spec      Spec
-	Hosts     []settings.Settings
-	Document  document.Document
-	Store     netip.AddrPort
-	HostList  netip.AddrPort
-	Directory netip.AddrPort
-	Control   netip.AddrPort // of the link
-	Pipes     []link.Pipe
-}
-
-// Wycena is Wycena WO's deployment of today: its tail weighs most.
-func Wycena(slot int) Spec {
+	Spec        Spec
+	Hosts       []settings.Settings
+	Document    document.Document // configuration
+	Store       netip.AddrPort
+	HostList    netip.AddrPort
+	Directory   netip.AddrPort
+	LinkControl netip.AddrPort // where the faults of the links are set
+	Pipes       []link.Pipe    // of all links
+}
+
+// Wycena returns a deployment of three regions whose weights give the time to the
+// first token priority over staying in the caller's region.
+func Wycena(subnet int) Spec {
 	return Spec{
-		Slot: slot, Delay: 20 * time.Millisecond,
+		Subnet: subnet, Delay: 20 * time.Millisecond,
 		Regions: []RegionSpec{
 			{Name: "pl-south", DataCentre: "krk-hala", Hosts: 3, Engines: 4, Plains: 1},
 			{Name: "pl-central", DataCentre: "lodz-hala", Hosts: 3, Engines: 4, Plains: 1},
@@ -92,11 +95,11 @@
 	}
 }
 
-// Cadastral is the Cadastral Co-operative's deployment of today: the share
-// sent away weighs most.
-func Cadastral(slot int) Spec {
+// Cadastral returns a deployment of three regions whose weights make it costly to
+// leave the caller's region.
+func Cadastral(subnet int) Spec {
 	return Spec{
-		Slot: slot, Delay: 25 * time.Millisecond,
+		Subnet: subnet, Delay: 25 * time.Millisecond,
 		Regions: []RegionSpec{
 			{Name: "ardeal", DataCentre: "cluj-hall", Hosts: 3, Engines: 4, Plains: 1},
 			{Name: "moldova", DataCentre: "iasi-hall", Hosts: 2, Engines: 4, Plains: 1},
@@ -107,9 +110,10 @@
 	}
 }
 
-// Small is a deployment for tests: three regions of a few hosts and endpoints.
-func Small(slot, hosts, engines int) Spec {
-	s := Wycena(slot)
+// Small returns a deployment for tests: three regions with the given numbers of
+// hosts and engines each.
+func Small(subnet, hosts, engines int) Spec {
+	s := Wycena(subnet)
 	for i := range s.Regions {
 		s.Regions[i].Hosts, s.Regions[i].Engines = hosts, engines
 	}
@@ -117,50 +121,54 @@
 	return s
 }
 
-// Regions that a deployment of a given size may have: each pair of them has a
-// network for its link.
-const mostRegions = 10
+// maxRegions bounds the regions of a deployment. Each ordered pair of regions needs
+// a network for its link, and the numbers of networks must fit into a byte.
+const maxRegions = 10
 
-// Sized is a deployment for tests of so many regions, with hosts and engines each.
-func Sized(slot, regions, hosts, engines int) (Spec, error) {
-	if regions < 1 || regions > mostRegions || hosts < 1 || engines < 1 {
-		return Spec{}, errors.Errorf("deployment.Sized: %d regions (1 to %d) of %d hosts and %d engines (1 or more)", regions, mostRegions, hosts, engines)
+// Sized returns a deployment for tests of the given number of regions, with the
+// given numbers of hosts and engines each.
+func Sized(subnet, regions, hosts, engines int) (Spec, error) {
+	if regions < 1 || regions > maxRegions || hosts < 1 || engines < 1 {
+		return Spec{}, errors.Errorf("deployment.Sized: %d regions (1 to %d) of %d hosts and %d engines (1 or more)", regions, maxRegions, hosts, engines)
 	}
-	s := Small(slot, hosts, engines)
-	one := s.Regions[0]
+	s := Small(subnet, hosts, engines)
+	region := s.Regions[0]
 	s.Regions = nil
 	for i := range regions {
-		one.Name, one.DataCentre = fmt.Sprintf("region-%d", i+1), fmt.Sprintf("centre-%d", i+1)
-		s.Regions = append(s.Regions, one)
+		region.Name, region.DataCentre = fmt.Sprintf("region-%d", i+1), fmt.Sprintf("centre-%d", i+1)
+		s.Regions = append(s.Regions, region)
 	}
 	return s, nil
 }
 
-// Build returns the deployment of a spec.
+// Build returns the deployment that a spec describes.
 func Build(s Spec) Deployment {
 	d := Deployment{
 		Spec:     s,
-		Store:    addr(platformNet, s.Slot, 1, portPlatform),
-		HostList: addr(platformNet, s.Slot, 2, portPlatform), Directory: addr(platformNet, s.Slot, 3, portPlatform),
-		Control: addr(platformNet, s.Slot, 4, portControl),
+		Store:    addr(platformNetwork, s.Subnet, 1, portPlatform),
+		HostList: addr(platformNetwork, s.Subnet, 2, portPlatform), Directory: addr(platformNetwork, s.Subnet, 3, portPlatform),
+		LinkControl: addr(platformNetwork, s.Subnet, 4, portControl),
 	}
-	d.services()
+	d.addServices()
 	for i := range s.Regions {
-		d.region(i)
-		d.links(i)
+		d.addRegion(i)
+		d.addLinks(i)
 	}
 	return d
 }
 
-func addr(net, slot, host, port int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(net), byte(slot), byte(host)}), uint16(port))
+// addr returns the address 127.number.subnet.last with a port.
+func addr(number, subnet, last, port int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(number), byte(subnet), byte(last)}), uint16(port))
 }
 
-func network(net, slot int) netip.Prefix {
-	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(net), byte(slot), 0}), 24)
+// network returns 127.number.subnet.0/24.
+func network(number, subnet int) netip.Prefix {
+	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(number), byte(subnet), 0}), 24)
 }
 
-func (d *Deployment) services() {
+// addServices adds the regions and the services to the configuration.
+func (d *Deployment) addServices() {
 	var all []string
 	for _, r := range d.Spec.Regions {
 		all = append(all, r.Name)
@@ -176,59 +184,67 @@
 	}
 }
 
-func (d *Deployment) region(i int) {
+// addRegion adds the endpoints and hosts of a region, and a workspace that may be
+// served there only.
+func (d *Deployment) addRegion(i int) {
 	r := d.Spec.Regions[i]
 	for n := range r.Engines {
-		d.endpoint(r, d.Spec.Model, fmt.Sprintf("%s-engine-%d", r.DataCentre, n+1), addr(i+1, d.Spec.Slot, firstEngine+n, portEngine))
+		d.addEndpoint(r, d.Spec.Model, fmt.Sprintf("%s-engine-%d", r.DataCentre, n+1), addr(i+1, d.Spec.Subnet, firstEngineNumber+n, portEngine))
 	}
 	for n := range r.Plains {
-		d.endpoint(r, d.Spec.Plain, fmt.Sprintf("%s-app-%d", r.DataCentre, n+1), addr(i+1, d.Spec.Slot, firstPlain+n, portEngine))
+		d.addEndpoint(r, d.Spec.Plain, fmt.Sprintf("%s-app-%d", r.DataCentre, n+1), addr(i+1, d.Spec.Subnet, firstPlainNumber+n, portEngine))
 	}
 	d.Document.Workspaces = append(d.Document.Workspaces, document.Workspace{
 		Name: r.Name + "-bound", Home: r.Name, Allowed: []string{r.Name},
 	})
 	for n := range r.Hosts {
-		d.Hosts = append(d.Hosts, d.host(i, n))
+		d.Hosts = append(d.Hosts, d.hostSettings(i, n))
 	}
 }
 
-func (d *Deployment) endpoint(r RegionSpec, s ServiceSpec, name string, at netip.AddrPort) {
+func (d *Deployment) addEndpoint(r RegionSpec, s ServiceSpec, name string, at netip.AddrPort) {
 	d.Document.Endpoints = append(d.Document.Endpoints, document.Endpoint{
 		Name: name, Service: s.Name, Region: r.Name, DataCentre: r.DataCentre, Addr: at, Slots: s.Slots,
 	})
 }
 
-func (d *Deployment) host(region, n int) settings.Settings {
+// hostSettings returns the settings of the host of index n of a region. All other
+// hosts are its seeds. Translate maps the networks of the other regions to those
+// of the links, so that the host reaches them through a link.
+func (d *Deployment) hostSettings(region, n int) settings.Settings {
 	r := d.Spec.Regions[region]
 	s := settings.Default()
 	s.Host = fmt.Sprintf("%s-%d", r.DataCentre, n+1)
 	s.Region, s.DataCentre = r.Name, r.DataCentre
-	s.Listen.Callers = addr(region+1, d.Spec.Slot, firstHost+n, portCallers)
-	s.Listen.Peers = addr(region+1, d.Spec.Slot, firstHost+n, portPeers)
-	s.Platform.Store = addr(storeNet+region, d.Spec.Slot, 1, portPlatform)
+	s.Listen.Callers = addr(region+1, d.Spec.Subnet, firstHostNumber+n, portCallers)
+	s.Listen.Peers = addr(region+1, d.Spec.Subnet, firstHostNumber+n, portPeers)
+	s.Platform.Store = addr(firstStoreNetwork+region, d.Spec.Subnet, 1, portPlatform)
 	s.Platform.Hosts = d.HostList
 	for other := range d.Spec.Regions {
 		for k := range d.Spec.Regions[other].Hosts {
-			if seed := addr(other+1, d.Spec.Slot, firstHost+k, portPeers); seed != s.Listen.Peers {
+			if seed := addr(other+1, d.Spec.Subnet, firstHostNumber+k, portPeers); seed != s.Listen.Peers {
 				s.Seeds = append(s.Seeds, seed)
 			}
 		}
 		if other != region {
 			s.Translate = append(s.Translate, settings.Translation{
-				From: network(other+1, d.Spec.Slot), To: network(linkNet+mostRegions*region+other, d.Spec.Slot),
+				From: network(other+1, d.Spec.Subnet), To: network(firstLinkNetwork+maxRegions*region+other, d.Spec.Subnet),
 			})
 		}
 	}
 	return s
 }
 
-// LinkName names the link from one region to another, or to the platform.
+// LinkName returns the name of the link from a region to another, or to the
+// platform.
 func LinkName(from, to string) string { return from + ">" + to }
 
-// PlatformName stands for the platform in LinkName.
+// PlatformName is the name of the platform for LinkName.
 const PlatformName = "platform"
 
-func (d *Deployment) links(from int) {
+// addLinks adds the pipes from a region: to the hosts of all other regions, and to
+// the store.
+func (d *Deployment) addLinks(from int) {
 	for to := range d.Spec.Regions {
 		if to == from {
 			continue
@@ -236,14 +252,14 @@
 		for k := range d.Spec.Regions[to].Hosts {
 			d.Pipes = append(d.Pipes, link.Pipe{
 				Link:   LinkName(d.Spec.Regions[from].Name, d.Spec.Regions[to].Name),
-				Listen: addr(linkNet+mostRegions*from+to, d.Spec.Slot, firstHost+k, portPeers),
-				To:     addr(to+1, d.Spec.Slot, firstHost+k, portPeers),
+				Listen: addr(firstLinkNetwork+maxRegions*from+to, d.Spec.Subnet, firstHostNumber+k, portPeers),
+				To:     addr(to+1, d.Spec.Subnet, firstHostNumber+k, portPeers),
 				Delay:  d.Spec.Delay,
 			})
 		}
 	}
 	d.Pipes = append(d.Pipes, link.Pipe{
 		Link:   LinkName(d.Spec.Regions[from].Name, PlatformName),
-		Listen: addr(storeNet+from, d.Spec.Slot, 1, portPlatform), To: d.Store, Delay: time.Millisecond,
+		Listen: addr(firstStoreNetwork+from, d.Spec.Subnet, 1, portPlatform), To: d.Store, Delay: time.Millisecond,
 	})
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -86,7 +86,7 @@
 	for name, args := range map[string][]string{
 		"store":    {"store", d.Store.String()},
 		"hostlist": {"hostlist", d.HostList.String()},
-		"link":     {"link", d.Control.String(), pipes},
+		"link":     {"link", d.LinkControl.String(), pipes},
 	} {
 		if err := f.run(name, "standin", args...); err != nil {
 			return err
@@ -278,7 +278,7 @@
 // Trouble sets what is wrong with the link from a region to another or the
 // platform.
 func (f *Fleet) Trouble(ctx context.Context, from, to string, t link.Trouble) error {
-	return f.Client.Put(ctx, f.cfg.Deployment.Control, "/cut", linkState{Link: deployment.LinkName(from, to), Trouble: t})
+	return f.Client.Put(ctx, f.cfg.Deployment.LinkControl, "/cut", linkState{Link: deployment.LinkName(from, to), Trouble: t})
 }
 
 // Tool runs the operators' tool against a host.
