--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet runs a deployment as separate processes on loopback addresses:
-// the real daemon and the stand-ins. Processes can be killed, stopped, frozen
-// and thawed, links cut and faults set. All end with the one that started them.
+// Package fleet runs a deployment as separate processes on loopback addresses: the
+// real daemons and the stand-ins. A test can kill, stop, suspend and resume
+// processes and inject faults. All processes end with the process that started
+// them. Package world runs a deployment in one process instead.
 package fleet
 
 import (
@@ -27,53 +28,56 @@
 )
 
 const (
-	readyTime = 30 * time.Second
-	lookEvery = 20 * time.Millisecond
+	awaitTimeout  = 30 * time.Second
+	awaitInterval = 20 * time.Millisecond // between two checks of a condition
 )
 
 // Config is what a Fleet needs.
 type Config struct {
 	Deployment deployment.Deployment
-	Binaries   string   // directory of vetchtraild and standin
-	Directory  string   // for settings files and logs
-	EngineArgs []string // flags of the engines' stand-in
-	Leave      time.Duration
-	Poll       time.Duration
+	Binaries   string        // directory of vetchtraild, vetchtrail and standin
+	Directory  string        // for settings files and logs
+	EngineArgs []string      // additional flags of the engine stand-ins
+	Leave      time.Duration // the daemons' setting timing.leave
+	Poll       time.Duration // the daemons' setting timing.poll; 0: the default
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
-	cfg      Config
-	Client   *client.Client
-	starter  chan func()
-	mu       sync.Mutex
-	programs map[string]*exec.Cmd
+	cfg        Config
+	Client     *client.Client
+	startCalls chan func() // calls that start a process; see runStartCalls
+	mu         sync.Mutex
+	processes  map[string]*exec.Cmd // running, by the name of the host, endpoint or service
 }
 
-// Start starts the stand-ins and the daemons and waits until all answer.
+// Start starts the stand-ins and the daemons and waits until the store and all
+// daemons answer.
 func Start(ctx context.Context, c Config) (*Fleet, error) {
 	f := &Fleet{
-		cfg: c, Client: client.New(), starter: make(chan func()),
-		programs: map[string]*exec.Cmd{},
+		cfg: c, Client: client.New(), startCalls: make(chan func()),
+		processes: map[string]*exec.Cmd{},
 	}
-	go f.starting()
-	if err := f.start(ctx); err != nil {
+	go f.runStartCalls()
+	if err := f.startAll(ctx); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// starting starts processes from one thread that lives as long as this
-// process: the kernel ends them when it ends.
-func (f *Fleet) starting() {
+// runStartCalls starts all processes from one thread, which is locked to this
+// goroutine until Close. The kernel kills a process with Pdeathsig when the thread
+// that started it ends, and the Go runtime may end any other thread.
+func (f *Fleet) runStartCalls() {
 	runtime.LockOSThread()
-	for start := range f.starter {
+	for start := range f.startCalls {
 		start()
 	}
 }
 
-func (f *Fleet) start(ctx context.Context) error {
+// startAll starts all processes and waits until they answer.
+func (f *Fleet) startAll(ctx context.Context) error {
 	d := &f.cfg.Deployment
 	pipes := filepath.Join(f.cfg.Directory, "pipes.json")
 	text, err := json.Marshal(d.Pipes)
@@ -88,7 +92,7 @@
 		"hostlist": {"hostlist", d.HostList.String()},
 		"link":     {"link", d.LinkControl.String(), pipes},
 	} {
-		if err := f.run(name, "standin", args...); err != nil {
+		if err := f.startProcess(name, "standin", args...); err != nil {
 			return err
 		}
 	}
@@ -102,11 +106,11 @@
 			return err
 		}
 	}
-	return f.answering(ctx)
+	return f.awaitAll(ctx)
 }
 
-// answering waits until the store and all daemons answer.
-func (f *Fleet) answering(ctx context.Context) error {
+// awaitAll waits until the store and all daemons answer.
+func (f *Fleet) awaitAll(ctx context.Context) error {
 	err := f.Await(ctx, "the store", func() bool {
 		return f.Client.Get(ctx, f.cfg.Deployment.Store, "/faults", nil) == nil
 	})
@@ -121,7 +125,7 @@
 	return nil
 }
 
-// HostUp waits until a host's daemon answers.
+// HostUp waits until the daemon of a host answers on its callers' address.
 func (f *Fleet) HostUp(ctx context.Context, name string) error {
 	s, err := f.Settings(name)
 	if err != nil {
@@ -132,55 +136,57 @@
 	})
 }
 
-// Await waits for a condition, generously.
+// Await waits until done returns true. It fails after a timeout that is long enough
+// for a busy machine; the error names what was awaited.
 func (f *Fleet) Await(ctx context.Context, what string, done func() bool) error {
-	deadline := time.Now().Add(readyTime)
+	deadline := time.Now().Add(awaitTimeout)
 	for !done() {
 		if ctx.Err() != nil || time.Now().After(deadline) {
-			return errors.Errorf("fleet.Await: %s: not within %s", what, readyTime)
+			return errors.Errorf("fleet.Await: %s: not done within %s", what, awaitTimeout)
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(awaitInterval)
 	}
 	return nil
 }
 
-// run starts a program whose output goes to a log file.
-func (f *Fleet) run(name, program string, args ...string) error {
+// startProcess starts a program under a name. Its output is appended to a log file
+// of that name.
+func (f *Fleet) startProcess(name, program string, args ...string) error {
 	out, err := os.OpenFile(filepath.Join(f.cfg.Directory, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = out.Close() }()
-	cmd := exec.Command(filepath.Join(f.cfg.Binaries, program), args...) //nolint:noctx // ended by id
+	cmd := exec.Command(filepath.Join(f.cfg.Binaries, program), args...) //nolint:noctx // ends by a signal, see Kill and Close
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
-	f.starter <- func() { started <- cmd.Start() }
+	f.startCalls <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return errors.Wrapf(err, "fleet: start %s", name)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.programs[name] = cmd
+	f.processes[name] = cmd
 	return nil
 }
 
-// StartEndpoint starts an endpoint's stand-in.
+// StartEndpoint starts the stand-in of an endpoint.
 func (f *Fleet) StartEndpoint(name string) error {
 	d := &f.cfg.Deployment
 	for _, e := range d.Document.Endpoints {
 		switch {
 		case e.Name != name:
 		case e.Service == d.Spec.Model.Name:
-			return f.run(name, "standin", append([]string{"engine", e.Addr.String(), "--slots", strconv.Itoa(e.Slots)}, f.cfg.EngineArgs...)...)
+			return f.startProcess(name, "standin", append([]string{"engine", e.Addr.String(), "--slots", strconv.Itoa(e.Slots)}, f.cfg.EngineArgs...)...)
 		default:
-			return f.run(name, "standin", "plain", e.Addr.String())
+			return f.startProcess(name, "standin", "plain", e.Addr.String())
 		}
 	}
-	return errors.Errorf("fleet: no endpoint %s", name)
+	return errors.Errorf("fleet: unknown endpoint %s", name)
 }
 
-// Settings returns a host's settings.
+// Settings returns the settings with which the daemon of a host is started.
 func (f *Fleet) Settings(name string) (settings.Settings, error) {
 	for _, s := range f.cfg.Deployment.Hosts {
 		if s.Host == name {
@@ -192,10 +198,10 @@
 			return s, nil
 		}
 	}
-	return settings.Settings{}, errors.Errorf("fleet: no host %s", name)
+	return settings.Settings{}, errors.Errorf("fleet: unknown host %s", name)
 }
 
-// StartHost starts a host's daemon.
+// StartHost writes the settings file of a host and starts its daemon.
 func (f *Fleet) StartHost(name string) error {
 	s, err := f.Settings(name)
 	if err != nil {
@@ -210,78 +216,82 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
-	return f.run(name, "vetchtraild", "serve", file)
+	return f.startProcess(name, "vetchtraild", "serve", file)
 }
 
-// signal sends a signal to a program by its process id.
+// signal sends a signal to a process.
 func (f *Fleet) signal(name string, s syscall.Signal) (*exec.Cmd, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	cmd, ok := f.programs[name]
+	cmd, ok := f.processes[name]
 	if !ok {
-		return nil, errors.Errorf("fleet: %s does not run", name)
+		return nil, errors.Errorf("fleet: %s is not running", name)
 	}
 	return cmd, cmd.Process.Signal(s)
 }
 
-// Kill ends a program at once.
+// Kill kills a process and waits until it has ended.
 func (f *Fleet) Kill(name string) error {
 	cmd, err := f.signal(name, syscall.SIGKILL)
 	if err != nil {
 		return err
 	}
 	_ = cmd.Wait()
-	f.forget(name)
+	f.removeProcess(name)
 	return nil
 }
 
-// Stop asks a program to end and waits until it has.
+// Stop terminates a process in order, by SIGTERM, and waits until it has ended. It
+// fails if the process does.
 func (f *Fleet) Stop(name string) error {
 	cmd, err := f.signal(name, syscall.SIGTERM)
 	if err != nil {
 		return err
 	}
 	err = cmd.Wait()
-	f.forget(name)
+	f.removeProcess(name)
 	return err
 }
 
-func (f *Fleet) forget(name string) {
+// removeProcess removes an ended process from those that run.
+func (f *Fleet) removeProcess(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.programs, name)
+	delete(f.processes, name)
 }
 
-// Freeze stops a program's clock until Thaw.
+// Freeze suspends a process until Thaw.
 func (f *Fleet) Freeze(name string) error {
 	_, err := f.signal(name, syscall.SIGSTOP)
 	return err
 }
 
-// Thaw lets a frozen program go on.
+// Thaw resumes a process that Freeze suspended.
 func (f *Fleet) Thaw(name string) error {
 	_, err := f.signal(name, syscall.SIGCONT)
 	return err
 }
 
-// linkState is what the link is told.
-type linkState struct {
+// linkFault is the body of the link's PUT /cut.
+type linkFault struct {
 	Link string `json:"link"`
 	link.Trouble
 }
 
-// Cut cuts or heals the link from a region to another or the platform.
+// Cut cuts the link from a region to another or to the platform, or removes all
+// its faults.
 func (f *Fleet) Cut(ctx context.Context, from, to string, cut bool) error {
 	return f.Trouble(ctx, from, to, link.Trouble{Cut: cut})
 }
 
-// Trouble sets what is wrong with the link from a region to another or the
+// Trouble replaces the fault of the link from a region to another or to the
 // platform.
 func (f *Fleet) Trouble(ctx context.Context, from, to string, t link.Trouble) error {
-	return f.Client.Put(ctx, f.cfg.Deployment.LinkControl, "/cut", linkState{Link: deployment.LinkName(from, to), Trouble: t})
+	return f.Client.Put(ctx, f.cfg.Deployment.LinkControl, "/cut", linkFault{Link: deployment.LinkName(from, to), Trouble: t})
 }
 
-// Tool runs the operators' tool against a host.
+// Tool runs the operators' command vetchtrail against the daemon of a host and
+// returns its output.
 func (f *Fleet) Tool(ctx context.Context, host string, args ...string) (string, error) {
 	s, err := f.Settings(host)
 	if err != nil {
@@ -300,15 +310,16 @@
 			return e.Addr, nil
 		}
 	}
-	return netip.AddrPort{}, errors.Errorf("fleet: no endpoint %s", name)
+	return netip.AddrPort{}, errors.Errorf("fleet: unknown endpoint %s", name)
 }
 
-// Executions returns what all endpoints that run have started, by endpoint.
+// Executions returns the requests that each running endpoint has started, by the
+// endpoint's name.
 func (f *Fleet) Executions(ctx context.Context) (map[string][]ledger.Execution, error) {
 	out := map[string][]ledger.Execution{}
 	for _, e := range f.cfg.Deployment.Document.Endpoints {
 		f.mu.Lock()
-		_, runs := f.programs[e.Name]
+		_, runs := f.processes[e.Name]
 		f.mu.Unlock()
 		if !runs {
 			continue
@@ -322,11 +333,11 @@
 	return out, nil
 }
 
-// Close ends all processes.
+// Close kills all processes and waits until they have ended.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	programs := make([]*exec.Cmd, 0, len(f.programs))
-	for _, p := range f.programs {
+	programs := make([]*exec.Cmd, 0, len(f.processes))
+	for _, p := range f.processes {
 		programs = append(programs, p)
 	}
 	f.mu.Unlock()
@@ -336,11 +347,11 @@
 	for _, p := range programs {
 		_ = p.Wait()
 	}
-	close(f.starter)
+	close(f.startCalls)
 }
 
-// Complaints returns the lines of the programs' logs that tell of a data race or
-// a panic: their exit codes are lost when they are killed.
+// Complaints returns an excerpt of each log that reports a data race, a panic or a
+// fatal error. The exit status of a process doesn't show it, as most are killed.
 func (f *Fleet) Complaints() []string {
 	var out []string
 	logs, _ := filepath.Glob(filepath.Join(f.cfg.Directory, "*.log"))
@@ -349,14 +360,14 @@
 		if err != nil {
 			continue
 		}
-		for _, sign := range []string{"WARNING: DATA RACE", "\npanic: ", "\nfatal error: "} {
-			if at := strings.Index(string(text), sign); at >= 0 {
-				out = append(out, filepath.Base(path)+": "+string(text[at:min(len(text), at+complaintSize)]))
+		for _, marker := range []string{"WARNING: DATA RACE", "\npanic: ", "\nfatal error: "} {
+			if at := strings.Index(string(text), marker); at >= 0 {
+				out = append(out, filepath.Base(path)+": "+string(text[at:min(len(text), at+maxExcerptBytes)]))
 			}
 		}
 	}
 	return out
 }
 
-// complaintSize is how much of a complaint is kept, in bytes.
-const complaintSize = 3000
+// maxExcerptBytes bounds an excerpt of Complaints.
+const maxExcerptBytes = 3000
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -8,6 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestComplaints guards against data races and panics of the processes that no test
+// notices: Complaints must find them in the logs, and report nothing for a clean log.
 func TestComplaints(t *testing.T) {
 	cases := map[string]struct {
 		text string
