--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -1,6 +1,6 @@
 // Package world runs a whole deployment in one process: real daemons and
-// stand-ins, each on its own loopback address. The demo and the load runs use
-// it; the scenarios run separate processes instead.
+// stand-ins, each on its own loopback address. The demo and the load runs use it.
+// Package fleet runs separate processes instead.
 package world
 
 import (
@@ -25,68 +25,71 @@
 	"vetchtrail/standin/platform"
 )
 
-const readyTime = 15 * time.Second
+// startTimeout bounds the time until the daemons answer, are ready, or know the
+// other data centres.
+const startTimeout = 15 * time.Second
 
 // Config is what a World needs.
 type Config struct {
-	Deployment  deployment.Deployment
-	Engine      engine.Config
-	Policy      string                 // of the daemons; empty: their default
-	SwitchedOff []vetchtrail.Mechanism // of the daemons' policy
-	ListLag     time.Duration
-	Log         *slog.Logger
+	Deployment      deployment.Deployment
+	Engine          engine.Config          // of all engines
+	Policy          string                 // of the daemons; empty: their default
+	SwitchedOff     []vetchtrail.Mechanism // of the daemons' policy
+	EndpointListLag time.Duration          // of the platform's list of endpoints
+	Log             *slog.Logger           // for all daemons
 }
 
 // World is a running deployment.
 type World struct {
 	cfg     Config
-	ctx     context.Context
+	ctx     context.Context // ends at Close
 	stop    context.CancelFunc
-	running sync.WaitGroup
+	running sync.WaitGroup // daemons and stand-ins
 
-	Engines map[string]*engine.Server
-	Plains  map[string]*plain.Server
-	Store   *kv.Server
-	List    *platform.HostList
-	Link    *link.Relay
-	Client  *client.Client
+	Engines      map[string]*engine.Server // by endpoint
+	Plains       map[string]*plain.Server  // by endpoint
+	Store        *kv.Server
+	EndpointList *platform.HostList
+	Link         *link.Relay
+	Client       *client.Client
 
 	mu      sync.Mutex
-	daemons map[string]*host
+	daemons map[string]*runningHost // by host, stopped ones included
 }
 
-// host is a running daemon.
-type host struct {
+// runningHost is a daemon that was started.
+type runningHost struct {
 	daemon *daemon.Daemon
-	kill   context.CancelFunc
-	done   chan struct{}
+	kill   context.CancelFunc // ends the daemon at once
+	done   chan struct{}      // closed when the daemon has ended
 }
 
+// server is a stand-in that answers HTTP requests.
 type server interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// Start starts the stand-ins and the daemons. The configuration is still
-// empty.
+// Start starts the stand-ins and the daemons, and waits until the daemons answer.
+// The configuration is still empty.
 func Start(ctx context.Context, c Config) (*World, error) {
 	w := &World{
 		cfg: c, Engines: map[string]*engine.Server{}, Plains: map[string]*plain.Server{}, Store: kv.New(),
-		List: platform.NewHostList(c.ListLag), Link: link.New(c.Deployment.Pipes), Client: client.New(), daemons: map[string]*host{},
+		EndpointList: platform.NewHostList(c.EndpointListLag), Link: link.New(c.Deployment.Pipes), Client: client.New(), daemons: map[string]*runningHost{},
 	}
 	w.ctx, w.stop = context.WithCancel(ctx)
-	if err := w.start(); err != nil {
+	if err := w.startAll(); err != nil {
 		w.Close()
 		return nil, err
 	}
 	return w, nil
 }
 
-func (w *World) start() error {
+func (w *World) startAll() error {
 	d := &w.cfg.Deployment
 	if err := w.serve(d.Store, w.Store); err != nil {
 		return err
 	}
-	if err := w.serve(d.HostList, w.List); err != nil {
+	if err := w.serve(d.HostList, w.EndpointList); err != nil {
 		return err
 	}
 	if err := w.Link.Start(w.ctx); err != nil {
@@ -110,16 +113,16 @@
 			return err
 		}
 	}
-	return w.listening()
+	return w.awaitListening()
 }
 
-// listening waits until all daemons answer.
-func (w *World) listening() error {
-	deadline := time.Now().Add(readyTime)
+// awaitListening waits until all daemons answer on their callers' addresses.
+func (w *World) awaitListening() error {
+	deadline := time.Now().Add(startTimeout)
 	for _, s := range w.cfg.Deployment.Hosts {
 		for w.Client.Get(w.ctx, s.Listen.Callers, "/livez", nil) != nil {
 			if time.Now().After(deadline) {
-				return errors.Errorf("world.Start: host %s does not listen", s.Host)
+				return errors.Errorf("world.Start: host %s does not answer", s.Host)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -127,6 +130,7 @@
 	return nil
 }
 
+// serve runs a stand-in on an address until the world is closed.
 func (w *World) serve(addr netip.AddrPort, s server) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(w.ctx, "tcp", addr.String())
@@ -137,7 +141,8 @@
 	return nil
 }
 
-// Settings returns the settings of a host.
+// Settings returns the settings of a host in the deployment. StartHost adds those
+// of the world's configuration.
 func (w *World) Settings(name string) settings.Settings {
 	for _, s := range w.cfg.Deployment.Hosts {
 		if s.Host == name {
@@ -147,7 +152,7 @@
 	return settings.Settings{}
 }
 
-// StartHost starts a host's daemon.
+// StartHost starts the daemon of a host.
 func (w *World) StartHost(name string) error {
 	s := w.Settings(name)
 	s.Explain = true
@@ -160,20 +165,21 @@
 		return err
 	}
 	ctx, kill := context.WithCancel(w.ctx)
-	h := &host{daemon: d, kill: kill, done: make(chan struct{})}
+	h := &runningHost{daemon: d, kill: kill, done: make(chan struct{})}
 	w.mu.Lock()
 	w.daemons[name] = h
 	w.mu.Unlock()
 	w.running.Go(func() {
 		defer close(h.done)
 		if err := d.Run(ctx); err != nil {
-			w.cfg.Log.Error("daemon ended", "host", name, "error", err)
+			w.cfg.Log.Error("daemon failed", "host", name, "error", err)
 		}
 	})
 	return nil
 }
 
-// StopHost stops a host's daemon: at once, or after it has left in order.
+// StopHost stops the daemon of a host and waits until it has ended. If orderly is
+// set, the daemon leaves the system first; otherwise it ends at once.
 func (w *World) StopHost(name string, orderly bool) {
 	w.mu.Lock()
 	h := w.daemons[name]
@@ -186,18 +192,20 @@
 	<-h.done
 }
 
-// Ready waits until every host holds a revision and says that it is ready.
+// Ready waits until every host reports that it is ready and holds at least the given
+// revision of the configuration.
 func (w *World) Ready(revision uint64) error {
-	deadline := time.Now().Add(readyTime)
+	deadline := time.Now().Add(startTimeout)
 	for _, s := range w.cfg.Deployment.Hosts {
-		if err := w.hostReady(s, revision, deadline); err != nil {
+		if err := w.awaitHostReady(s, revision, deadline); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) hostReady(s settings.Settings, revision uint64, deadline time.Time) error {
+// awaitHostReady does for one host what Ready does for all.
+func (w *World) awaitHostReady(s settings.Settings, revision uint64, deadline time.Time) error {
 	for {
 		err := w.Client.Get(w.ctx, s.Listen.Callers, "/readyz", nil)
 		w.mu.Lock()
@@ -207,34 +215,34 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("world.Ready: host %s is not ready with revision %d but %d: %v", s.Host, revision, held, err)
+			return errors.Errorf("world.Ready: host %s: want ready with revision %d, have revision %d: %v", s.Host, revision, held, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Settled waits until every host knows all other data centres.
+// Settled waits until every host can reach all other data centres.
 func (w *World) Settled() error {
-	deadline := time.Now().Add(readyTime)
+	deadline := time.Now().Add(startTimeout)
 	for {
-		known := 0
+		reachable := 0
 		w.mu.Lock()
 		for _, h := range w.daemons {
-			known += h.daemon.Reachable()
+			reachable += h.daemon.Reachable()
 		}
 		want := len(w.daemons) * (len(w.cfg.Deployment.Spec.Regions) - 1)
 		w.mu.Unlock()
-		if known == want {
+		if reachable == want {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("world.Settled: hosts know %d data centres instead of %d", known, want)
+			return errors.Errorf("world.Settled: hosts reach %d other data centres in total, want %d", reachable, want)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Close ends everything.
+// Close stops all daemons and stand-ins and waits until they have ended.
 func (w *World) Close() {
 	w.stop()
 	w.running.Wait()
