--- a/standin/loadrun/faults.go
+++ b/standin/loadrun/faults.go
@@ -8,48 +8,53 @@
 	"vetchtrail/standin/engine"
 )
 
+// addrPort is the address of a host.
 type addrPort = netip.AddrPort
 
-// lostRegion is the region that is lost in that case: the second busiest.
-const lostRegion = 1
+// lostRegionIndex is the region that is lost in RegionLostAndBack and
+// RegionLostForGood: the second busiest.
+const lostRegionIndex = 1
 
-// faults makes the case's faults: in the middle of the run, from its first to
-// its second third, unless they last for all of it.
-func (r *run) faults(began time.Time) {
+// injectFaults injects the faults of the run's case. A lost region that comes back
+// and cut links last for the middle third of the run; the other faults last for the
+// whole run.
+func (r *run) injectFaults(began time.Time) {
 	first := began.Add(r.cfg.Length / 3)
 	second := began.Add(2 * r.cfg.Length / 3)
 	switch r.cfg.Case {
-	case Slow:
-		r.slow()
+	case OneEngineSlow:
+		r.slowOneEngine()
 	case NoReports:
-		r.each(func(e *engine.Server, _ string) { e.SetFaults(engine.Faults{NoReports: true}) })
-	case Lost:
+		r.eachEngine(func(e *engine.Server, _ string) { e.SetFaults(engine.Faults{NoReports: true}) })
+	case RegionLostAndBack:
 		time.Sleep(time.Until(first))
-		r.lose()
+		r.loseRegion()
 		time.Sleep(time.Until(second))
-		r.bringBack()
-	case Gone:
-		r.lose()
-	case Cut:
+		r.restoreRegion()
+	case RegionLostForGood:
+		r.loseRegion()
+	case LinksCut:
 		time.Sleep(time.Until(first))
-		r.links(true)
+		r.cutLinks(true)
 		time.Sleep(time.Until(second))
-		r.links(false)
+		r.cutLinks(false)
 	}
 }
 
-func (r *run) each(do func(e *engine.Server, region string)) {
-	for _, line := range r.d.Document.Endpoints {
-		if e, ok := r.w.Engines[line.Name]; ok {
-			do(e, line.Region)
+// eachEngine calls do for all engines, with their region, in the order of the
+// configuration.
+func (r *run) eachEngine(do func(e *engine.Server, region string)) {
+	for _, endpoint := range r.d.Document.Endpoints {
+		if e, ok := r.w.Engines[endpoint.Name]; ok {
+			do(e, endpoint.Region)
 		}
 	}
 }
 
-// slow slows the first engine of the busiest region.
-func (r *run) slow() {
+// slowOneEngine slows down the first engine of the busiest region.
+func (r *run) slowOneEngine() {
 	done := false
-	r.each(func(e *engine.Server, region string) {
+	r.eachEngine(func(e *engine.Server, region string) {
 		if !done && region == r.d.Spec.Regions[0].Name {
 			e.SetFaults(engine.Faults{Slow: slowFactor})
 			done = true
@@ -57,12 +62,14 @@
 	})
 }
 
-func (r *run) lose() {
-	name := r.d.Spec.Regions[lostRegion].Name
+// loseRegion stops the hosts of a region, makes its engines refuse requests, and lets
+// its callers use the next region.
+func (r *run) loseRegion() {
+	name := r.d.Spec.Regions[lostRegionIndex].Name
 	r.mu.Lock()
-	r.lost = true
+	r.regionLost = true
 	r.mu.Unlock()
-	r.each(func(e *engine.Server, region string) {
+	r.eachEngine(func(e *engine.Server, region string) {
 		if region == name {
 			e.SetFaults(engine.Faults{Refuse: true, NoReports: true})
 		}
@@ -74,9 +81,11 @@
 	}
 }
 
-func (r *run) bringBack() {
-	name := r.d.Spec.Regions[lostRegion].Name
-	r.each(func(e *engine.Server, region string) {
+// restoreRegion starts the engines of the lost region again, with empty caches, and
+// its hosts. Once all hosts are ready, its callers use them again.
+func (r *run) restoreRegion() {
+	name := r.d.Spec.Regions[lostRegionIndex].Name
+	r.eachEngine(func(e *engine.Server, region string) {
 		if region == name {
 			e.ClearCache()
 			e.SetFaults(engine.Faults{})
@@ -93,11 +102,12 @@
 		}
 	}
 	r.mu.Lock()
-	r.lost = false
+	r.regionLost = false
 	r.mu.Unlock()
 }
 
-func (r *run) links(cut bool) {
+// cutLinks cuts or restores all links between regions.
+func (r *run) cutLinks(cut bool) {
 	for _, a := range r.d.Spec.Regions {
 		for _, b := range r.d.Spec.Regions {
 			if a.Name != b.Name {
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -1,6 +1,8 @@
-// Package loadrun sends the same recorded arrivals through a running deployment
-// under each policy, in cases with faults, and measures what callers saw. It is
-// bounded in time and ends by itself.
+// Package loadrun compares request policies: it sends the same arrivals to a
+// deployment under each policy, injects the faults of a case and measures what the
+// callers saw. Daemons, engines and callers share one process and machine, so that its
+// figures compare policies with each other and don't predict those of real hosts. A
+// run ends by itself after its length and the deadlines of its last requests.
 package loadrun
 
 import (
@@ -30,89 +32,91 @@
 // Case is what happens during a run.
 type Case string
 
-// Cases.
+// Cases. The values name them in the results and on the command line.
 const (
-	Steady    Case = "steady"
-	Slow      Case = "one engine five times slower"
-	Lost      Case = "a region lost and back, cold"
-	Gone      Case = "a region lost for good"
-	Cut       Case = "links between regions cut"
-	Triple    Case = "three times the load"
-	NoReports Case = "reports stopped"
+	Steady            Case = "steady"
+	OneEngineSlow     Case = "one engine five times slower"
+	RegionLostAndBack Case = "a region lost and back, cold"
+	RegionLostForGood Case = "a region lost for good"
+	LinksCut          Case = "links between regions cut"
+	TripleLoad        Case = "three times the load"
+	NoReports         Case = "reports stopped"
 )
 
 // Cases returns all cases.
-func Cases() []Case { return []Case{Steady, Slow, Lost, Gone, Cut, Triple, NoReports} }
+func Cases() []Case {
+	return []Case{Steady, OneEngineSlow, RegionLostAndBack, RegionLostForGood, LinksCut, TripleLoad, NoReports}
+}
 
 // Config is what a run needs.
 type Config struct {
 	Spec        deployment.Spec
 	Policy      string
 	SwitchedOff []vetchtrail.Mechanism // of the policy
-	Name        string                 // of the run in the results
+	Name        string                 // of the policy in the results
 	Case        Case
-	Rate        float64 // arrivals a second in all regions at the steady case
-	Length      time.Duration
-	Seed        uint64
-	Prefixes    int // prompt beginnings in use, at least 2
-	Deadline    time.Duration
-	Log         *slog.Logger
+	Rate        float64       // arrivals a second in all regions; TripleLoad has three times as many
+	Length      time.Duration // time in which requests are sent
+	Seed        uint64        // of the arrivals
+	Prefixes    int           // number of shared prompt prefixes, at least 2
+	Deadline    time.Duration // of each request
+	Log         *slog.Logger  // for the daemons
 }
 
 const (
-	// warmUp is the share of a run that is not measured.
-	warmUp = 0.15
-	// boundShare is the share of requests bound to their region.
-	boundShare = 0.12
-	prefixSkew = 1.1  // of their popularity
-	prefixSize = 1200 // bytes
-	restSize   = 400  // bytes of a prompt that no other has
-	minTokens  = 16
-	moreTokens = 32
-	slowFactor = 5
-	tripleLoad = 3
-	mostOpen   = 4000 // requests on their way at once, a bound on memory
+	warmUpShare       = 0.15 // beginning of a run, as a share of its length, that is not measured
+	boundShare        = 0.12 // share of the requests whose workspace may be served in its region only
+	prefixSkew        = 1.1  // exponent of the Zipf distribution of the prefixes
+	prefixBytes       = 1200
+	uniqueBytes       = 400 // of a prompt, after the shared prefix
+	minAnswerTokens   = 16
+	extraAnswerTokens = 32 // an answer has fewer than this above the minimum
+	slowFactor        = 5
+	tripleLoadFactor  = 3
+	maxInFlight       = 4000 // requests at the same time, which bounds the memory; further arrivals wait
 )
 
-// regionShares are the shares of arrivals by region: peaks fall at different
-// hours.
+// regionShares are the shares of the arrivals by region. They differ, as the regions
+// have their peaks at different hours.
 var regionShares = []float64{0.45, 0.35, 0.20}
 
-// engineConfig is a continuous-batching engine, faster than a real one so that
-// a run is short.
+// engineConfig is the configuration of all engines. They are faster than real ones,
+// so that a run is short.
 var engineConfig = engine.Config{
 	Slots: 8, Queue: 8, Prefill: 300 * time.Microsecond, Step: 7500 * time.Microsecond, Drag: 1, Cache: 6000, Lag: 300 * time.Millisecond,
 }
 
-// arrival is one recorded request.
+// arrival is one request, as generated before the run.
 type arrival struct {
-	at     time.Duration
-	region int
-	bound  bool
-	prompt string
-	tokens int
-	host   int // chooses among the region's hosts
+	at         time.Duration // after the start of the run
+	region     int           // index of the caller's region
+	bound      bool          // its workspace may be served in its region only
+	prompt     string
+	tokens     int // of the answer
+	hostChoice int // selects one of the region's hosts, modulo their number
 }
 
-// Record returns the arrivals of a run. The same seed gives the same ones.
-func record(c Config) []arrival {
+// generateArrivals returns the arrivals of a run, with exponentially distributed
+// intervals. The same seed gives the same arrivals.
+func generateArrivals(c Config) []arrival {
 	rnd := rand.New(rand.NewPCG(c.Seed, 1))
 	zipf := rand.NewZipf(rnd, prefixSkew, 1, uint64(c.Prefixes-1))
 	rate := c.Rate
-	if c.Case == Triple {
-		rate *= tripleLoad
+	if c.Case == TripleLoad {
+		rate *= tripleLoadFactor
 	}
 	var out []arrival
 	for at := 0.0; at < c.Length.Seconds(); at += rnd.ExpFloat64() / rate {
 		out = append(out, arrival{
-			at: time.Duration(at * float64(time.Second)), region: pick(rnd.Float64()), bound: rnd.Float64() < boundShare,
-			prompt: prompt(zipf.Uint64(), rnd), tokens: minTokens + rnd.IntN(moreTokens), host: rnd.IntN(1 << 20),
+			at: time.Duration(at * float64(time.Second)), region: pickRegion(rnd.Float64()), bound: rnd.Float64() < boundShare,
+			prompt: prompt(zipf.Uint64(), rnd), tokens: minAnswerTokens + rnd.IntN(extraAnswerTokens), hostChoice: rnd.IntN(1 << 20),
 		})
 	}
 	return out
 }
 
-func pick(u float64) int {
+// pickRegion maps a number from 0 to 1 to a region by the regions' shares.
+func pickRegion(u float64) int {
 	for i, share := range regionShares {
 		if u < share {
 			return i
@@ -122,52 +126,53 @@
 	return len(regionShares) - 1
 }
 
-// prompt has a shared beginning and an end of its own.
+// prompt returns a prompt of a shared prefix, given by its number, and a unique rest.
 func prompt(prefix uint64, rnd *rand.Rand) string {
-	text := make([]byte, 0, prefixSize+restSize)
-	common := rand.New(rand.NewPCG(prefix, 7))
-	for range prefixSize {
-		text = append(text, byte('a'+common.IntN(26)))
+	text := make([]byte, 0, prefixBytes+uniqueBytes)
+	shared := rand.New(rand.NewPCG(prefix, 7))
+	for range prefixBytes {
+		text = append(text, byte('a'+shared.IntN(26)))
 	}
-	for range restSize {
+	for range uniqueBytes {
 		text = append(text, byte('a'+rnd.IntN(26)))
 	}
 	return string(text)
 }
 
-// Result is what a run showed.
+// Result is what a run measured. The warm-up is left out, except from Duplicates,
+// Retries, SlotTime, Stall and Cached.
 type Result struct {
-	Policy           string
+	Policy           string // Config.Name
 	Case             Case
 	Sent             int
-	Answered         int // whole, right and in time
-	Cut              int // begun, and broken off in a way that the caller saw
-	Wrong            int // answered with something else, or cut and looking whole
-	NotRun           int
-	Unknown          int
-	Away             int // answered in another region than the caller's
-	Duplicates       int // executions beyond one a request
-	Retries          int
-	TimeToFirstToken *hdrhistogram.Histogram // microseconds to the first token
-	Whole            *hdrhistogram.Histogram // microseconds to the whole answer
-	Refused          *hdrhistogram.Histogram // microseconds to a refusal
-	SlotTime         time.Duration           // engines' slot time
-	Stall            time.Duration           // longest that the machine kept a ready thread waiting
-	Cached           float64                 // share of prompt tokens found cached
+	Answered         int                     // complete and correct
+	Truncated        int                     // broken off in a way that the caller noticed
+	Wrong            int                     // a wrong answer, or a truncated one that looks complete
+	NotRun           int                     // refused: the gateway reports that they were not executed
+	Unknown          int                     // the gateway reports that it can't tell whether they were executed, or gives no answer
+	OtherRegion      int                     // answered in another region than the caller's
+	Duplicates       int                     // executions in excess of one for each request
+	Retries          int                     // by the daemons
+	TimeToFirstToken *hdrhistogram.Histogram // microseconds
+	TimeToAnswer     *hdrhistogram.Histogram // microseconds to the end of the answer
+	TimeToRefusal    *hdrhistogram.Histogram // microseconds
+	SlotTime         time.Duration           // of all engines together
+	Stall            time.Duration           // longest time by which the machine delayed a goroutine that was due
+	Cached           float64                 // share of the prompt tokens found in the engines' prefix caches
 }
 
-// run is one under way.
+// run is a run in progress.
 type run struct {
-	cfg  Config
-	d    deployment.Deployment
-	w    *world.World
-	lost bool
+	cfg        Config
+	d          deployment.Deployment
+	w          *world.World
+	regionLost bool // whether callers of the region lostRegionIndex use another region's hosts
 
 	mu  sync.Mutex
 	res Result
 }
 
-// Run makes one run.
+// Run starts a deployment, applies its configuration and makes one run on it.
 func Run(ctx context.Context, c Config) (Result, error) {
 	d := deployment.Build(c.Spec)
 	w, err := world.Start(ctx, world.Config{Deployment: d, Engine: engineConfig, Policy: c.Policy, SwitchedOff: c.SwitchedOff, Log: c.Log})
@@ -176,29 +181,32 @@
 	}
 	defer w.Close()
 	r := &run{cfg: c, d: d, w: w, res: Result{
-		Policy: c.Name, Case: c.Case, TimeToFirstToken: histogram(), Whole: histogram(), Refused: histogram(),
+		Policy: c.Name, Case: c.Case, TimeToFirstToken: newHistogram(), TimeToAnswer: newHistogram(), TimeToRefusal: newHistogram(),
 	}}
-	if err := r.configure(ctx); err != nil {
+	if err := r.applyConfiguration(ctx); err != nil {
 		return Result{}, err
 	}
-	before := retries(c.Spec.Model.Name)
-	r.send(ctx)
-	r.sum()
-	r.res.Retries = retries(c.Spec.Model.Name) - before
+	before := retriesMade(c.Spec.Model.Name)
+	r.sendArrivals(ctx)
+	r.addEngineTotals()
+	r.res.Retries = retriesMade(c.Spec.Model.Name) - before
 	return r.res, nil
 }
 
-// retries is how many retries the daemons of this process have made.
-func retries(service string) int {
+// retriesMade returns how many retries the daemons of this process have made for a
+// service.
+func retriesMade(service string) int {
 	return int(metrics.GetOrCreateCounter(dispatch.RetriesName(service, true)).Get())
 }
 
-func histogram() *hdrhistogram.Histogram {
+func newHistogram() *hdrhistogram.Histogram {
 	const longest, digits = int64(60 * time.Second / time.Microsecond), 3
 	return hdrhistogram.New(1, longest, digits)
 }
 
-func (r *run) configure(ctx context.Context) error {
+// applyConfiguration proposes the deployment's configuration and waits until all hosts
+// hold it and reach each other's data centres.
+func (r *run) applyConfiguration(ctx context.Context) error {
 	op, err := operator.Dial(ctx, operator.Config{Addr: r.d.Hosts[0].Listen.Peers})
 	if err != nil {
 		return err
@@ -214,7 +222,7 @@
 		return err
 	}
 	if reply.GetResult() != schema.ProposeReply_ACCEPTED {
-		return errors.Errorf("loadrun: configuration: %s", reply.GetText())
+		return errors.Errorf("loadrun: configuration not accepted: %s", reply.GetText())
 	}
 	if err := r.w.Ready(reply.GetRevision()); err != nil {
 		return err
@@ -222,85 +230,88 @@
 	return r.w.Settled()
 }
 
-// send sends the arrivals at their times and makes the case's faults.
-func (r *run) send(ctx context.Context) {
+// sendArrivals sends each arrival at its time, injects the case's faults meanwhile
+// and waits for all answers.
+func (r *run) sendArrivals(ctx context.Context) {
 	began := time.Now()
-	var all sync.WaitGroup
-	all.Go(func() { r.faults(began) })
-	all.Go(func() { r.watchMachine(began) })
-	open := make(chan struct{}, mostOpen)
-	for _, a := range record(r.cfg) {
+	var running sync.WaitGroup
+	running.Go(func() { r.injectFaults(began) })
+	running.Go(func() { r.measureStall(began) })
+	inFlight := make(chan struct{}, maxInFlight)
+	for _, a := range generateArrivals(r.cfg) {
 		time.Sleep(time.Until(began.Add(a.at)))
-		open <- struct{}{}
-		all.Go(func() {
-			r.ask(ctx, a)
-			<-open
+		inFlight <- struct{}{}
+		running.Go(func() {
+			r.sendArrival(ctx, a)
+			<-inFlight
 		})
 	}
-	all.Wait()
+	running.Wait()
 }
 
-// watchMachine notes by how much short sleeps are overslept: a run on a machine
-// that stalled says little of the policy.
-func (r *run) watchMachine(began time.Time) {
-	const nap = 5 * time.Millisecond
+// measureStall measures the longest time by which a short sleep was overslept. A run
+// on a machine that stalled says little about the policy.
+func (r *run) measureStall(began time.Time) {
+	const sleepTime = 5 * time.Millisecond
 	longest := time.Duration(0)
 	for time.Since(began) < r.cfg.Length {
 		before := time.Now()
-		time.Sleep(nap)
-		longest = max(longest, time.Since(before)-nap)
+		time.Sleep(sleepTime)
+		longest = max(longest, time.Since(before)-sleepTime)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.res.Stall = longest
 }
 
-func (r *run) ask(ctx context.Context, a arrival) {
+// sendArrival sends one arrival's request to a host of its region, and counts the
+// result unless it arrived during the warm-up.
+func (r *run) sendArrival(ctx context.Context, a arrival) {
 	from := r.d.Spec.Regions[a.region]
-	ask := client.Ask{
-		Host: r.entry(a), Service: r.d.Spec.Model.Name, Prompt: a.prompt, Tokens: a.tokens, Stream: true, Timeout: r.cfg.Deadline,
+	request := client.Ask{
+		Host: r.entryHost(a), Service: r.d.Spec.Model.Name, Prompt: a.prompt, Tokens: a.tokens, Stream: true, Timeout: r.cfg.Deadline,
 	}
 	if a.bound {
-		ask.Workspace = from.Name + "-bound"
+		request.Workspace = from.Name + "-bound"
 	}
-	res := r.w.Client.Do(ctx, ask)
-	if a.at < time.Duration(warmUp*float64(r.cfg.Length)) {
+	res := r.w.Client.Do(ctx, request)
+	if a.at < time.Duration(warmUpShare*float64(r.cfg.Length)) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count(&ask, &res, from.Name)
+	r.count(&request, &res, from.Name)
 }
 
-// count takes what one caller saw. The caller holds the lock.
-func (r *run) count(ask *client.Ask, res *client.Result, from string) {
+// count adds the result of one request to the run's. The caller holds the lock.
+func (r *run) count(request *client.Ask, res *client.Result, from string) {
 	r.res.Sent++
 	switch {
-	case ask.Right(*res):
+	case request.Right(*res):
 		r.res.Answered++
 		_ = r.res.TimeToFirstToken.RecordValue(res.TimeToFirstToken.Microseconds())
-		_ = r.res.Whole.RecordValue(res.Took.Microseconds())
+		_ = r.res.TimeToAnswer.RecordValue(res.Took.Microseconds())
 		if r.regionOf(res.Where) != from {
-			r.res.Away++
+			r.res.OtherRegion++
 		}
 	case res.Outcome == "not-run":
 		r.res.NotRun++
-		_ = r.res.Refused.RecordValue(res.Took.Microseconds())
+		_ = r.res.TimeToRefusal.RecordValue(res.Took.Microseconds())
 	case res.Outcome == "unknown" || res.Status == 0:
 		r.res.Unknown++
 	case !res.Whole && res.Err != nil:
-		r.res.Cut++
+		r.res.Truncated++
 	default:
 		r.res.Wrong++
 	}
 }
 
-// entry is the host that a caller was told to use: of its region, or of the
-// next while that is lost.
-func (r *run) entry(a arrival) (addr addrPort) {
+// entryHost returns the host that the caller uses: one of its region, or of the next
+// region while its own is lost.
+func (r *run) entryHost(a arrival) (addr addrPort) {
 	r.mu.Lock()
 	region := a.region
-	if r.lost && region == lostRegion {
+	if r.regionLost && region == lostRegionIndex {
 		region = (region + 1) % len(r.d.Spec.Regions)
 	}
 	r.mu.Unlock()
@@ -310,9 +321,10 @@
 			hosts = append(hosts, s.Listen.Callers)
 		}
 	}
-	return hosts[a.host%len(hosts)]
+	return hosts[a.hostChoice%len(hosts)]
 }
 
+// regionOf returns the region of an endpoint; empty: it is unknown.
 func (r *run) regionOf(name string) string {
 	for _, e := range r.d.Document.Endpoints {
 		if e.Name == name {
@@ -322,9 +334,9 @@
 	return ""
 }
 
-// sum adds what the engines counted.
-func (r *run) sum() {
-	runs := map[string]int{}
+// addEngineTotals adds the engines' totals and the duplicate executions to the result.
+func (r *run) addEngineTotals() {
+	executions := map[string]int{}
 	var prompt, cached int
 	for _, e := range r.w.Engines {
 		s := e.Stats()
@@ -332,10 +344,10 @@
 		prompt += s.Prompt
 		cached += s.Cached
 		for _, x := range e.Executions() {
-			runs[x.Request]++
+			executions[x.Request]++
 		}
 	}
-	for _, n := range runs {
+	for _, n := range executions {
 		r.res.Duplicates += n - 1
 	}
 	if prompt > 0 {
@@ -351,12 +363,13 @@
 		r := &results[i]
 		answered := max(r.Answered, 1)
 		_, _ = fmt.Fprintf(w, "| %s | %s | %d | %d | %s | %s | %s | %s | %.1f%% | %d | %s | %d | %d | %d | %d | %d | %.3f | %.0f%% | %d |\n",
-			r.Case, r.Policy, r.Sent, r.Answered, ms(r.TimeToFirstToken, 50), ms(r.TimeToFirstToken, 95), ms(r.TimeToFirstToken, 99), ms(r.Whole, 99),
-			100*float64(r.Away)/float64(answered), r.NotRun, ms(r.Refused, 99), r.Unknown, r.Cut, r.Wrong, r.Retries, r.Duplicates,
+			r.Case, r.Policy, r.Sent, r.Answered, quantileMillis(r.TimeToFirstToken, 50), quantileMillis(r.TimeToFirstToken, 95), quantileMillis(r.TimeToFirstToken, 99), quantileMillis(r.TimeToAnswer, 99),
+			100*float64(r.OtherRegion)/float64(answered), r.NotRun, quantileMillis(r.TimeToRefusal, 99), r.Unknown, r.Truncated, r.Wrong, r.Retries, r.Duplicates,
 			r.SlotTime.Seconds()/float64(answered), 100*r.Cached, r.Stall.Milliseconds())
 	}
 }
 
-func ms(h *hdrhistogram.Histogram, q float64) string {
+// quantileMillis formats a percentile of a histogram of microseconds in milliseconds.
+func quantileMillis(h *hdrhistogram.Histogram, q float64) string {
 	return fmt.Sprintf("%.0f", float64(h.ValueAtQuantile(q))/1e3)
 }
