--- a/standin/capacity/capacity.go
+++ b/standin/capacity/capacity.go
@@ -1,5 +1,7 @@
-// Package capacity works out what each role of a daemon needs at a given size
-// from slopes that the repository's benchmarks measured.
+// Package capacity calculates what each role of a daemon costs at a given size of the
+// system: network traffic, processor time, memory and calls of the store. It fits
+// straight lines to the results of the repository's benchmarks and extrapolates
+// them. It runs no benchmarks itself.
 package capacity
 
 import (
@@ -12,16 +14,17 @@
 	"github.com/go-faster/errors"
 )
 
-// Point is one line of a benchmark: its sizes and its figures, by name.
+// Point is one line of benchmark output.
 type Point struct {
-	Benchmark string
-	Sizes     map[string]float64 // as in hosts=20
-	Figures   map[string]float64 // as in bytes/op
+	Benchmark string             // name without its cases
+	Params    map[string]float64 // sizes in the name of the case, such as hosts=20
+	Metrics   map[string]float64 // by unit, such as bytes/op
 }
 
-var sizeOf = regexp.MustCompile(`([a-z]+)=(\d+)`)
+// paramPattern matches a parameter in the name of a benchmark's case.
+var paramPattern = regexp.MustCompile(`([a-z]+)=(\d+)`)
 
-// Parse reads the output of go test -bench.
+// Parse reads the output of go test -bench. It skips lines that are not results.
 func Parse(in io.Reader) ([]Point, error) {
 	var out []Point
 	s := bufio.NewScanner(in)
@@ -31,77 +34,83 @@
 			continue
 		}
 		name, _, _ := strings.Cut(fields[0], "/")
-		p := Point{Benchmark: name, Sizes: map[string]float64{}, Figures: map[string]float64{}}
-		whole := strings.TrimSuffix(fields[0], "-"+lastPart(fields[0]))
-		for _, m := range sizeOf.FindAllStringSubmatch(whole, -1) {
-			p.Sizes[m[1]], _ = strconv.ParseFloat(m[2], 64)
+		p := Point{Benchmark: name, Params: map[string]float64{}, Metrics: map[string]float64{}}
+		nameWithoutProcs := strings.TrimSuffix(fields[0], "-"+procsSuffix(fields[0]))
+		for _, m := range paramPattern.FindAllStringSubmatch(nameWithoutProcs, -1) {
+			p.Params[m[1]], _ = strconv.ParseFloat(m[2], 64)
 		}
 		for i := 2; i+1 < len(fields); i += 2 {
-			x, err := strconv.ParseFloat(fields[i], 64)
+			value, err := strconv.ParseFloat(fields[i], 64)
 			if err != nil {
 				return nil, errors.Wrapf(err, "capacity.Parse: %s", s.Text())
 			}
-			p.Figures[fields[i+1]] = x
+			p.Metrics[fields[i+1]] = value
 		}
 		out = append(out, p)
 	}
 	return out, s.Err()
 }
 
-func lastPart(name string) string {
+// procsSuffix returns the part of a benchmark's name after the last hyphen: the
+// number of processors that go test appends.
+func procsSuffix(name string) string {
 	return name[strings.LastIndex(name, "-")+1:]
 }
 
-// Line is a figure as a straight function of one size.
-type Line struct {
+// LinearFit is a straight line through the points of a benchmark: a metric as a
+// function of one parameter.
+type LinearFit struct {
 	Benchmark string
-	Figure    string
-	Size      string
-	Points    int
-	Start     float64 // at size 0
+	Metric    string
+	Param     string
+	Points    int     // to which the line is fitted
+	Intercept float64 // value at parameter 0
 	Slope     float64
-	Least     float64 // smallest and largest size measured
-	Most      float64
+	MinParam  float64 // smallest and largest parameter measured
+	MaxParam  float64
 }
 
-// At returns the figure at a size.
-func (l Line) At(size float64) float64 { return l.Start + l.Slope*size }
+// At returns the value of the line at a parameter.
+func (l LinearFit) At(param float64) float64 { return l.Intercept + l.Slope*param }
 
-const fewest = 3 // points that show a slope
+// minPoints is the number of points from which a slope is trusted. Two points
+// always lie on a line.
+const minPoints = 3
 
-// Fit fits a line through a benchmark's points, over one size, with the others
-// as given.
-func Fit(points []Point, benchmark, figure, size string, others map[string]float64) (Line, error) {
-	l := Line{Benchmark: benchmark, Figure: figure, Size: size}
+// Fit fits a line by least squares to the points of a benchmark, over one parameter.
+// It uses only the points whose other parameters have the fixed values.
+func Fit(points []Point, benchmark, metric, param string, fixed map[string]float64) (LinearFit, error) {
+	l := LinearFit{Benchmark: benchmark, Metric: metric, Param: param}
 	var sx, sy, sxx, sxy float64
 	for _, p := range points {
-		x, ok := p.Sizes[size]
-		if p.Benchmark != benchmark || !ok || !matches(p.Sizes, others) {
+		x, ok := p.Params[param]
+		if p.Benchmark != benchmark || !ok || !hasParams(p.Params, fixed) {
 			continue
 		}
-		y, ok := p.Figures[figure]
+		y, ok := p.Metrics[metric]
 		if !ok {
 			continue
 		}
-		if l.Points == 0 || x < l.Least {
-			l.Least = x
+		if l.Points == 0 || x < l.MinParam {
+			l.MinParam = x
 		}
-		l.Most = max(l.Most, x)
+		l.MaxParam = max(l.MaxParam, x)
 		l.Points++
 		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
-	if l.Points < fewest {
-		return l, errors.Errorf("capacity.Fit: %s %s over %s has %d points instead of %d", benchmark, figure, size, l.Points, fewest)
+	if l.Points < minPoints {
+		return l, errors.Errorf("capacity.Fit: %s %s over %s has %d points instead of %d", benchmark, metric, param, l.Points, minPoints)
 	}
 	n := float64(l.Points)
 	l.Slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	l.Start = (sy - l.Slope*sx) / n
+	l.Intercept = (sy - l.Slope*sx) / n
 	return l, nil
 }
 
-func matches(sizes, others map[string]float64) bool {
-	for k, v := range others {
-		if sizes[k] != v {
+// hasParams reports whether the parameters include the fixed values.
+func hasParams(params, fixed map[string]float64) bool {
+	for k, v := range fixed {
+		if params[k] != v {
 			return false
 		}
 	}
--- a/standin/capacity/capacity_test.go
+++ b/standin/capacity/capacity_test.go
@@ -10,6 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestFit guards against wrong slopes in the capacity tables: Parse must tell the
+// parameters of a case from the processor suffix, and Fit must use only the points
+// with the fixed parameters and refuse fewer than three.
 func TestFit(t *testing.T) {
 	points, err := Parse(strings.NewReader(`goos: linux
 BenchmarkX/hosts=10/endpoints=0-8   	 100	 1200 ns/op	 30.0 bytes/op
@@ -27,9 +30,10 @@
 	assert.ErrorContains(t, err, "1 points instead of 3")
 }
 
-// TestPage: docs/CAPACITY.md holds the tables that the recorded figures and the
-// constants in the code give.
-func TestPage(t *testing.T) {
+// TestPageMatchesModel guards against an outdated page: docs/CAPACITY.md must hold the
+// tables that follow from the recorded benchmark figures and the constants in the
+// code. A change of such a constant makes it fail.
+func TestPageMatchesModel(t *testing.T) {
 	figures, err := os.Open("../../docs/capacity-figures.txt")
 	assert.NilError(t, err)
 	defer func() { _ = figures.Close() }()
@@ -42,5 +46,5 @@
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(page), tables.String()),
-		"docs/CAPACITY.md has other tables: make them again as the page says")
+		"docs/CAPACITY.md has outdated tables; regenerate them as the page says")
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -336,15 +336,15 @@
 // Close kills all processes and waits until they have ended.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	programs := make([]*exec.Cmd, 0, len(f.processes))
+	processes := make([]*exec.Cmd, 0, len(f.processes))
 	for _, p := range f.processes {
-		programs = append(programs, p)
+		processes = append(processes, p)
 	}
 	f.mu.Unlock()
-	for _, p := range programs {
+	for _, p := range processes {
 		_ = p.Process.Kill()
 	}
-	for _, p := range programs {
+	for _, p := range processes {
 		_ = p.Wait()
 	}
 	close(f.startCalls)
