--- a/standin/capacity/model.go
+++ b/standin/capacity/model.go
@@ -25,8 +25,8 @@
 	AtMostOnceShare     float64 // of the requests that may run at most once, because they carry an idempotency key
 }
 
-// Sizes returns the present size, an intermediate one, and the largest size that the
-// system must support. Their names are those of the capacity page.
+// Sizes returns the present size, an intermediate one, and the largest one that is
+// required. Their names are those of the capacity page.
 func Sizes() []Size {
 	return []Size{
 		{"today", 8, 15, 3, 1000, 150, 100, 8, 0.05},
@@ -35,19 +35,16 @@
 	}
 }
 
-// Limits on what a daemon may use for coordination, apart from requests. They are
-// requirements of the system.
 const (
+	// Required limits on what a daemon uses for coordination, apart from requests.
 	maxBytesPerSecond       = 4 << 10
 	maxCoreShare            = 0.024
 	maxMemoryBytes          = 32 << 20
 	maxStoreReadsPerSecond  = 2000 // by all hosts together
 	maxStoreWritesPerSecond = 100  // by all hosts together
-)
 
-const (
 	secondsPerDay  = 86400
-	answerBytes    = 2 << 10 // assumed mean size of a buffered response
+	answerBytes    = 2 << 10 // mean size of a buffered response, an assumption
 	keyRecordBytes = 512     // record of an idempotency key, without the response
 )
 
@@ -256,6 +253,7 @@
 		maxStoreReadsPerSecond, overLimit(sum.Reads, maxStoreReadsPerSecond), maxStoreWritesPerSecond, overLimit(sum.Writes, maxStoreWritesPerSecond))
 }
 
+// writeRoleCost writes a row of the table of a size.
 func writeRoleCost(w io.Writer, r RoleCost) {
 	_, _ = fmt.Fprintf(w, "| %s | %s | %.1f | %.0f | %.2f%% | %.0f | %.2f | %.2f |\n",
 		r.Role, r.Mechanism, r.Messages, r.Bytes, 100*r.CPU, r.Memory/1024, r.Reads, r.Writes)
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,7 +1,7 @@
 // Package client is an HTTP caller of the entry hosts, for the demo, the scenarios,
-// the soak and the load runs. It reads each answer to its end and knows which
-// answer the stand-in engine must give. It also reads and sets the faults and
-// records of the stand-ins.
+// the soak and the load runs. It reads each answer to its end and compares
+// it with the one that a stand-in engine must give. It also sets the faults of the
+// stand-ins and reads their records.
 package client
 
 import (
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -32,13 +32,13 @@
 	firstPlainNumber  = 120
 )
 
-// An address is 127.N.S.x, with S the deployment's subnet. N is the number of a
-// region, from 1, or one of these. The networks of links hold the addresses on
-// which a link listens for connections from one region.
+// All addresses are 127.N.S.x, where S is the deployment's subnet. N is the number of
+// a region, from 1, or one of the numbers below. The network of a link holds the
+// addresses on which the link accepts connections.
 const (
 	platformNetwork   = 20
-	firstLinkNetwork  = 40 // + maxRegions × index of the region from + index of the region to
-	firstStoreNetwork = 30 // + index of the region from; links to the store
+	firstLinkNetwork  = 40 // links between regions: + maxRegions × index of the origin + index of the destination
+	firstStoreNetwork = 30 // links to the store: + index of the origin
 )
 
 // Spec is the size of a deployment and its services.
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -122,8 +122,8 @@
 	if s.injectFault(ctx, f) {
 		return
 	}
-	var q completionRequest
-	if err := json.Unmarshal(ctx.PostBody(), &q); err != nil {
+	var req completionRequest
+	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
@@ -142,10 +142,10 @@
 	requestID := string(ctx.Request.Header.Peek("X-Request-Id"))
 	s.storeStream(requestID, st)
 	st.addReader()
-	prompt := q.promptText()
+	prompt := req.promptText()
 	s.crashIfPoison(prompt)
-	go s.generate(generationCtx, st, prompt, q.answerTokens())
-	if q.Stream {
+	go s.generate(generationCtx, st, prompt, req.answerTokens())
+	if req.Stream {
 		s.sendEvents(ctx, st, 0, f)
 		return
 	}
--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -109,24 +109,24 @@
 }
 
 // Accept implements net.Listener.
-func (o *trackingListener) Accept() (net.Conn, error) {
-	c, err := o.Listener.Accept()
+func (t *trackingListener) Accept() (net.Conn, error) {
+	c, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.conns[c] = true
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.conns[c] = true
 	return c, nil
 }
 
 // resetAll closes the listener and resets all connections, as the kernel does when
 // a process crashes.
-func (o *trackingListener) resetAll() {
-	_ = o.Close()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for c := range o.conns {
+func (t *trackingListener) resetAll() {
+	_ = t.Close()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.conns {
 		if tc, ok := c.(*net.TCPConn); ok {
 			_ = tc.SetLinger(0) // makes Close send a reset
 		}
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -30,23 +30,23 @@
 
 // promptText returns the prompt: the raw JSON of the messages' contents one after
 // the other, or of the field prompt if there are no messages.
-func (q *completionRequest) promptText() string {
-	if len(q.Messages) == 0 {
-		return string(q.Prompt)
+func (r *completionRequest) promptText() string {
+	if len(r.Messages) == 0 {
+		return string(r.Prompt)
 	}
 	var b strings.Builder
-	for _, m := range q.Messages {
+	for _, m := range r.Messages {
 		b.Write(m.Content)
 	}
 	return b.String()
 }
 
 // answerTokens returns the number of tokens of the answer.
-func (q *completionRequest) answerTokens() int {
-	if q.MaxTokens <= 0 {
+func (r *completionRequest) answerTokens() int {
+	if r.MaxTokens <= 0 {
 		return defaultAnswerTokens
 	}
-	return min(q.MaxTokens, maxAnswerTokens)
+	return min(r.MaxTokens, maxAnswerTokens)
 }
 
 // Token returns the token of index n, from 0, of the answer to a prompt. The
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -240,11 +240,11 @@
 // Serve sets faults by PUT /cut until ctx ends. It does not relay: see Start.
 func (r *Relay) Serve(ctx context.Context, l net.Listener) error {
 	return listen.Serve(ctx, l, func(c *fasthttp.RequestCtx) {
-		var q faultRequest
-		if err := json.Unmarshal(c.PostBody(), &q); err != nil {
+		var req faultRequest
+		if err := json.Unmarshal(c.PostBody(), &req); err != nil {
 			c.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
-		r.SetFault(q.Link, q.Trouble)
+		r.SetFault(req.Link, req.Trouble)
 	})
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -22,7 +22,7 @@
 	State    string `json:"state"` // "live" or "leaving"
 }
 
-// HostList serves the list at /hosts. GET returns a change only after the lag.
+// HostList serves the list, under any path. GET returns a change only after the lag.
 type HostList struct {
 	lag time.Duration // from a change until GET returns it
 
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// awaitHostReady does for one host what Ready does for all.
+// awaitHostReady waits for one host as Ready does for all, until a deadline.
 func (w *World) awaitHostReady(s settings.Settings, revision uint64, deadline time.Time) error {
 	for {
 		err := w.Client.Get(w.ctx, s.Listen.Callers, "/readyz", nil)
