--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -168,8 +168,8 @@
 		m := &availabilityModel{t: t, table: New(), now: now, startedAt: []time.Time{now}, leavingUntil: map[int]time.Time{}, pausedUntil: map[int]time.Time{}}
 		m.list(0)
 		t.Repeat(map[string]func(*rapid.T){
-			"start": m.start, "list": m.relist, "answer": m.answer, "reported": m.reported, "report": m.report, "leave": m.leave,
-			"other process": m.otherProcess, "released": m.released, "wait": m.wait, "": m.check,
+			"begin instance": m.start, "list": m.relist, "answer": m.answer, "update from peer": m.reported, "report": m.report, "leave": m.leave,
+			"misdirected": m.otherProcess, "released": m.released, "pass time": m.wait, "": m.check,
 		})
 	})
 }
