--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -11,15 +11,15 @@
 
 const (
 	// leavingValidFor is how long an announcement that an endpoint is leaving is valid. An endpoint that still
-	// runs after that gets requests again, and its answers say whether it is still leaving.
+	// runs after that gets requests again. If it is still leaving, its answers announce that again.
 	leavingValidFor = time.Hour
 	// maxUnlisted bounds the process instances that are not listed and whose announcements are kept.
 	maxUnlisted = 1 << 12
 )
 
-// availabilityBySource is what is known of whether an endpoint wants requests, separately for each source. No
-// source withdraws or shortens what another said: for one, a listing that was read while the platform's store
-// was away or after it lost its data may have a leaving endpoint as ready.
+// availabilityBySource is what is known of whether an endpoint accepts requests, separately for each source. No
+// source withdraws or shortens what another reported. For example, a listing that was read while the platform's
+// store was unavailable, or after it lost its data, may have a leaving endpoint as ready.
 type availabilityBySource struct {
 	reportUntil       time.Time // leaving until then, by its newest load report
 	platformUntil     time.Time // leaving until then, by the platform's list of hosts
@@ -27,19 +27,19 @@
 	announcements
 }
 
-// announcements is what an endpoint's answers said of whether it wants requests. A later answer that doesn't
-// repeat an announcement doesn't withdraw it. Announcements are valid for one process instance, also if that
-// leaves the listing and comes back.
+// announcements is what an endpoint's answers announced about whether it accepts requests. A later answer that
+// doesn't repeat an announcement doesn't withdraw it. Announcements are valid for one process instance, even if
+// that is missing from the listing for a while.
 type announcements struct {
 	leavingUntil     time.Time // until when the announcement that it is leaving is valid; zero: there is none
 	requestSentAt    time.Time // when the request of the last announcement was sent
-	firstAnnouncedAt time.Time // when an answer first said that it is leaving
+	firstAnnouncedAt time.Time // when an answer that announced that it is leaving was first received
 	receivedAt       time.Time // when the last announcement was received
 	learnedAt        time.Time // when this host learned that it is leaving
-	pausedUntil      time.Time // until when it wants no requests from this host; zero: not paused
+	pausedUntil      time.Time // until when it accepts no requests from this host; zero: not paused
 }
 
-// isLeaving says whether the endpoint is known to be leaving. It then gets no new requests.
+// isLeaving reports whether the endpoint is known to be leaving. It then gets no new requests.
 func (s *endpointState) isLeaving(now time.Time) bool {
 	return s.leavingBy(now) != ""
 }
@@ -59,7 +59,7 @@
 	return "", time.Time{}
 }
 
-// Leaves says whether an endpoint is configured and known to be leaving.
+// Leaves reports whether an endpoint is configured and known to be leaving.
 func (t *Table) Leaves(name string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,10 +67,10 @@
 	return ok && s.isLeaving(now)
 }
 
-// LeavingBy is the source that says that an endpoint is leaving.
+// LeavingBy is the source that reports that an endpoint is leaving.
 type LeavingBy string
 
-// Sources that say that an endpoint is leaving; empty: none does.
+// Sources that report that an endpoint is leaving; empty: none does.
 const (
 	ByAnswers  LeavingBy = "its answers"
 	ByList     LeavingBy = "list" // the configuration, or the platform's listing
@@ -79,7 +79,7 @@
 	ByMisled   LeavingBy = "another process" // answered at its address
 )
 
-// leavingBy returns the first source that says that the endpoint is leaving.
+// leavingBy returns the first of the sources by which the endpoint is leaving.
 func (s *endpointState) leavingBy(now time.Time) LeavingBy {
 	a := &s.availability
 	switch {
@@ -104,13 +104,13 @@
 	Paused   bool   // it is paused, or for longer than known
 }
 
-// HearNotice records the announcement of an endpoint's answer, and returns what of it is new.
+// HearNotice records an announcement that an endpoint's answer contained, and returns the part that is new.
 func (t *Table) HearNotice(name string, born time.Time, n vetchtrail.Notice) NoticeNews {
 	return t.HearNoticeShort(Short(name), born, n, n.Heard)
 }
 
-// HearNoticeShort records an announcement that any host received. It names the endpoint by Short. The
-// announcement is valid only for the process instance that started at the given time.
+// HearNoticeShort records an announcement that this or another host received. The endpoint is given by the hash
+// of its name (Short). The announcement is valid only for the process instance that started at born.
 func (t *Table) HearNoticeShort(short uint32, born time.Time, n vetchtrail.Notice, now time.Time) NoticeNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +122,7 @@
 			t.logLeaving(keyOf(short, s.Born), &s.availability.announcements)
 		}
 		if news.Paused {
-			s.warmUp = math.Min(s.warmUp, initialWarmUp) // it is overloaded, and all hosts return when the pause ends
+			s.warmUp = math.Min(s.warmUp, initialWarmUp) // it is overloaded, and all hosts send requests again when the pause ends
 		}
 	} else {
 		news = t.recordUnlisted(keyOf(short, born), n, now)
@@ -130,7 +130,8 @@
 	return news
 }
 
-// record adds an announcement. Where two differ, the one that is valid for longer counts.
+// record adds an announcement, and returns what is new. Of two announcements the one that is valid for longer
+// counts.
 func (a *announcements) record(n vetchtrail.Notice, now time.Time) NoticeNews {
 	news := NoticeNews{Leaves: n.Leaving && !n.Heard.Before(a.leavingUntil), Paused: n.Until.After(a.pausedUntil)}
 	if news.Leaves {
@@ -183,8 +184,8 @@
 // Unknown implements vetchtrail.Observer. The table has no use for unknown fields.
 func (t *Table) Unknown(vetchtrail.Endpoint, string) {}
 
-// unlistedInstance holds the announcements of a process instance that is not listed now: its entry may have
-// lapsed while the platform's store was away, the listing may be an older copy, or may not have it yet.
+// unlistedInstance holds the announcements of a process instance that is not listed now. Its entry may have
+// expired while the platform's store was unavailable, or the listing is an older copy, or doesn't have it yet.
 type unlistedInstance struct {
 	addr netip.AddrPort // not valid: not known
 	announcements
@@ -212,8 +213,8 @@
 	}
 }
 
-// restoreAnnouncements gives an endpoint that is listed now what the same process instance announced while it
-// was not. The caller holds the lock.
+// restoreAnnouncements merges into the state of a newly listed endpoint what the same process instance announced
+// while it was not listed. The caller holds the lock.
 func (t *Table) restoreAnnouncements(s *endpointState, e vetchtrail.Endpoint) {
 	key := keyOf(Short(e.Name), e.Born)
 	u, ok := t.unlisted[key]
@@ -244,11 +245,11 @@
 	t.unlisted[key] = u
 }
 
-// Leaver is a process instance of an endpoint whose answers said that it is leaving.
+// Leaver is a process instance of an endpoint whose answers announced that it is leaving.
 type Leaver struct {
 	Short uint32    // hash of the endpoint's name, see the function Short
 	Born  time.Time // start of the instance
-	Said  time.Time // when an answer first said so
+	Said  time.Time // when such an answer was first received
 }
 
 // leavingLogEntry records when this host learned that a process instance is leaving.
@@ -260,8 +261,9 @@
 // maxLeavingLog bounds the log of leaving process instances.
 const maxLeavingLog = 2 * maxUnlisted
 
-// logLeaving adds a process instance to the end of the log if it announced that it is leaving. So that the log
-// stays in the order of learnedAt, that is moved up to the last entry's. The caller holds the lock.
+// logLeaving adds a process instance to the end of the log if it announced that it is leaving. If its learnedAt
+// is before that of the last entry, it is set to that, so that the log stays in the order of learnedAt. The
+// caller holds the lock.
 func (t *Table) logLeaving(key instanceKey, a *announcements) {
 	if a.leavingUntil.IsZero() {
 		return
@@ -287,8 +289,8 @@
 	return nil
 }
 
-// Leavers returns the process instances of which this host learned after a time that their answers say that
-// they are leaving, if that announcement is still valid.
+// Leavers returns the process instances whose answers announced that they are leaving, if this host learned of
+// that after a time and if the announcement is still valid.
 func (t *Table) Leavers(after, now time.Time) []Leaver {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -13,8 +13,8 @@
 )
 
 // availabilityModel is a model of one endpoint that starts again and again under its name and whose answers
-// announce that it is leaving or paused, while the listing, reports and other processes at its address say
-// otherwise. It records next to the table what the answers announced.
+// announce that it is leaving or paused, while the listing, reports and other processes at its address
+// contradict that. It records next to the table what the answers announced.
 type availabilityModel struct {
 	t            *rapid.T
 	table        *Table
@@ -137,7 +137,7 @@
 	m.now = m.now.Add(time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(most)).Draw(t, "time")))
 }
 
-// check requires that the listed instance's announcements are valid, whatever other sources said since, and
+// check requires that the listed instance's announcements are valid, whatever other sources reported since, and
 // that those of other instances are not.
 func (m *availabilityModel) check(t *rapid.T) {
 	if m.listed < 0 {
@@ -174,8 +174,8 @@
 	})
 }
 
-// TestLeavingExpires guards against an endpoint that stays out of use for ever because it announced that it is
-// leaving but still runs. The announcement expires, and the next one is news again. A shorter back-off for
+// TestLeavingExpires guards against an endpoint that gets no requests any more because it announced that it is
+// leaving, but still runs. The announcement expires, and the next one is news again. A shorter back-off for
 // another reason doesn't shorten it.
 func TestLeavingExpires(t *testing.T) {
 	tab := New()
@@ -246,7 +246,7 @@
 	}
 }
 
-// TestAvailabilityRow guards against operators that can't see which source says that an endpoint is leaving,
+// TestAvailabilityRow guards against operators that can't see which source reports that an endpoint is leaving,
 // since when, and until when it is paused.
 func TestAvailabilityRow(t *testing.T) {
 	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
@@ -285,8 +285,8 @@
 	}
 }
 
-// TestReportOfNewProcess guards against an announcement that outlives its process: a load report that says that
-// the process started after the announcement withdraws it. A report without a start time or with an earlier one
+// TestReportOfNewProcess guards against an announcement that outlives its process: a load report with a
+// process start time after the announcement withdraws it. A report without a start time or with an earlier one
 // doesn't.
 func TestReportOfNewProcess(t *testing.T) {
 	cases := map[string]struct {
--- a/process/load/cold_start.go
+++ b/process/load/cold_start.go
@@ -11,7 +11,7 @@
 }
 
 // configure sets the end of the cold start and this host's share of the requests a second that the endpoint
-// accepts until then. 0 means no bound, a negative rate that this host has no share.
+// accepts until then. A rate of 0 means no bound, and a negative rate means that this host has no share.
 func (l *coldStartLimiter) configure(until time.Time, rate float64) {
 	l.until = until
 	switch {
@@ -25,7 +25,7 @@
 	}
 }
 
-// allows says whether a request may be sent now.
+// allows reports whether a request may be sent now.
 func (l *coldStartLimiter) allows(now time.Time) bool {
 	return l.interval == 0 || !now.Before(l.until) || !now.Before(l.next)
 }
--- a/process/load/event_interval.go
+++ b/process/load/event_interval.go
@@ -14,8 +14,8 @@
 	// eventIntervalDecay is the time in which a mean without new observations falls to 1/e: the streams that it
 	// was observed on have ended since.
 	eventIntervalDecay = time.Second
-	// maxIntervalReportAge is the age up to which a report tells how many requests an endpoint runs, for
-	// estimates of its event interval. Streams take some seconds.
+	// maxIntervalReportAge is the age up to which a report is used as the number of requests that an endpoint
+	// runs, to estimate its event interval. Streams take some seconds.
 	maxIntervalReportAge = 2 * time.Second
 	// maxIntervalSecondsPerRequest bounds what one more running request adds to the interval.
 	maxIntervalSecondsPerRequest = 0.05
@@ -52,8 +52,8 @@
 	minSilence      = 700 * time.Millisecond
 )
 
-// silent says whether the endpoint runs streams of this host and nothing has arrived on any of them for long. A
-// new request would wait as they do. The caller holds the lock.
+// silent reports whether the endpoint runs streams of this host and nothing has arrived on any of them for long.
+// A new request there would wait too. The caller holds the lock.
 func (t *Table) silent(s *endpointState, now time.Time) bool {
 	if len(s.startedStreams) == 0 || t.switchedOff.Has(vetchtrail.Silence) {
 		return false
@@ -70,9 +70,9 @@
 	return ok && t.silent(s, now)
 }
 
-// expectedEventInterval is the time between two events that a new stream will probably see, in seconds; 0: not
-// known. It follows this host's streams at the endpoint. The longer they show nothing, the more it follows what
-// the service's endpoints show with as many running requests as this one last reported.
+// expectedEventInterval is the probable time between two events of a new stream, in seconds; 0: not known. It
+// follows the mean of this host's streams at the endpoint. The longer that has no new observation, the more it
+// follows the fit over the service's endpoints, at the number of running requests that this one last reported.
 func (s *endpointState) expectedEventInterval(svc *serviceStats, now time.Time) float64 {
 	if !svc.eventIntervalFit.known() || !s.hasReport || now.Sub(s.report.At) > maxIntervalReportAge {
 		return s.eventInterval.decayedMean(now)
--- a/process/load/in_flight.go
+++ b/process/load/in_flight.go
@@ -21,8 +21,8 @@
 	return max(1, int(s.limit*s.warmUp))
 }
 
-// inFlightAt returns the requests in flight at a time. For times before the history it returns the oldest
-// remembered number.
+// inFlightAt returns the number of requests in flight at a time. For a time before the history it returns the
+// oldest number that is still stored.
 func (s *endpointState) inFlightAt(at time.Time) int {
 	oldest := max(0, s.inFlightChanges-maxInFlightHistory)
 	for i := s.inFlightChanges - 1; i >= oldest; i-- {
@@ -50,7 +50,7 @@
 
 // Acquire counts a request as in flight at an endpoint. It returns false when the endpoint is leaving, paused,
 // ejected, backed off, at its limit, or in its cold start with this host's share used up. Silence and the rate
-// limit, which take an endpoint out of use in a view, are not checked here. Release ends the request.
+// limit are not checked here, only when a view is built. Release ends the request.
 func (t *Table) Acquire(name string, r *vetchtrail.Request, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/linear_fit.go
+++ b/process/load/linear_fit.go
@@ -9,7 +9,7 @@
 	minFitObservations = 3
 	// maxFitBaseSeconds bounds the line's value at x = 0.
 	maxFitBaseSeconds = 1.0
-	// initialGuessWeight is the weight of each of the two points that stand for the initial guess, in
+	// initialGuessWeight is the weight of each of the two points that the initial guess consists of, in
 	// observations.
 	initialGuessWeight = 2.0
 )
@@ -36,7 +36,7 @@
 	f.count++
 }
 
-// known says whether there are enough observations to use the line.
+// known reports whether there are enough observations to use the line.
 func (f *linearFit) known() bool { return f.count >= minFitObservations }
 
 // line returns the seconds at x = 0 and the seconds for each unit of x.
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -1,6 +1,6 @@
 // Package load holds what this host knows about the load and the availability of its data centre's endpoints:
 // their load reports, this host's requests in flight, observed speeds and failures, rate limits, and whether
-// they are leaving. Each request's endpoint is chosen by this knowledge, and the request's outcome adds to it.
+// they are leaving. The policy chooses endpoints by this state, and the outcome of each request updates it.
 //
 // The package neither chooses endpoints nor sends requests or fetches reports. Its state is held in memory only
 // and ends with the process.
@@ -19,15 +19,15 @@
 const (
 	// meanSmoothing is the weight of a new observation in a running mean.
 	meanSmoothing = 0.05
-	// An endpoint counts as slower than its service only after minObservations, and only if its mean is more
-	// than slowdownTolerance over the service's. Means of few requests differ by chance and would unbalance the
+	// An endpoint counts as slower than its service only after minObservations, and only if its mean exceeds the
+	// service's by the share slowdownTolerance. Means of few requests differ by chance and would unbalance the
 	// load. An endpoint that seems faster counts as equal: it would attract load until it is no longer faster.
 	minObservations   = 8
 	slowdownTolerance = 0.4
 	// initialServiceSeconds and initialTokenSeconds are the estimates before the first observation.
 	initialServiceSeconds = 1.0    // seconds that a request occupies a slot
 	initialTokenSeconds   = 0.0002 // seconds that a prompt token takes
-	minTokenSlowdown      = 0.1    // bounds of an endpoint's time for a token over its service's
+	minTokenSlowdown      = 0.1    // bounds of an endpoint's time for a token, as a multiple of its service's
 	maxTokenSlowdown      = 50.0
 	// observationDecay is the time in which the difference between an endpoint's observations and its service's
 	// mean falls to 1/e, so that an endpoint that was slow is tried again.
@@ -37,8 +37,8 @@
 	maxLimitPerSlot = 2.0
 	// limitCutFactor multiplies the limit after a refusal or a timeout.
 	limitCutFactor = 0.7
-	// A request counts as queued at its endpoint if its first byte took more than lateStartFactor times as long
-	// as a usual request takes as a whole. Requests that aren't queued differ by less.
+	// A request counts as queued at its endpoint if the time to its first byte was more than lateStartFactor
+	// times the mean time of a whole request. Requests that aren't queued differ by less.
 	lateStartFactor = 4.0
 	// failuresToEject is the number of failures in a row after which an endpoint is ejected.
 	failuresToEject = 3
@@ -46,7 +46,7 @@
 	// refusal up to maxConnectBackOff. A load report ends the back-off sooner.
 	minConnectBackOff = time.Second
 	maxConnectBackOff = 8 * time.Second
-	// maxRefusalBackOff bounds the back-off that an endpoint asks for when it refuses a request.
+	// maxRefusalBackOff bounds the back-off that an endpoint requests when it refuses a request.
 	maxRefusalBackOff = 5 * time.Second
 	// otherProcessBackOff is how long an endpoint gets no requests after another process answered at its
 	// address. The platform's list usually drops such an endpoint sooner.
@@ -54,13 +54,13 @@
 	// An ejection lasts minEjection, doubled for each further one up to maxEjection.
 	minEjection = 2 * time.Second
 	maxEjection = time.Minute
-	// An endpoint is ejected when the probability that its run of error answers is chance falls below
+	// An endpoint is ejected when its run of error answers would happen by chance with a probability below
 	// maxErrorRunProbability. With some hundred answers a second, 0.001 ejects one endpoint wrongly in some ten
 	// seconds, for two seconds.
 	maxErrorRunProbability = 0.001
 	// minUsualErrorShare and maxUsualErrorShare bound the share of errors that is assumed for the other
-	// endpoints. The lower bound keeps an endpoint in use that answers two of three requests well: it is of
-	// more use than none.
+	// endpoints. The lower bound keeps an endpoint in use that answers two of three requests without an error:
+	// it is still useful.
 	minUsualErrorShare = 0.3
 	maxUsualErrorShare = 0.5
 	// maxEjectedShare is the share of a service's endpoints that may be ejected at once. When more fail, the
@@ -103,8 +103,8 @@
 	inFlightChanges      int                     // recorded so far
 	limit                float64                 // of inFlight, before the warm-up share
 	serviceTime          average                 // seconds that a request occupies a slot
-	tokenSlowdown        average                 // seconds to the first byte for each prompt token, over the service's
-	observedAt           time.Time               // when serviceTime and tokenSlowdown last were
+	tokenSlowdown        average                 // seconds to the first byte for each prompt token, as a multiple of the service's
+	observedAt           time.Time               // when serviceTime and tokenSlowdown were last observed
 	warmUp               float64                 // share of its limit that it may get, up to 1
 	failuresInRow        int                     // requests in a row without a whole answer
 	errorsInRow          int                     // error answers in a row, see minErrorStatus
@@ -122,12 +122,12 @@
 	backOffUntil         time.Time // after its own refusal, or as it is unreachable
 	backOffReason        vetchtrail.Reason
 	availability         availabilityBySource
-	announced            bool                 // an answer once said something of its availability
-	reportsLeaving       bool                 // its newest report says that it is leaving
+	announced            bool                 // an answer once contained an announcement of its availability
+	reportsLeaving       bool                 // by its newest report it is leaving
 	rateLimit            vetchtrail.RateLimit // last advertised
 	rateLimitedSince     time.Time            // when it last began to advertise a rate limit; zero: this instance never did
 	rateExhaustedUntil   time.Time            // no request fits its rate limit before
-	rateLeft             float64              // requests that its rate limit allowed at once when the owner was last asked
+	rateLeft             float64              // requests that its rate limit allowed at once when the owner was last queried
 }
 
 // serviceStats are a service's observations over all of its endpoints.
@@ -224,9 +224,9 @@
 	}
 }
 
-// isOtherInstance says whether a start time belongs to another process instance of the endpoint than the known
-// one. The state of one instance says nothing about another, and outcomes of requests that were sent to an
-// earlier one are ignored. A start time that isn't known matches any.
+// isOtherInstance reports whether a start time belongs to a process instance of the endpoint other than the known
+// one. The state of one instance is not valid for another, and outcomes of requests that were sent to an earlier
+// one are ignored. A start time that isn't known matches any.
 func (s *endpointState) isOtherInstance(startedAt time.Time) bool {
 	return !s.Born.IsZero() && !startedAt.IsZero() && !s.Born.Equal(startedAt)
 }
--- a/process/load/load_test.go
+++ b/process/load/load_test.go
@@ -171,7 +171,7 @@
 	assert.Assert(t, last >= 4)
 }
 
-// TestChangeSinceReport guards against decisions by a late report alone: the view says how the requests in
+// TestChangeSinceReport guards against decisions by a late report alone: the view shows how the requests in
 // flight from this host have changed since. An older report that arrives later is ignored.
 func TestChangeSinceReport(t *testing.T) {
 	tab := table(1)
--- a/process/load/mechanisms_test.go
+++ b/process/load/mechanisms_test.go
@@ -16,7 +16,7 @@
 	at := homeName(twoRegions(1e-7), session)
 	other := map[string]string{"a": "b", "b": "c", "c": "a"}[at]
 	third := map[string]string{"a": "c", "b": "a", "c": "b"}[at]
-	// source is the last byte of the address from which target is told to transfer the prompt; 0: none.
+	// source is the last byte of the address from which target is to transfer the prompt; 0: none.
 	source := func(tab *Table, target string) byte {
 		r := request("r", session, 0)
 		tab.Acquire(target, r, now)
--- a/process/load/prediction_ratio.go
+++ b/process/load/prediction_ratio.go
@@ -4,12 +4,12 @@
 	// predictionRatioStep is the relative change of the ratio by one observation. Some hundred streams, which a
 	// busy host has in a few seconds, correct an initial value that is wrong by a factor of 3.
 	predictionRatioStep = 0.02
-	// minPredictionRatio and maxPredictionRatio bound the ratio. Beyond them predictions say nothing.
+	// minPredictionRatio and maxPredictionRatio bound the ratio. Beyond them predictions are of no use.
 	minPredictionRatio = 0.1
 	maxPredictionRatio = 2.0
 )
 
-// predictionRatio is the median of the observed over the predicted time to a stream's first byte. It corrects
+// predictionRatio is the median ratio of observed to predicted times to a stream's first byte. It corrects
 // predictions, which are too long for most streams: a prediction is a mean, most of which comes from a few long
 // waits, and each of many hosts adds what it doesn't know about the others' requests. With hundreds of hosts
 // streams begin several times sooner than predicted.
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -14,8 +14,8 @@
 	promptCachedFor = 30 * time.Second
 	// maxSessionUses bounds the sessions that are remembered for an endpoint.
 	maxSessionUses = 1024
-	// transferSaving is the share of the reading of a cached prompt that a KV cache transfer from another
-	// endpoint saves. The transfer takes a fiftieth of the time, but the other endpoint may have dropped the
+	// transferSaving is the share of the time for reading a cached prompt that a KV cache transfer from another
+	// endpoint saves. The transfer takes a fiftieth of that time, but the other endpoint may have dropped the
 	// prompt.
 	transferSaving = 0.8
 	// queuedDecay is the time in which the difference between an endpoint's reported queue and the mean of all
@@ -35,14 +35,14 @@
 // sessionUses is when this host last sent each session's prompt to an endpoint.
 type sessionUses map[uint64]time.Time
 
-// cached says whether the endpoint is likely to have the session's prompt cached.
+// cached reports whether the endpoint is likely to have the session's prompt cached.
 func (u sessionUses) cached(id uint64, now time.Time) bool {
 	at, ok := u[id]
 	return ok && now.Sub(at) < promptCachedFor
 }
 
-// record remembers that the session's prompt is sent now. When full, it first drops old sessions; if none is
-// old enough, the session isn't remembered.
+// record stores that the session's prompt is sent now. When full, it first drops old sessions; if none is old
+// enough, the session isn't stored.
 func (u sessionUses) record(id uint64, now time.Time) {
 	if len(u) >= maxSessionUses {
 		for old, at := range u {
@@ -71,7 +71,7 @@
 	return at
 }
 
-// inUse says whether all hosts are likely to use the endpoint.
+// inUse reports whether all hosts are likely to use the endpoint.
 func (s *endpointState) inUse(now time.Time) bool {
 	return !s.isLeaving(now) && !now.Before(s.ejectedUntil)
 }
@@ -90,8 +90,8 @@
 	return x ^ x>>31
 }
 
-// cachedTokens is how many tokens of a request's prompt the endpoint is expected not to read: the shared ones
-// if it has them cached, or most of them if it can transfer them from another endpoint.
+// cachedTokens is how many tokens of a request's prompt the endpoint probably needs not read: the shared ones if
+// it has them cached, or most of them if it can transfer them from another endpoint.
 func (t *Table) cachedTokens(s *endpointState, r *vetchtrail.Request, session vetchtrail.PromptPart, isHome bool, now time.Time) int {
 	shared := r.PromptTokens() - r.Prompt[len(r.Prompt)-1].Tokens
 	switch {
@@ -139,8 +139,8 @@
 
 // transferSource is the address of the endpoint other than s that most likely has a session's prompt cached:
 // the local one to which this host last sent the session, else the session's home among the local endpoints,
-// else its home among the remote ones. A home that was too busy for the session never read the prompt. It is
-// named all the same: the transfer then gives nothing, and s reads the prompt again.
+// else its home among the remote ones. A home that was too busy for the session never read the prompt. Its
+// address is returned all the same: the transfer then finds nothing, and s reads the prompt again.
 func (t *Table) transferSource(s *endpointState, r *vetchtrail.Request, session uint64, now time.Time) netip.AddrPort {
 	if s.MoveToken == 0 || t.switchedOff.Has(vetchtrail.PromptMoves) {
 		return netip.AddrPort{}
@@ -161,8 +161,8 @@
 	return netip.AddrPort{}
 }
 
-// lastSent is the endpoint other than s to which this host last sent a session; nil: none that is in use and
-// likely to have its prompt cached.
+// lastSent is the endpoint other than s to which this host last sent a session, among those that are in use and
+// likely to have its prompt cached; nil: there is none.
 func lastSent(states []*endpointState, s *endpointState, session uint64, now time.Time) *endpointState {
 	var last *endpointState
 	for _, other := range states {
@@ -184,8 +184,8 @@
 	sentAt      time.Time
 }
 
-// unreadAhead returns the tokens of this host's unread prompts that the endpoint reads before a request of a
-// priority, and those of all of them. It reads prompts of a higher priority first.
+// unreadAhead returns the number of tokens of this host's unread prompts: of those that the endpoint reads before
+// a request of a priority, and of all. The endpoint reads prompts of a higher priority first.
 func (s *endpointState) unreadAhead(priority int8) (tokens, all int) {
 	for _, u := range s.unreadPrompts {
 		all += u.tokens
@@ -196,9 +196,9 @@
 	return tokens, all
 }
 
-// backlog estimates the tokens that the endpoint reads before a request of a priority: those of this host's
-// prompts and those of other hosts' prompts. The priorities of the latter aren't known: the same share of them
-// as of this host's is assumed to be read before the request.
+// backlog estimates the tokens that the endpoint reads before a request of a priority, in this host's and in
+// other hosts' prompts. The priorities of other hosts' prompts aren't known, so the share of them that is read
+// before the request is assumed to be that of this host's prompts.
 func (s *endpointState) backlog(priority int8, svc *serviceStats, now time.Time) float64 {
 	unreadAhead, all := s.unreadAhead(priority)
 	share := 1.0
@@ -208,8 +208,8 @@
 	return float64(unreadAhead) + share*s.othersUnreadTokens(svc, now)
 }
 
-// othersUnreadTokens estimates the tokens of other hosts' requests in the endpoint's queue: by its report, and
-// the older that is, by the mean of all endpoints.
+// othersUnreadTokens estimates the tokens of other hosts' requests in the endpoint's queue. It follows the
+// endpoint's report, and the older that is, the more it follows the mean of all endpoints.
 func (s *endpointState) othersUnreadTokens(svc *serviceStats, now time.Time) float64 {
 	othersQueued := svc.othersQueued
 	if s.hasReport {
@@ -272,8 +272,7 @@
 	t.wake(s.Service)
 }
 
-// Told implements vetchtrail.Observer. A load that an endpoint reports in an answer counts like a fetched
-// report.
+// Told implements vetchtrail.Observer. A load report that an answer contains counts like a fetched one.
 func (t *Table) Told(e vetchtrail.Endpoint, l vetchtrail.LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/prompt_stats.go
+++ b/process/load/prompt_stats.go
@@ -2,8 +2,8 @@
 
 const (
 	// idleQuantile is the share of the observed reading times that is assumed to be below an idle endpoint's.
-	// The times above include waits for other prompts and events; some are below because more of the prompt was
-	// cached than known.
+	// Longer times include waits for other prompts and events. Shorter ones occur because more of the prompt was
+	// cached than this host knew.
 	idleQuantile = 0.1
 	// idleStep is the relative change of the estimate by one observation. Some hundred observations, which a
 	// busy host has in a few seconds, correct an initial value that is wrong by a factor of 3.
@@ -36,8 +36,8 @@
 	}
 }
 
-// observeCached learns how much of a prompt's shared part an endpoint had cached. Of the prompt's tokens,
-// unread were still to be read, and own belong to its last part, which no other request shares.
+// observeCached learns how much of a prompt's shared part an endpoint had cached. The prompt has all tokens, of
+// which unread were still to be read and own belong to its last part, which no other request shares.
 func (p *promptStats) observeCached(unread, own, all int) {
 	if all > own {
 		p.cachedShare.observe(float64(all-unread) / float64(all-own))
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -7,9 +7,9 @@
 	"vetchtrail"
 )
 
-// HearLimit records the rate limit that an endpoint advertised, unless a later one is known, and returns the
-// limit that was known before and the one that is now. ok is false for an endpoint that isn't known and for
-// another process instance.
+// HearLimit records the rate limit that an endpoint advertised, unless a later one is known. It returns the limit
+// that was known before, and the one that is known now. ok is false if the endpoint or the process instance
+// isn't known.
 func (t *Table) HearLimit(name string, born time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,18 +49,17 @@
 		s.rateLimitedSince = news.Heard
 	}
 	if was.Named && !s.rateLimit.Named {
-		// The endpoint was overloaded until now: its share of the load grows with its answers, as after a
-		// return.
+		// The endpoint was overloaded until now. As after an ejection, its warm-up share grows with its answers.
 		s.rateExhaustedUntil, s.warmUp = time.Time{}, math.Min(s.warmUp, initialWarmUp)
 		t.wake(s.Service)
 	}
 	return was, s.rateLimit, true
 }
 
-// carryOver copies what the process instance that starts here advertised before it was listed: its answers may
-// reach a host before the listing has it, and are then recorded with the state of the earlier instance. Nothing
-// that the earlier instance itself said is copied, and nothing at all if the listing is an older copy and goes
-// back to an earlier instance.
+// carryOver copies to a new process instance what its answers advertised before it was listed. Its answers may
+// reach a host before the listing has it, and are then recorded in the state of the earlier instance. Nothing
+// that the earlier instance itself advertised is copied, and nothing at all if the listing is an older copy and
+// goes back to an earlier instance.
 func (s *endpointState) carryOver(old *endpointState, startedAt time.Time) {
 	if startedAt.IsZero() || !old.Born.Before(startedAt) {
 		return
@@ -90,7 +89,7 @@
 	return vetchtrail.RateLimit{}, time.Time{}
 }
 
-// Rationed records what the owner of an endpoint's rate limit last said: rateLeft is the number of requests
+// Rationed records what the owner of an endpoint's rate limit last reported. rateLeft is the number of requests
 // that can be sent at once. If until is set, none can, and the endpoint is out of use until then.
 func (t *Table) Rationed(name string, rateLeft float64, until time.Time) {
 	t.mu.Lock()
@@ -100,8 +99,8 @@
 	}
 }
 
-// concurrency is how many requests of all hosts the endpoint can run at once: its slots, or fewer if its rate
-// limit keeps some of them idle in the mean.
+// concurrency is how many requests of all hosts the endpoint can run at once: the number of its slots, or less if
+// its rate limit leaves some of them idle on average.
 func (s *endpointState) concurrency(svc *serviceStats) int {
 	if !s.rateLimit.Named {
 		return s.Slots
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestRateLimitInSummary guards against a summary that offers other data centres all slots of an endpoint
+// TestRateLimitInSummary guards against a summary that offers remote data centres all slots of an endpoint
 // although its rate limit keeps some of them idle.
 func TestRateLimitInSummary(t *testing.T) {
 	tab := rateLimitedTable(t, now)
--- a/process/load/release.go
+++ b/process/load/release.go
@@ -41,12 +41,12 @@
 		s.backOff(vetchtrail.ReasonUnreachable, now.Add(min(minConnectBackOff<<min(s.connectFailuresInRow, maxConnectBackOffDoublings), maxConnectBackOff)))
 		s.connectFailuresInRow++
 		s.warmUp = initialWarmUp
-	case o.Outcome.Kind == vetchtrail.NotRun: // not sent, for a reason of this host
+	case o.Outcome.Kind == vetchtrail.NotRun: // this host did not send it
 	default:
 		if o.Outcome.Reason == vetchtrail.ReasonDeadline {
 			t.cutLimit(s)
 		}
-		if !s.isLeaving(now) { // a leaving endpoint may end with requests in flight
+		if !s.isLeaving(now) { // a leaving endpoint may stop with requests in flight
 			t.recordFailure(s, now)
 		}
 	}
@@ -84,8 +84,8 @@
 const minErrorStatus = 500
 
 // observeErrorShare learns from an answer whether the endpoint failed: 1 if it is an error answer, else 0. A
-// high share only makes the endpoint more expensive to a decision. It doesn't take the endpoint out of use, as
-// the service's others may fail as often.
+// high share only raises the endpoint's cost in a decision. It doesn't take the endpoint out of use, as the
+// service's others may fail as often.
 func (s *endpointState) observeErrorShare(failed float64, svc *serviceStats, now time.Time) {
 	s.errorShare.observe(failed)
 	svc.errorShare.observe(failed)
@@ -93,8 +93,8 @@
 }
 
 // recordError counts an error answer, and ejects the endpoint when so many in a row would be unlikely at the
-// usual error share of its service's others. An endpoint that fails at once always seems idle, and would
-// attract the requests.
+// usual error share of the service's other endpoints. An endpoint that fails each request at once always seems
+// idle, and would attract the requests.
 func (t *Table) recordError(s *endpointState, now time.Time) {
 	s.errorsInRow++
 	usual := min(max(t.usualErrorShare(s), minUsualErrorShare), maxUsualErrorShare)
@@ -118,7 +118,7 @@
 	return shares[len(shares)/2]
 }
 
-// excessErrorShare is how far the endpoint's error share is over its service's. It decays while the endpoint
+// excessErrorShare is how far the endpoint's error share exceeds its service's. It decays while the endpoint
 // answers nothing.
 func (s *endpointState) excessErrorShare(svc *serviceStats, now time.Time) float64 {
 	if s.errorShare.count < minObservations {
@@ -134,9 +134,10 @@
 	svc.tokenTime.observe(tokenTime / math.Max(s.tokenSlowdown.value, 1))
 }
 
-// adaptLimit raises the limit while first bytes arrive in time, and lowers it while requests queue at the
-// endpoint for much longer than they take. The first byte is compared with the time of whole requests: an
-// answer that is read whole has its first byte at its end, so that half of them take longer than the mean.
+// adaptLimit raises the limit while first bytes arrive in time, and lowers it while requests wait in the
+// endpoint's queue for much longer than they run. The time to the first byte is compared with the time of whole
+// requests: an answer that isn't streamed has its first byte at its end, so that about half of these answers take
+// longer than the mean.
 func (s *endpointState) adaptLimit(first float64) {
 	if first > lateStartFactor*s.serviceTime.value {
 		s.limit = math.Max(1, s.limit*0.95)
@@ -154,14 +155,14 @@
 	}
 }
 
-// backOff takes the endpoint out of use for a time. The reason is certain to be the endpoint's own, so that
-// maxEjectedShare doesn't apply.
+// backOff takes the endpoint out of use for a time. The cause is certainly at the endpoint, so maxEjectedShare
+// doesn't apply.
 func (s *endpointState) backOff(why vetchtrail.Reason, until time.Time) {
 	s.backOffReason, s.backOffUntil = why, until
 }
 
 // recordFailure counts a request that got no whole answer, and ejects the endpoint after failuresToEject in a
-// row. The limit stays: a lost answer says nothing about the endpoint's capacity.
+// row. The limit stays: a lost answer shows nothing about the endpoint's capacity.
 func (t *Table) recordFailure(s *endpointState, now time.Time) {
 	s.failuresInRow++
 	if s.failuresInRow < failuresToEject || t.switchedOff.Has(vetchtrail.Ejection) {
@@ -170,8 +171,8 @@
 	t.eject(s, now)
 }
 
-// eject takes the endpoint out of use for a time that doubles until it answers well. It does nothing when too
-// many endpoints of the service are ejected already, or no other one is in use.
+// eject takes the endpoint out of use for a time that doubles with each ejection until it answers without an
+// error. It does nothing when too many endpoints of the service are ejected already, or no other one is in use.
 func (t *Table) eject(s *endpointState, now time.Time) {
 	ejected := 0
 	for _, other := range t.services[s.Service] {
@@ -188,7 +189,7 @@
 	s.warmUp = initialWarmUp
 }
 
-// isLastInUse says whether no other endpoint of the service is in use here. Without the last one, requests
+// isLastInUse reports whether no other endpoint of the service is in use here. Without the last one, requests
 // could only be refused.
 func (t *Table) isLastInUse(s *endpointState, now time.Time) bool {
 	for _, other := range t.services[s.Service] {
--- a/process/load/remote.go
+++ b/process/load/remote.go
@@ -10,7 +10,7 @@
 )
 
 // remoteEndpoint is an endpoint that this host sends no requests to, but whose cached prompts this host's
-// endpoints can transfer. It holds only what that needs, as most endpoints of a fleet are remote to each host.
+// endpoints can transfer. It holds only what a transfer needs, as most endpoints are remote to each host.
 type remoteEndpoint struct {
 	nameHash uint64
 	addr     netip.AddrPort
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -8,8 +8,8 @@
 	"vetchtrail"
 )
 
-// Report records a load report that this host fetched, if it is newer than the known one, and says whether it
-// was. A report that says that the endpoint is leaving keeps it out of use until leavingUntil.
+// Report records a load report that this host fetched, if it is newer than the known one, and reports whether it
+// was. If the endpoint is leaving by the report, it is out of use until leavingUntil.
 func (t *Table) Report(name string, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -17,7 +17,8 @@
 	return ok && t.acceptReport(s, r, true, leavingUntil)
 }
 
-// ReportShort records a load report that another host fetched. It names the endpoint by Short.
+// ReportShort records a load report that another host fetched. The endpoint is given by the hash of its name
+// (Short).
 func (t *Table) ReportShort(short uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -25,11 +26,11 @@
 	return ok && t.acceptReport(s, r, false, leavingUntil)
 }
 
-// Short is the hash of an endpoint's name that hosts use for it in messages to each other. Two endpoints of a
-// data centre are unlikely to have the same, and would only mix their load reports.
+// Short is the hash of an endpoint's name, which replaces the name in messages between hosts. Two endpoints of a
+// data centre are unlikely to have the same hash; if they do, their load reports are mixed up.
 func Short(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// acceptReport records a report if it is newer than the known one, and says whether it was. The caller holds
+// acceptReport records a report if it is newer than the known one, and reports whether it was. The caller holds
 // the lock.
 func (t *Table) acceptReport(s *endpointState, r vetchtrail.LoadReport, fetchedHere bool, leavingUntil time.Time) bool {
 	if s.hasReport && !r.At.After(s.report.At) {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// recordReportedLeaving records whether the endpoint's newest report says that it is leaving.
+// recordReportedLeaving records whether the endpoint is leaving by its newest report.
 func (s *endpointState) recordReportedLeaving(leaving bool, until time.Time) {
 	s.availability.reportUntil, s.reportsLeaving = time.Time{}, leaving
 	if leaving {
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -31,19 +31,19 @@
 	t.reportLog = append(t.reportLog, entry)
 }
 
-// Heard is an endpoint's newest report, as this host passes it to other hosts.
+// Heard is an endpoint's newest report, as this host sends it to other hosts.
 type Heard struct {
 	Endpoint string
 	Short    uint32 // hash of its name, see Short
 	Report   vetchtrail.LoadReport
 	Fetched  bool // this host fetched it itself
-	Said     bool // an answer of the endpoint once said that it is leaving or paused
+	Said     bool // an answer of the endpoint once announced that it is leaving or paused
 }
 
 // HeardAfter returns the reports that this host accepted after the one with the given number and that are newer
-// than a time, the last accepted first, and the number of the last accepted report. Of an endpoint's reports
-// only the newest is returned. After number 0 the reports of leaving endpoints are returned however old they
-// are.
+// than a time, and the number of the last accepted report. Of an endpoint's reports only the newest is returned.
+// The last accepted is first. If the given number is 0, the reports by which an endpoint is leaving are returned
+// however old they are, after the others.
 func (t *Table) HeardAfter(number uint64, after time.Time) ([]Heard, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,8 +53,8 @@
 		if entry.number <= number || entry.newestUnixNano <= oldest {
 			break
 		}
-		// A state that is no longer the table's belongs to an earlier process instance, whose report says
-		// nothing about the present one.
+		// A state that is no longer in the table belongs to an earlier process instance, whose report is not
+		// valid for the present one.
 		if s := entry.endpoint; s.reportNumber == entry.number && t.endpoints[s.Name] == s && (s.reportsLeaving || s.report.At.After(after)) {
 			out = append(out, s.newestReport())
 		}
--- a/process/load/stream_stats.go
+++ b/process/load/stream_stats.go
@@ -7,15 +7,15 @@
 	"vetchtrail"
 )
 
-// streamStatsExpiry is how long after its last request a route's streams no longer count as requested: longer
-// than a caller's pause between two requests, shorter than a peak.
+// streamStatsExpiry is how long after a request for a stream its route counts as requested: longer than a
+// caller's pause between two requests, shorter than a peak.
 const streamStatsExpiry = 5 * time.Second
 
 // streamStats is what is known of the streams of one route.
 type streamStats struct {
 	events              average // of a whole answer
 	priority            int8
-	firstAttemptSeconds float64   // until the deadline, at a first attempt
+	firstAttemptSeconds float64   // time left until the deadline at the last first attempt
 	lastRequested       time.Time // when a stream of the route was last requested
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// observeEvents learns how many events a route's streams have. 0 events say nothing.
+// observeEvents learns how many events a route's streams have. An answer without events is not counted.
 func (svc *serviceStats) observeEvents(route string, n int) {
 	if n == 0 {
 		return
@@ -63,8 +63,8 @@
 }
 
 // urgentEventInterval is the interval between two events, in seconds, at which the streams of more urgent
-// routes than the request's would use up all of their time. Of several routes the shortest interval counts; 0:
-// no such stream is requested.
+// routes than the request's would use up all of their time. Of several routes the shortest interval is returned;
+// 0: no such stream is requested.
 func (svc *serviceStats) urgentEventInterval(r *vetchtrail.Request, now time.Time) float64 {
 	least := math.Inf(1)
 	for _, st := range svc.streamsByRoute {
--- a/process/load/stream_stats_test.go
+++ b/process/load/stream_stats_test.go
@@ -20,7 +20,7 @@
 	cases := map[string]struct {
 		before []*vetchtrail.Request
 		events map[string]int      // of the answers, by route
-		placed *vetchtrail.Request // for which the interval is asked
+		placed *vetchtrail.Request // for which the interval is estimated
 		after  time.Duration       // the last of before
 		want   float64
 	}{
--- a/process/load/summary.go
+++ b/process/load/summary.go
@@ -14,8 +14,8 @@
 	Report       vetchtrail.LoadReport
 	LimitedSince time.Time // since when it advertises a rate limit; zero: it does not
 	LeavingBy    LeavingBy
-	LeavingSince time.Time // when its answers first said that it is leaving; zero: they did not
-	PausedUntil  time.Time // until when it wants no requests from this host; zero: it isn't paused
+	LeavingSince time.Time // when its answers first announced that it is leaving; zero: they did not
+	PausedUntil  time.Time // until when it accepts no requests from this host; zero: it isn't paused
 }
 
 // Rows returns the state of all endpoints, in no particular order.
@@ -39,7 +39,7 @@
 	return out
 }
 
-// Summary is the load of a service here, as other data centres see it.
+// Summary is the load of a service in this data centre, as it is announced to remote ones.
 type Summary struct {
 	Service string
 	Free    int           // unused part of Slots
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -28,14 +28,15 @@
 	// maxTotalAttempts bounds all attempts of one request, including those at
 	// targets that could not be reached.
 	maxTotalAttempts = 4
-	// maxPlacementRounds bounds how often a request is placed again because its
-	// target lost the capacity between the decision and its use.
+	// maxPlacementRounds bounds how often the policy decides on one attempt before the
+	// request joins the queue. It decides again when its target lost the capacity
+	// between the decision and its use.
 	maxPlacementRounds = 3
-	// minRetryAfter is the shortest time after which a caller is told to retry.
+	// minRetryAfter is the shortest delay before a retry that a caller receives.
 	minRetryAfter = 200 * time.Millisecond
 )
 
-// HTTP statuses of responses that the system itself gives.
+// HTTP statuses of responses that this host creates itself.
 const (
 	statusBadRequest   = 400
 	statusUnauthorized = 401
@@ -114,8 +115,8 @@
 	countRequest(r, o, 0)
 }
 
-// run checks a request and hands it to the function for its type: one that
-// resumes a stream, one with an idempotency key, or any other.
+// run checks a request and passes it to the function for its type: a request that
+// resumes a stream, a request with an idempotency key, or any other.
 func (d *Dispatcher) run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	if r.Hops > 0 && r.Route != "" && d.cfg.Membership.Self().State == vetchtrail.HostLeaving {
 		// The answer's stream could outlast this host. The sender may not know
@@ -164,9 +165,9 @@
 	return vetchtrail.Outcome{}, true
 }
 
-// evaluateRules returns the home, priority and allowed regions that a
-// configuration gives a request, by its route or else by its service. The reason
-// is set if the request may not run at all.
+// evaluateRules returns the home, priority and allowed regions that the
+// configuration defines for a request, by its route or, without one, by its
+// service. The reason is set if the request may not run at all.
 func evaluateRules(newest *rules.Rules, r *vetchtrail.Request) (rules.Judgement, vetchtrail.Reason) {
 	if r.Route != "" {
 		return newest.JudgeRoute(r.Route, r.Service, r.Workspace, r.Entry)
@@ -181,7 +182,7 @@
 // Guard is the last check before the first byte of a request is sent to an
 // endpoint. It returns the reason not to send it; empty: it may be sent.
 // Configuration, quarantine, availability and rate limit may all have changed since
-// the request was placed.
+// the target was chosen.
 func (d *Dispatcher) Guard(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason {
 	now := time.Now()
 	if !now.Before(r.Deadline) {
@@ -207,7 +208,7 @@
 	return ""
 }
 
-// attemptHistory sums up the earlier attempts of a request.
+// attemptHistory summarizes the earlier attempts of a request.
 type attemptHistory struct {
 	excluded      []string // endpoints and data centres that are not tried again
 	refusedHere   bool     // an endpoint of this data centre refused because of its load
@@ -217,9 +218,9 @@
 	last          vetchtrail.Outcome
 }
 
-// overallOutcome returns the outcome of the request when o is that of its last
-// attempt. If an earlier attempt may have run, a later one that did not run
-// doesn't change that: the outcome stays unknown.
+// overallOutcome returns the outcome of the request, where o is the outcome of its
+// last attempt. If an earlier attempt may have run and the last one did not, the
+// outcome of the request stays unknown.
 func (h *attemptHistory) overallOutcome(o vetchtrail.Outcome) vetchtrail.Outcome {
 	// Unknown is the zero kind; without a step there was no earlier attempt.
 	if o.Kind != vetchtrail.NotRun || h.last.Kind != vetchtrail.Unknown || h.last.Step == "" {
@@ -254,8 +255,8 @@
 		use.attemptEnded(o)
 		// Once an endpoint may have received the request, it is no longer fresh:
 		// part of its time is spent, and a stream that has begun continues even if
-		// it is late. A request that another data centre had no capacity for stays
-		// fresh, so its caller can still be told to retry later.
+		// it is late. A request that a remote data centre had no capacity for stays
+		// fresh, so that it can still be refused with a retry time.
 		r.Fresh = r.Fresh && o.Kind == vetchtrail.NotRun && !reached(o)
 		o.Begun = o.Begun || r.Begun
 		if o.Kind == vetchtrail.Answered {
@@ -274,10 +275,9 @@
 }
 
 // withRetryTime corrects the retry time of a request that did not run because its
-// endpoint, of this data centre, is paused. The pause says when that endpoint
-// accepts requests from this host again. The caller needs to know when any
-// endpoint has capacity for the request, so the policy decides once more, without
-// the request's history.
+// endpoint, of this data centre, is paused. The pause only covers that endpoint, but
+// the caller needs to know when any endpoint has capacity for the request. So the
+// policy decides once more, without the request's history.
 func (d *Dispatcher) withRetryTime(r *vetchtrail.Request, p placement, o vetchtrail.Outcome) vetchtrail.Outcome {
 	now := time.Now()
 	if reason, _ := d.cfg.Table.Bars(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.NotRun || reason != vetchtrail.ReasonPaused {
@@ -365,7 +365,7 @@
 }
 
 // placement is the target of one attempt: an endpoint of this data centre, where
-// capacity is taken for it, or a host of another data centre.
+// capacity is reserved for it, or a host of a remote data centre.
 type placement struct {
 	endpoint      vetchtrail.Endpoint // unset if dataCentre is set
 	host          vetchtrail.Host     // set if dataCentre is set
@@ -381,8 +381,8 @@
 	return p.endpoint.Name
 }
 
-// runAttempt sends a request to its target and reports the outcome to those that
-// track targets: the membership, the load table and the quarantine.
+// runAttempt sends a request to its target. It reports the outcome to the
+// membership, or to the load table and the quarantine if the target is an endpoint.
 func (d *Dispatcher) runAttempt(ctx context.Context, r *vetchtrail.Request, p placement, attempt int, a vetchtrail.Answer) vetchtrail.Outcome {
 	if p.dataCentre != "" {
 		o := d.cfg.Peers.Forward(ctx, p.host, r, a)
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -48,8 +48,8 @@
 }
 
 // runForwarded runs a keyed request that another host forwarded. If the key names
-// this host, the sender took this process for the issuer. The issuer was another
-// process of this host, which is gone, so the request is not run.
+// this host, an earlier process of this host issued the key. That process is gone,
+// and the sender took this one for it, so the request is not run.
 func (d *Dispatcher) runForwarded(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	if key.Host == d.cfg.Self.Name {
 		return d.issuerGone(r)
@@ -68,8 +68,8 @@
 		return d.awaitFirst(ctx, rec, r, a)
 	}
 	tee := &once.Tee{To: a}
-	// The request continues when its caller leaves: a retry with the same key
-	// will want the answer.
+	// The request continues when its caller disconnects: a retry with the same key
+	// needs the answer.
 	o := d.runWithRetries(context.WithoutCancel(ctx), r, tee)
 	d.cfg.Keeper.Finish(key, rec, tee, o)
 	return o
@@ -112,7 +112,7 @@
 }
 
 // forwardToIssuer forwards a keyed request to the process that issued its key. If
-// that process can't be asked, the outcome is unknown: an earlier request with
+// that process can't be reached, the outcome is unknown: an earlier request with
 // the key may have run.
 func (d *Dispatcher) forwardToIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	h, ok := d.cfg.Membership.Find(key.Host, time.Now())
@@ -141,8 +141,8 @@
 		errors.New("the process that issued the key is gone: the request may have run, and will not start after "+r.Deadline.UTC().Format(time.RFC3339)))
 }
 
-// unknownOutcome returns the outcome of a keyed request of which this host can't
-// tell whether it ran.
+// unknownOutcome returns the outcome of a keyed request of which this host doesn't
+// know whether it ran.
 func (d *Dispatcher) unknownOutcome(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
 		Kind: vetchtrail.Unknown, Status: statusBadGateway, Step: vetchtrail.StepOnce,
--- a/request/dispatch/per_service.go
+++ b/request/dispatch/per_service.go
@@ -5,8 +5,8 @@
 	"vetchtrail/request/queue"
 )
 
-// SetBudget replaces the retry budget of all services. Retries that were made
-// count towards the new one.
+// SetBudget replaces the settings of all services' retry budgets. What a budget has
+// counted is kept, unless the window has another length.
 func (d *Dispatcher) SetBudget(c budget.Config) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -16,7 +16,7 @@
 	for range maxPlacementRounds {
 		dec := d.decide(r, history)
 		if dec.Kind == vetchtrail.RunHere && waitQueue.Len() > 0 {
-			// The request must not overtake those that already wait.
+			// The request must not overtake those that wait in the queue.
 			dec.Kind, dec.Reason = vetchtrail.WaitHere, vetchtrail.ReasonFull
 		}
 		d.recordDecision(r, dec, attempt)
@@ -80,9 +80,9 @@
 	return assumedAnswerShare * float64(r.MostTokens) / float64(tokensPerEvent)
 }
 
-// acquire takes capacity at the endpoint that was decided on, or picks a host of
-// the data centre that was decided on. It returns false if it can't: other requests
-// may have taken the capacity since the decision, or the hosts are out of reach.
+// acquire takes capacity at the endpoint that the policy chose, or picks a host of
+// the data centre that it chose. It returns false if that fails: other requests may
+// have taken the capacity since the decision, or the hosts are out of reach.
 func (d *Dispatcher) acquire(ctx context.Context, r *vetchtrail.Request, dec vetchtrail.Decision) (placement, bool) {
 	if dec.Kind == vetchtrail.RunElsewhere {
 		h, ok := d.cfg.Membership.Pick(dec.Name, r.Service, time.Now())
@@ -102,9 +102,9 @@
 	return placement{endpoint: e, predictedTTFT: dec.Wait}, true
 }
 
-// waitForCapacity waits in the service's queue until a target has capacity, the
-// request may wait no longer, or its caller leaves. A request that can't join the
-// queue or has waited in vain gets a last chance in another data centre.
+// waitForCapacity waits in the service's queue until a candidate has capacity, the
+// request may wait no longer, or its caller disconnects. A request that can't join the
+// queue, or has waited in vain, gets a last chance in a remote data centre.
 func (d *Dispatcher) waitForCapacity(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
 	if d.cfg.Off.Has(vetchtrail.Waiting) {
 		return d.lastChance(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
@@ -139,8 +139,8 @@
 	}
 }
 
-// decideAtHead decides again for the request at the head of the queue, when
-// capacity may have become free. It returns done if the request has left the
+// decideAtHead has the policy decide again for the request at the head of the queue,
+// when capacity may have become free. It returns done if the request has left the
 // queue, with a placement or with a refusal; otherwise the request keeps waiting.
 func (d *Dispatcher) decideAtHead(ctx context.Context, r *vetchtrail.Request, waitQueue *queue.Line, w *queue.Waiter, history attemptHistory, attempt int) (p placement, o vetchtrail.Outcome, done bool) {
 	if o, ok := d.applyRules(r); !ok { // the configuration may have changed
@@ -165,7 +165,7 @@
 	return p, vetchtrail.Outcome{}, true
 }
 
-// lastChance forwards a request that may not wait, or no longer, to another data
+// lastChance forwards a request that may not wait, or no longer, to a remote data
 // centre that can still serve it. If there is none, the request is refused with
 // the given reason.
 func (d *Dispatcher) lastChance(ctx context.Context, r *vetchtrail.Request, history attemptHistory, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
--- a/request/dispatch/quarantine.go
+++ b/request/dispatch/quarantine.go
@@ -29,9 +29,9 @@
 	return o
 }
 
-// reportAttempt tells the quarantine how an attempt at an endpoint ended, and
-// records the attempt if its answer was lost. An attempt whose caller has gone
-// says nothing about the endpoint.
+// reportAttempt reports to the quarantine how an attempt at an endpoint ended, and
+// records the attempt if its answer was lost. An attempt whose caller disconnected
+// shows nothing about the endpoint.
 func (d *Dispatcher) reportAttempt(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, timing vetchtrail.Timing, attempt int) {
 	lost := o.Kind == vetchtrail.Unknown && ctx.Err() == nil
 	if lost {
--- a/request/dispatch/quota.go
+++ b/request/dispatch/quota.go
@@ -10,8 +10,8 @@
 // quotaUse takes the cost of a request's attempts from the quota of its workspace.
 // The cost is taken before each attempt, by the host that received the request from
 // its caller or, if it has an idempotency key, by the issuer of the key. Each attempt
-// that may have run counts. The cost of one that did not run is used for the next
-// attempt, or returned.
+// that may have run uses up its cost. The cost of an attempt that did not run is used
+// for the next attempt, or returned.
 type quotaUse struct {
 	d     *Dispatcher
 	req   *vetchtrail.Request
@@ -35,7 +35,7 @@
 
 // issuedKey reports whether this process issued the idempotency key of a request.
 // Such a request is forwarded here before any cost is taken for it, so this host
-// takes it.
+// takes the cost.
 func (d *Dispatcher) issuedKey(r *vetchtrail.Request) bool {
 	key, err := once.Parse(r.Key)
 	return r.Key != "" && err == nil && d.cfg.Keeper.Mine(key)
--- a/request/dispatch/reservation.go
+++ b/request/dispatch/reservation.go
@@ -11,7 +11,7 @@
 // and stores it in the request. It returns false with the time to retry if the
 // limit is used up. Every path to an endpoint calls it: first attempts and
 // retries, forwarded and queued requests, and resumed streams. All hosts share the
-// limit, so a count that one host keeps by itself can't enforce it.
+// limit, so a count of this host's requests alone can't enforce it.
 func (d *Dispatcher) reserve(ctx context.Context, r *vetchtrail.Request, e vetchtrail.Endpoint) (retryAt time.Time, ok bool) {
 	r.Permit = vetchtrail.Permit{}
 	if d.cfg.Permits == nil {
--- a/request/dispatch/reservation_test.go
+++ b/request/dispatch/reservation_test.go
@@ -20,7 +20,7 @@
 	exhausted []string          // endpoints whose rate limit is used up
 	taken     int               // reservations granted
 	returned  int               // reservations returned
-	checked   vetchtrail.Permit // the last one that Covers was asked about
+	checked   vetchtrail.Permit // the last one that Covers checked
 	refuseAll bool              // Covers refuses every request
 }
 
--- a/request/dispatch/resume.go
+++ b/request/dispatch/resume.go
@@ -13,10 +13,10 @@
 // offset. The stream's name follows it.
 const streamPath = "/v1/streams/"
 
-// resumeStream continues a stream that its caller lost, from the event after the
-// caller's last one. Only the endpoint that has the stream can do so; it is
-// called directly in this data centre, and through a host of its own otherwise.
-// Nothing is run again.
+// resumeStream continues a stream whose connection the caller lost, after the last
+// event that the caller received. Only the endpoint that has the stream can do so. In
+// this data centre it is called directly, in a remote one through a host there. The
+// request is not run again.
 func (d *Dispatcher) resumeStream(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
 	e, ok := d.cfg.Rules().Endpoint(r.Resume.Endpoint)
 	if !ok || e.Service != r.Service {
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -218,7 +218,7 @@
 }
 
 // Tee forwards an answer to the caller and keeps a copy of it. If the caller is gone, it
-// goes on copying without an error, because the caller may repeat the request to get the
+// still copies it, without an error, because the caller may repeat the request to get the
 // answer.
 type Tee struct {
 	To         vetchtrail.Answer // where the answer is forwarded
--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -8,27 +8,28 @@
 
 const (
 	// maxStreamShare is the largest share of the time left until its deadline that a
-	// stream may be expected to take. A stream with twice the expected number of events
-	// then still ends in time.
+	// stream may be expected to take. Even a stream with twice the expected number of
+	// events then ends in time.
 	maxStreamShare = 0.4
 	// maxStreamShareOnRetry replaces maxStreamShare for a stream whose caller has retried
 	// or has little time left. If such a stream is refused again, the request is lost.
 	maxStreamShareOnRetry = 0.7
-	// lessUrgentShare makes an endpoint refuse less urgent streams before it refuses more
-	// urgent ones: at this share of the event interval at which the more urgent ones are
-	// refused. The endpoint has to process the prompts of less urgent streams, which
-	// slows the more urgent ones. Without the margin both would be refused equally often.
+	// lessUrgentShare makes an endpoint refuse less urgent streams earlier: at this share
+	// of the event interval from which more urgent ones are refused. Processing the prompts
+	// of less urgent streams slows the more urgent ones. Without the margin both would be
+	// refused equally often.
 	lessUrgentShare = 0.5
-	// maxGoalRatio is how many times the time left until its latency objective a first
-	// attempt may be expected to wait for its first event. The expected wait is a median,
-	// so more than half of the answers that are expected later do miss the objective.
+	// maxGoalRatio bounds the expected wait of a first attempt for its first event, as a
+	// multiple of the time left until its latency objective. The expected wait is a median:
+	// of the answers that are expected after the objective, more than half do miss it.
 	maxGoalRatio = 1.1
 )
 
 // streamTooSlow reports whether a stream would probably take too much of the time that
 // its request has left. The stream is expected to send its first event after firstEvent
-// seconds and the others at the given interval in seconds. Admitting it would also slow
-// the streams that already run there.
+// seconds and the others at the given interval in seconds. Admitting a stream slows those
+// that already run there, so it is also too slow if the interval leaves too little margin
+// for more urgent streams (lessUrgentShare).
 func streamTooSlow(ev *evaluation, interval, firstEvent float64, r *vetchtrail.Request, v *vetchtrail.View) bool {
 	if r.Route == "" || v.Events == 0 || ev.off.Has(vetchtrail.Pace) {
 		return false
@@ -44,8 +45,8 @@
 }
 
 // missesGoal reports whether the first attempt of a stream would probably miss its
-// latency objective and should be refused. The streams queued behind it then begin in
-// time, and its caller can retry when the peak may be over.
+// latency objective and should be refused. The streams that are queued behind it can then
+// begin in time, and its caller can retry later, when the peak may be over.
 func missesGoal(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
 	return !ev.off.Has(vetchtrail.Shedding) && r.Fresh && r.Stream && !r.Goal.IsZero() && float64(wait) > maxGoalRatio*float64(r.Goal.Sub(ev.now))
 }
--- a/request/policy/baseline.go
+++ b/request/policy/baseline.go
@@ -17,7 +17,7 @@
 )
 
 // ByName returns the policy with the given name, or the weighted one for an empty name.
-// The weighted policy runs without the mechanisms in off. The others are baselines for
+// The weighted policy doesn't use the mechanisms in off. The others are baselines for
 // comparison and ignore off. ok is false if no policy has the name.
 func ByName(name string, off vetchtrail.Mechanisms) (p vetchtrail.Policy, ok bool) {
 	switch name {
@@ -42,7 +42,7 @@
 type picker func(v *vetchtrail.View, usable []int, rnd *rand.Rand) int
 
 // baseline is a policy that leaves the choice among the usable endpoints of this data
-// centre to its picker. It forwards a request to another data centre only when no
+// centre to its picker. It forwards a request to a remote data centre only when no
 // endpoint here is usable.
 type baseline struct{ pick picker }
 
--- a/request/policy/cost.go
+++ b/request/policy/cost.go
@@ -8,9 +8,9 @@
 	// serviceTimeWeight is the weight of the time for the whole answer, relative to the
 	// time to its first token.
 	serviceTimeWeight = 0.1
-	// refusedPenaltySeconds is added to the cost of every endpoint here after one of them
-	// refused the request for its load. Where load is balanced, the next endpoint is as
-	// full, and a second refusal is final.
+	// refusedPenaltySeconds is added to the cost of every endpoint of this data centre after
+	// one of them refused the request because of its load. Where load is balanced, the next
+	// endpoint is as full, and a second refusal is final.
 	refusedPenaltySeconds = 4.0
 	// failureCostSeconds is the cost of a failed attempt: about the time of another
 	// attempt, including the pause that the caller makes before it.
@@ -38,15 +38,15 @@
 }
 
 // idlePrefillTime predicts the seconds that an idle endpoint takes to process prompt
-// tokens. Processing tokens again has this price at every endpoint, however long a busy
-// one takes.
+// tokens. It measures the work of processing them, which is the same at a busy endpoint
+// although that takes longer.
 func idlePrefillTime(tokens int, e *vetchtrail.EndpointView, v *vetchtrail.View) float64 {
 	return float64(tokens) * min(e.Prefill, v.IdleRead)
 }
 
-// remoteUncachedTokens estimates how many tokens of a request's prompt another data
+// remoteUncachedTokens estimates how many tokens of a request's prompt a remote data
 // centre would have to process. It assumes that its endpoints have cached the same share
-// of the tokens that prompts have in common as the endpoints here.
+// of the tokens that prompts share as the local endpoints.
 func remoteUncachedTokens(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) int {
 	total := r.PromptTokens()
 	if len(r.Prompt) == 0 || ev.off.Has(vetchtrail.KeptElsewhere) {
--- a/request/policy/estimate.go
+++ b/request/policy/estimate.go
@@ -10,16 +10,16 @@
 	// batchSlowdown is the share of a request's service time by which a full batch
 	// delays the request's first token.
 	batchSlowdown = 0.1
-	// fullQueueFactor is how many times longer than one request the queue of a full
-	// endpoint lasts. A load report of a full endpoint holds that much longer.
+	// fullQueueFactor is how many times longer a load report of a full endpoint stays
+	// accurate: its queue lasts that many times longer than one request.
 	fullQueueFactor = 5.0
 	// maxReportAge is the age above which an endpoint's load report or a data centre's
 	// digest is ignored.
 	maxReportAge = 10 * time.Second
 )
 
-// meanOtherRequests returns the mean number of requests that other hosts have at an
-// endpoint, according to the fresh load reports of usable endpoints.
+// meanOtherRequests returns the mean number of requests that other hosts have in flight at
+// an endpoint, according to the fresh load reports of usable endpoints.
 func meanOtherRequests(r *vetchtrail.Request, v *vetchtrail.View) float64 {
 	sum, count := 0, 0
 	for i := range v.Endpoints {
@@ -45,8 +45,8 @@
 
 // estimateRequests estimates how many requests an endpoint has now: those of this host,
 // which are known exactly, and those of other hosts. Most requests in an old report have
-// ended since. The older the report is compared with a request's service time, the more
-// the estimate follows the mean over all endpoints, meanOthers, instead of the report.
+// ended since. The older the report is, relative to a request's service time, the less the
+// estimate follows it and the more it follows meanOthers, the mean over all endpoints.
 // Otherwise all hosts with the same old reports would choose the same endpoint.
 func estimateRequests(e *vetchtrail.EndpointView, meanOthers float64) float64 {
 	if !hasFreshReport(e) {
--- a/request/policy/policy_test.go
+++ b/request/policy/policy_test.go
@@ -292,9 +292,9 @@
 	}
 }
 
-// TestDecisionsRespectConstraints checks with random views that no policy chooses a place
+// TestDecisionsRespectConstraints checks with random views that no policy chooses a candidate
 // that residency, the hop limit, the limit of requests, the deadline, an earlier attempt
-// or the state of the place forbids.
+// or the state of the candidate forbids.
 func TestDecisionsRespectConstraints(t *testing.T) {
 	for _, name := range []string{NameWeighted, NameRoundRobin, NameLeastInFlight, NameTwoChoices} {
 		t.Run(name, func(t *testing.T) {
--- a/request/policy/ratelimited_test.go
+++ b/request/policy/ratelimited_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestRetryAtWhenRateLimited checks that a request that is refused only because all
-// endpoints are rate-limited is told to retry when the first of them has requests left.
+// endpoints are rate-limited gets the time at which the first of them has requests left.
 // Any other time would make the caller retry too early or too late.
 func TestRetryAtWhenRateLimited(t *testing.T) {
 	v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, Line: 0.02, Endpoints: []vetchtrail.EndpointView{
--- a/request/policy/refusal.go
+++ b/request/policy/refusal.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// retryDelayShare is the share of the time left until the deadline after which the
-	// caller of a refused request should retry. Callers follow a delay of up to a third
-	// of that time.
+	// retryDelayShare is the delay after which the caller of a refused request should retry,
+	// as a share of the time left until the deadline. Callers only follow a delay of up to a
+	// third of that time.
 	retryDelayShare = 0.25
 	// minRetryDelay and maxRetryDelay bound the delay before a retry that a refusal
 	// advertises.
--- a/request/policy/remote.go
+++ b/request/policy/remote.go
@@ -12,14 +12,14 @@
 	// announces. Other hosts have read the same digest and may have forwarded requests
 	// since.
 	digestAgePenalty = 0.05
-	// remoteMargin is the share of the local cost that the cost of another data centre
-	// must stay below. Without it, small errors in old digests would cause requests to be
-	// forwarded.
+	// remoteMargin is the share of the local cost that the remote cost must be below for a
+	// request to be forwarded. Without the margin, small errors in old digests would cause
+	// requests to be forwarded.
 	remoteMargin = 0.97
 )
 
-// bestRemote returns the index of the data centre with the lowest cost, or -1 if none
-// can be used.
+// bestRemote returns the index of the remote data centre with the lowest cost, and that
+// cost. The index is -1 if none can be used.
 func bestRemote(d *vetchtrail.Decision, ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) (index int, cost float64) {
 	index, cost = -1, math.Inf(1)
 	if ev.off.Has(vetchtrail.Forwarding) {
@@ -45,7 +45,7 @@
 }
 
 // idleCost estimates the cost of a request at an idle endpoint, from the observations of
-// an endpoint here. In another data centre a request is taken to cost at least as much.
+// a local endpoint. A request is assumed to cost at least as much in a remote data centre.
 func idleCost(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) float64 {
 	if len(v.Endpoints) == 0 || r.Route == "" {
 		return 0
@@ -55,8 +55,8 @@
 	return v.Weights.Tail*(e.Base+prefill+e.Service*serviceTimeWeight) + v.Weights.Cost*(prefill+e.Service) + v.Weights.Read*prefill
 }
 
-// crossRegionCost returns the cost of leaving the region. Another data centre of the
-// same region costs nothing extra.
+// crossRegionCost returns the cost of forwarding a request out of this host's region. A
+// remote data centre of the same region costs nothing extra.
 func crossRegionCost(m *vetchtrail.RemoteView, v *vetchtrail.View) float64 {
 	if m.Region == v.Region {
 		return 0
@@ -64,8 +64,8 @@
 	return v.Weights.Away
 }
 
-// unusableRemoteReason returns why a request can't be forwarded to a data centre. It is
-// empty if the data centre can be used.
+// unusableRemoteReason returns why a request can't be forwarded to a remote data centre.
+// It is empty if the data centre can be used.
 func unusableRemoteReason(m *vetchtrail.RemoteView, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
 	switch {
 	case r.Hops >= vetchtrail.MaxHops:
@@ -85,8 +85,8 @@
 }
 
 // worthForwarding reports whether a request should be forwarded rather than wait here.
-// It compares the cost of first waiting and then running here with the cost elsewhere.
-// If an endpoint here is available, Decide has already found it more expensive.
+// It compares the cost of first waiting and then running here with the remote cost. If a
+// local endpoint is available, Decide has already found it more expensive than the remote.
 func worthForwarding(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View, remoteCost float64) bool {
 	return ev.available > 0 || (v.Weights.Tail*ev.wait+idleCost(ev, r, v))*remoteMargin > remoteCost
 }
--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -1,5 +1,5 @@
-// Package policy decides where a request runs: at an endpoint of this data centre or in
-// another data centre, or whether it waits or is refused. A policy is a pure function of
+// Package policy decides whether a request runs at an endpoint of this data centre, is
+// forwarded to a remote data centre, waits or is refused. A policy is a pure function of
 // its arguments: it does no I/O and reads no clock. It doesn't carry out its decisions;
 // package dispatch does.
 package policy
@@ -14,24 +14,24 @@
 )
 
 const (
-	// costSpreadShare is the share of a request's service time by which the costs of two
-	// endpoints may differ and still count as equal.
+	// costSpreadShare is the difference up to which the costs of two endpoints count as
+	// equal (the cost spread), as a share of a request's service time.
 	costSpreadShare = 0.002
-	// maxSpreads limits the draw: only endpoints that cost less than this many cost
-	// spreads above the lowest cost can be drawn.
+	// maxSpreads limits the draw of an endpoint: only endpoints whose cost is less than this
+	// many cost spreads above the lowest can be drawn.
 	maxSpreads = 3.0
 )
 
-// Weighted is the default policy. It chooses the place with the lowest cost, which is a
-// weighted sum of the predicted time to the first token, the cost of leaving the region,
-// the endpoint's processing time and the prompt tokens to process. The weights are those
-// of the service.
+// Weighted is the default policy. It chooses the candidate with the lowest cost, or one of
+// the local endpoints with about the lowest. The cost is a weighted sum of the predicted
+// time to the first token, the cost of leaving the region, the endpoint's processing time
+// and the prompt tokens to process. The weights are those of the service.
 type Weighted struct {
 	Off vetchtrail.Mechanisms // mechanisms that are switched off
 }
 
 // evaluation holds the inputs of one decision and what the pass over the endpoints of
-// this data centre found.
+// this data centre (evaluate) found.
 type evaluation struct {
 	costs           [maxCachedCosts]float64 // of the first endpoints; math.MaxFloat64 for those that can't be drawn
 	bestCost        float64                 // lowest cost of an available endpoint
@@ -40,19 +40,19 @@
 	waitable        int                     // endpoints that can't take it now, but are worth waiting for
 	rateLimited     int                     // waitable endpoints that have no requests left under their rate limit
 	pausedOrLimited int                     // waitable endpoints that are paused or rate-limited
-	slow            int                     // endpoints whose streams are too slow to end the answer in time
+	slow            int                     // endpoints at which the stream would be too slow (streamTooSlow)
 	wait            float64                 // seconds until the first waitable endpoint is free, at least the wait in the queue
 	otherRequests   float64                 // mean number of requests of other hosts at an endpoint
 	now             time.Time
 	off             vetchtrail.Mechanisms // mechanisms that are switched off
 }
 
-// maxCachedCosts is how many costs are kept from the first pass over the endpoints for the
-// second. The costs of further endpoints are calculated again.
+// maxCachedCosts is how many costs evaluate stores for drawEndpoint. The costs of further
+// endpoints are calculated twice.
 const maxCachedCosts = 320
 
-// Decide implements vetchtrail.Policy. It runs the request here unless another data
-// centre is clearly cheaper. Without an available endpoint here it forwards the request,
+// Decide implements vetchtrail.Policy. It runs the request here unless a remote data
+// centre is clearly cheaper. If no local endpoint is available, it forwards the request,
 // lets it wait, or refuses it.
 func (w Weighted) Decide(now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
 	var d vetchtrail.Decision
@@ -82,22 +82,23 @@
 }
 
 // refusePaused refuses a request when each endpoint that it could wait for is paused or
-// rate-limited for longer than the request may wait. The caller is told to retry when
-// the first of them takes requests again.
+// rate-limited for longer than the request may wait. The retry time is when the first of
+// them accepts requests again.
 func refusePaused(d *vetchtrail.Decision, ev *evaluation, now time.Time) vetchtrail.Decision {
 	d.Kind, d.Reason, d.RetryAt = vetchtrail.Refuse, vetchtrail.ReasonPaused, now.Add(max(exactDuration(ev.wait), minRetryDelay))
 	return *d
 }
 
 // queuedForRateLimits reports whether all endpoints that a request could wait for are
-// rate-limited and other requests already wait for them. The queue would grow while the
-// rates don't, and a request that joined it would be refused late.
+// rate-limited and other requests already wait for them. The rates don't grow with the
+// queue, so a request that joined it would probably be refused too, only later.
 func queuedForRateLimits(ev *evaluation, v *vetchtrail.View) bool {
 	return ev.waitable == ev.rateLimited && v.Line > 0
 }
 
-// evaluate calculates the cost of each endpoint, finds the lowest, and counts the
-// endpoints that can't take the request by the reason why.
+// evaluate calculates the cost of each endpoint that can take the request now, and finds
+// the lowest. It counts the other endpoints by the reason why they can't, and records
+// those reasons in d.
 func evaluate(ev *evaluation, d *vetchtrail.Decision, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) {
 	ev.bestCost, ev.wait = math.Inf(1), math.Inf(1)
 	ev.otherRequests, ev.now = meanOtherRequests(r, v), now
@@ -184,8 +185,8 @@
 	return ""
 }
 
-// runHere draws one of the endpoints with about the lowest cost and runs the request
-// there. It refuses the request instead if its first token would come too late.
+// runHere draws one of the endpoints with about the lowest cost and decides to run the
+// request there. It refuses the request instead if its first token would be too late.
 func runHere(d *vetchtrail.Decision, ev *evaluation, now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
 	chosen := drawEndpoint(d, ev, r, v, rnd)
 	e := &v.Endpoints[chosen]
@@ -204,10 +205,10 @@
 	return *d
 }
 
-// drawEndpoint draws an endpoint at random, with a weight that falls as its cost rises
-// above the lowest. One random number serves for the whole draw: each endpoint in turn
-// replaces the one drawn so far with a probability of its weight over the sum of the
-// weights up to it.
+// drawEndpoint draws an endpoint at random. The weight of an endpoint falls as its cost
+// rises above the lowest, to zero at maxSpreads cost spreads. The draw is a single pass:
+// each endpoint replaces the one drawn so far with the probability weight / total, where
+// total is the sum of the weights so far. One random number is used for the whole pass.
 func drawEndpoint(d *vetchtrail.Decision, ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) int {
 	chosen, total := ev.bestIndex, 0.0
 	inverseRange := 1 / (maxSpreads * costSpread(&v.Endpoints[ev.bestIndex], v.Weights.Tail))
@@ -224,7 +225,8 @@
 		}
 		weight := closeness * closeness
 		total += weight
-		// Each branch rescales its part of u's range to [0, 1), so that u is uniform again.
+		// Each branch scales u, which is now in a part of [0, 1), back to the whole range, so
+		// that u is uniform again for the next endpoint.
 		if p := weight / total; u < p {
 			chosen, u = i, u/p
 		} else {
@@ -234,14 +236,14 @@
 	return chosen
 }
 
-// costSpread returns the difference up to which two costs count as equal. The endpoint's
-// service time and the service's weight of latency set the scale.
+// costSpread returns the difference up to which two costs count as equal. It is
+// proportional to the endpoint's service time and to the service's weight of latency.
 func costSpread(e *vetchtrail.EndpointView, tailWeight float64) float64 {
 	return max(costSpreadShare*e.Service*max(tailWeight, 0.1), 1e-6)
 }
 
-// waitHere lets a request wait for capacity here. It refuses the request instead if the
-// predicted wait ends after its deadline.
+// waitHere decides that a request waits for capacity here. It refuses the request instead
+// if the predicted wait ends after its deadline.
 func waitHere(d *vetchtrail.Decision, ev *evaluation, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Decision {
 	d.Wait = cappedDuration(ev.wait)
 	if now.Add(d.Wait).After(r.Deadline) {
--- a/request/quarantine/detect.go
+++ b/request/quarantine/detect.go
@@ -24,8 +24,8 @@
 	unexplainedLookback = time.Second
 )
 
-// Strategy is a method of telling poison requests, which crash endpoints, from the requests that
-// were only in flight beside them.
+// Strategy is a method of distinguishing poison requests, which crash endpoints, from requests
+// that were only in flight at the same time.
 type Strategy uint8
 
 // The strategies. In the simulations of TestStrategies, StrategyGreedy needs about one crash more
--- a/request/quarantine/history.go
+++ b/request/quarantine/history.go
@@ -13,8 +13,8 @@
 	// longer than this to restart, so that two crashes of one endpoint aren't merged.
 	sameCrashWindow = 500 * time.Millisecond
 	// reportWait is how long after the first report of a crash those of the other hosts are
-	// awaited. Until then only requests that were in flight beside the poison request may have been
-	// reported.
+	// awaited. Until then the reports may contain only harmless requests that were in
+	// flight with the poison request.
 	reportWait = 300 * time.Millisecond
 	// commonCauseWindow is how close in time crashes count as one against a request that was
 	// present at both: endpoints that fail together have lost their power or their network.
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestDetect checks which requests are quarantined after which crashes: poison requests, not the
-// requests that were in flight beside them and not those that met unrelated crashes.
+// requests that were in flight with them and not those that met unrelated crashes.
 func TestDetect(t *testing.T) {
 	const poison, other, third = 1, 2, 3
 	cases := map[string]struct {
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -16,7 +16,7 @@
 
 const (
 	// pollInterval is how long the queue waits for a signal of freed capacity before it
-	// checks its requests anyway. Load reports can show capacity that no signal announces.
+	// checks its requests anyway. New load reports can show capacity without such a signal.
 	pollInterval = 50 * time.Millisecond
 	// intervalSmoothing is the weight of a new interval between two served requests in
 	// the moving average.
@@ -76,9 +76,9 @@
 	}
 	index, _ := slices.BinarySearchFunc(l.waiting, w, compare)
 	wait := time.Duration(index+1) * l.interval
-	// A request always joins an empty queue. The interval may stem from an earlier
-	// overload, and it is only updated while requests are served from the queue: if it
-	// kept all requests out, it would never shrink again.
+	// A request is never refused because of the interval when the queue is empty. The
+	// interval may be from an earlier overload, and it is only updated when requests are
+	// served from the queue: if it kept all requests out, it would never shrink again.
 	if len(l.waiting) > 0 && now.Add(wait).After(w.deadline) {
 		return JoinResult{Reason: vetchtrail.ReasonDeadline, Wait: wait}
 	}
@@ -96,9 +96,9 @@
 	return JoinResult{Waiter: w, Wait: wait}
 }
 
-// displace drops the last request of a full queue if the new one has a higher priority or
-// if, at the same priority, its workspace has used less of its share. An earlier deadline
-// alone displaces nothing.
+// displace drops the last request of a full queue to make room for the new one. It does so
+// if the new one has a higher priority or if, at the same priority, its workspace has used
+// less of its share. An earlier deadline alone is not enough.
 func (l *Line) displace(w *Waiter, _ time.Time) bool {
 	if len(l.waiting) == 0 {
 		return false
@@ -133,8 +133,8 @@
 // be served in time, or because another request displaced it.
 func (w *Waiter) Late() <-chan struct{} { return w.dropped }
 
-// Leave removes a request from the queue, if it is still there. served means that the
-// request got capacity. Then the next request is signalled.
+// Leave removes a request from the queue, if it is still there. served is true if the
+// request got capacity; then the next request is signalled.
 func (l *Line) Leave(w *Waiter, served bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,16 +157,16 @@
 	return len(l.waiting)
 }
 
-// Wait estimates how long it takes to serve all requests that are in the queue now, so
-// how long one more would wait behind them.
+// Wait estimates how long it takes to serve all requests that are in the queue now. A new
+// request at the end of the queue would wait that long.
 func (l *Line) Wait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(len(l.waiting)) * l.interval
 }
 
-// signalFirst tells the first request that there may be capacity. The caller holds the
-// lock.
+// signalFirst signals to the first request that there may be capacity. The caller holds
+// the lock.
 func (l *Line) signalFirst() {
 	if len(l.waiting) == 0 {
 		return
--- a/request/quota/assigned_share.go
+++ b/request/quota/assigned_share.go
@@ -7,8 +7,8 @@
 )
 
 // ShareAssigner divides a region's share of a quota among its hosts by their recent demand. It
-// never withdraws a rate: until the other hosts have asked again, the rates of all hosts may
-// add up to more than the region's share.
+// never withdraws a rate: until the other hosts have requested theirs again, the rates of all
+// hosts may add up to more than the region's share.
 type ShareAssigner struct {
 	RegionSplit *RegionSplit
 	hosts       map[string]*Demand // by host
@@ -24,7 +24,7 @@
 func (s *ShareAssigner) Demand(now time.Time) float64 { return s.total.Rate(now) }
 
 // HostRate returns the units per second that a host may use. demandedUnits is what its callers
-// requested since it last asked.
+// requested since the host's last request.
 func (s *ShareAssigner) HostRate(host string, demandedUnits float64, q vetchtrail.Quota, now time.Time) float64 {
 	s.total.Add(demandedUnits, now)
 	d, ok := s.hosts[host]
@@ -45,7 +45,7 @@
 }
 
 const (
-	// shareInterval is how often a host asks for its rate.
+	// shareInterval is how often a host requests its rate.
 	shareInterval = 250 * time.Millisecond
 	// shareTTL is how long a rate is valid without a new reply. After that the host uses an equal
 	// share.
@@ -57,12 +57,12 @@
 	bucket        bucket
 	rate          float64   // units per second
 	expiresAt     time.Time // until when the rate is valid
-	nextRequestAt time.Time // when the host asks again
+	nextRequestAt time.Time // when the host requests its rate again
 	started       bool      // the bucket has its initial level
 }
 
-// RequestDue reports whether to ask for the rate now. If so, the caller must ask, as the next
-// request is then due after shareInterval.
+// RequestDue reports whether to request the rate now. If so, the caller must request it, as
+// the next request is then due after shareInterval.
 func (t *AssignedShare) RequestDue(now time.Time) bool {
 	if now.Before(t.nextRequestAt) {
 		return false
--- a/request/quota/bucket.go
+++ b/request/quota/bucket.go
@@ -71,5 +71,5 @@
 	return min(maxRetryDelay, time.Duration((units-b.level)/rate*float64(time.Second)))
 }
 
-// maxRetryDelay is the longest time that a refused caller is told to wait.
+// maxRetryDelay is the longest retry delay that a refused caller receives.
 const maxRetryDelay = 10 * time.Second
--- a/request/quota/doc.go
+++ b/request/quota/doc.go
@@ -3,7 +3,7 @@
 // between hosts are plain values. Package process/quotas sends them.
 //
 // One host of each region, the owner, holds the region's share of a quota in a token bucket
-// and leases units from it to the hosts that ask (Owner). The owners of the regions exchange
+// and leases units from it to the hosts on request (Owner). The owners of the regions exchange
 // the demand of their callers, so that the regions' shares follow demand and never add up to
 // more than the quota (RegionSplit). A host spends the units that it has leased
 // (LeaseHolder). While it reaches no owner it uses an equal share (EqualShare).
--- a/request/quota/lease_holder.go
+++ b/request/quota/lease_holder.go
@@ -78,7 +78,7 @@
 }
 
 // NewRequest returns a lease request for a waiting request, which needs minUnits, and for all
-// waiting requests together, which need waitingUnits. A minUnits of 0 asks in advance.
+// waiting requests together, which need waitingUnits. A minUnits of 0 requests units in advance.
 func (h *LeaseHolder) NewRequest(workspace string, minUnits, waitingUnits float64, now time.Time) LeaseRequest {
 	r := LeaseRequest{Workspace: workspace, MinUnits: minUnits, DemandedUnits: h.demandedUnits, UnleasedUnits: h.unleasedUnits}
 	if minUnits == 0 {
@@ -108,7 +108,7 @@
 		return
 	}
 	if r.MinUnits == 0 {
-		return // asked in advance: the units held stay valid
+		return // requested in advance: the units held stay valid
 	}
 	h.retryAt = reply.RetryAt
 	h.blockedUntil = now.Add(min(maxBlockTime, max(minBlockTime, reply.RetryAt.Sub(now))))
--- a/request/quota/owner.go
+++ b/request/quota/owner.go
@@ -7,10 +7,10 @@
 	"vetchtrail"
 )
 
-// LeaseRequest asks a region's owner for units of a workspace's quota.
+// LeaseRequest is a request to a region's owner for units of a workspace's quota.
 type LeaseRequest struct {
 	Workspace     string
-	MinUnits      float64 // units that one request needs; 0: the host asks in advance
+	MinUnits      float64 // units that one request needs; 0: the host leases in advance
 	WantedUnits   float64 // units that the host can use in the near future
 	DemandedUnits float64 // units that callers requested from the host since its last lease request
 	UnleasedUnits float64 // units that the host used without a lease since then, as it reached no owner
--- a/request/quota/region_split.go
+++ b/request/quota/region_split.go
@@ -31,7 +31,7 @@
 	at       time.Time // when the last report was received
 }
 
-// ownerReportTTL is how long a report of a former owner counts beside that of the new one.
+// ownerReportTTL is how long a report of a former owner counts in addition to that of the new one.
 // Hosts disagree for that long on which host is the owner after one has started or crashed.
 const ownerReportTTL = 2 * time.Second
 
--- a/request/quota/simulation_test.go
+++ b/request/quota/simulation_test.go
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// heard returns the fraction of a region's hosts that its owner hears from. It notices a
+// heard returns the fraction of a region's hosts that its owner counts as alive. It notices a
 // partitioned host after two seconds.
 func (s *sim) heard(region int) float64 {
 	all, heard := 0, 0
