--- a/answer.go
+++ b/answer.go
@@ -18,7 +18,7 @@
 }
 
 // Forwarder sends a request to another host and writes that host's response to a. The
-// target is a host of another data centre, or the host that issued the request's
+// target is a host of a remote data centre, or the host that issued the request's
 // at-most-once key.
 type Forwarder interface {
 	Forward(ctx context.Context, h Host, r *Request, a Answer) Outcome
--- a/availability.go
+++ b/availability.go
@@ -34,13 +34,13 @@
 	// maxAvailabilityFieldBytes bounds the length of a field that is parsed. Usual values have
 	// about ten bytes.
 	maxAvailabilityFieldBytes = 64
-	// maxPause bounds the pause that an endpoint can ask for. After it, the host sends requests
-	// again even if the endpoint asked for a longer pause, for example in a wrong unit.
+	// maxPause bounds the pause that an endpoint can announce. After it, the host sends requests
+	// again even if the endpoint announced a longer pause, for example in a wrong unit.
 	maxPause = time.Hour
 )
 
 // ReadNotice parses the fields leaving and pause of a response head. The pause is parsed
-// only if the response says that the endpoint is unavailable (503).
+// only if the response's status is 503 (service unavailable).
 func ReadNotice(leaving, pause string, unavailable bool) NoticeReading {
 	var out NoticeReading
 	var errPause error
--- a/availability_test.go
+++ b/availability_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReadLeaving checks which values announce that an endpoint is leaving. A value that is
-// missed sends requests to an endpoint that stops; a malformed one that is accepted takes a
-// working endpoint out of use.
+// TestReadLeaving checks which values announce that an endpoint is leaving. If a valid value
+// is ignored, requests go to an endpoint that stops. If a malformed value is accepted, a
+// working endpoint is taken out of use.
 func TestReadLeaving(t *testing.T) {
 	cases := map[string]struct {
 		text    string
--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -13,8 +13,8 @@
 )
 
 // unknownKeyRetryAfter is the Retry-After for a caller whose key is unknown while this
-// host can't tell whether its configuration is the newest. By then the host has received a
-// newer one, or the caller reaches another host.
+// host doesn't know whether its configuration is the newest. By then the host has received
+// a newer one, or the caller reaches another host.
 const unknownKeyRetryAfter = 500 * time.Millisecond
 
 // authenticate sets the workspace of a request from its caller's key, and ignores any
--- a/connection/caller/authentication_test.go
+++ b/connection/caller/authentication_test.go
@@ -114,7 +114,7 @@
 
 // TestUnknownKeyChecksConfiguration guards against refusing a key that was just added. A
 // host whose configuration is behind does not know the key yet: it must fetch the newest
-// configuration first, and answer 503 rather than 401 if it can't tell whether it has it.
+// configuration first, and answer 503 rather than 401 if it can't find out.
 func TestUnknownKeyChecksConfiguration(t *testing.T) {
 	old := newKeyedRules(t)
 	added := newKeyedRules(t, vetchtrail.Workspace{Name: "w", Keys: []vetchtrail.KeyHash{vetchtrail.HashKey("secret")}})
--- a/connection/dial/dial.go
+++ b/connection/dial/dial.go
@@ -12,8 +12,8 @@
 
 const (
 	// Keep-alive settings by which a connection that waits for a silent host fails within
-	// three seconds. A response that has not begun by then is late, and a caller gives up on
-	// one that pauses for so long.
+	// three seconds. A response that has not begun by then is late, and callers give up on
+	// a response that pauses for so long.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -19,7 +19,7 @@
 	HeaderRequestID = "X-Request-Id"
 	HeaderTimeout   = "Request-Timeout" // seconds
 	// HeaderNotStarted marks a 503 by which an endpoint refused a request before starting it.
-	// Status 429 says so by itself (RFC 6585).
+	// Status 429 (RFC 6585) needs no such mark.
 	HeaderNotStarted = "X-Not-Started"
 	headerLastEvent  = "Last-Event-Id"
 	// HeaderRate is an endpoint's rate limit in requests a second, for all hosts together. It
@@ -120,8 +120,8 @@
 	return out
 }
 
-// knownFields has the response header fields that some code reads, or that say nothing of
-// the endpoint. Names are spelled as fasthttp normalizes them.
+// knownFields has the response header fields that some code reads, or that contain nothing
+// about the endpoint. Names are spelled as fasthttp normalizes them.
 var knownFields = map[string]bool{
 	HeaderRequestID: true, HeaderNotStarted: true, HeaderRate: true, HeaderLeaving: true, headerRetryAfter: true, "Content-Type": true, "Cache-Control": true,
 	"Content-Encoding": true,
--- a/connection/endpoint/body.go
+++ b/connection/endpoint/body.go
@@ -44,7 +44,7 @@
 // size is the length in bytes if it is known, and negative otherwise.
 func (b *body) size() int { return b.length }
 
-// framed reports whether the body's end can be told from the end of the connection.
+// framed reports whether the body has an end of its own, other than the end of the connection.
 func (b *body) framed() bool { return b.length != lengthUntilClose }
 
 // Read implements io.Reader.
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -2,8 +2,8 @@
 // there. It does not choose endpoints and does not retry.
 //
 // It uses fasthttp's messages but manages connections itself. An HTTP client that retries
-// by itself, or hides whether a byte was written, can't tell the outcome "not run" from
-// "unknown".
+// by itself, or hides whether a byte was written, can't distinguish the outcome "not run"
+// from "unknown".
 package endpoint
 
 import (
@@ -220,8 +220,8 @@
 }
 
 // readResponseHead reads the head of the response to the request and reports to the
-// observer what it says of the endpoint. An endpoint may send responses to other requests
-// first; their bodies are discarded.
+// observer what it contains about the endpoint. An endpoint may send responses to other
+// requests first; their bodies are discarded.
 func (t *attempt) readResponseHead() (vetchtrail.Reading, error) {
 	for range maxForeignResponses + 1 {
 		if err := t.readFinalHead(); err != nil {
--- a/connection/endpoint/events.go
+++ b/connection/endpoint/events.go
@@ -108,8 +108,8 @@
 	return now
 }
 
-// alreadyReceived reports whether an event's number is not above the last one that the
-// caller received.
+// alreadyReceived reports whether an event's number is not above that of the last
+// event that the caller received.
 func alreadyReceived(event []byte, lastReceived uint64) bool {
 	id, ok := EventID(event)
 	if !ok {
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -125,7 +125,8 @@
 }
 
 // get returns an idle connection that is still usable, or a new one. A request that may
-// not run twice (repeats is false) only gets one that was used shortly before.
+// not run twice (repeats is false) gets an idle connection only if that was used shortly
+// before.
 func (p *pool) get(ctx context.Context, key poolKey, repeats bool) (*conn, error) {
 	for {
 		c := p.pop(key)
--- a/connection/operator/operator.go
+++ b/connection/operator/operator.go
@@ -28,7 +28,7 @@
 	conn *drpcconn.Conn
 }
 
-// Config says which daemon to connect to, and by which TLS configuration.
+// Config holds the address of the daemon to connect to, and the TLS configuration.
 type Config struct {
 	Addr netip.AddrPort
 	TLS  *tls.Config // nil: no TLS
--- a/connection/peer/client.go
+++ b/connection/peer/client.go
@@ -140,7 +140,7 @@
 	return reply, wrapError("exchange", addr, err)
 }
 
-// Swap sends the digests of data centres to a host of another data centre and returns its
+// Swap sends the digests of data centres to a host of a remote data centre and returns its
 // own.
 func (c *Client) Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -127,7 +127,7 @@
 }
 
 // TestInvalidMessages checks that bytes which are no message, and a request that can't be
-// decoded, break only their own connection: the server goes on to serve others.
+// decoded, break only their own connection: the server still serves others.
 func TestInvalidMessages(t *testing.T) {
 	addr, _ := serve(t, fakeHost{})
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff", "\x00"} {
--- a/connection/store/store_test.go
+++ b/connection/store/store_test.go
@@ -29,7 +29,7 @@
 
 // TestStoreFaults checks the error of a write for each fault of the store. A write whose
 // response is lost may have taken effect: it must fail, but never with ErrConflict, which
-// says that it did not.
+// means that it did not.
 func TestStoreFaults(t *testing.T) {
 	ctx := context.Background()
 	cases := map[string]struct {
--- a/decision.go
+++ b/decision.go
@@ -12,7 +12,7 @@
 const (
 	Refuse       DecisionKind = iota
 	RunHere                   // at an endpoint that this host calls itself
-	RunElsewhere              // forward to another data centre
+	RunElsewhere              // forward to a remote data centre
 	WaitHere                  // queue until an endpoint that this host calls has capacity
 )
 
@@ -80,7 +80,7 @@
 	Region    RegionID // of this host
 	Weights   Weights
 	Endpoints []EndpointView // those that this host calls itself
-	Remotes   []RemoteView   // other data centres
+	Remotes   []RemoteView   // remote data centres
 	Excluded  []string       // endpoints and data centres that were tried before
 	Events    float64        // expected number of events in the response; 0: not known, or not a stream
 	IdleRead  float64        // observed seconds that an idle endpoint takes to process a prompt token
@@ -124,7 +124,7 @@
 	Left     float64       // requests that the rate limit still allowed at once, as last reported
 }
 
-// RemoteView is what a host knows about another data centre.
+// RemoteView is what a host knows about a remote data centre.
 type RemoteView struct {
 	DataCentre string
 	Region     RegionID
--- a/dialect.go
+++ b/dialect.go
@@ -22,7 +22,7 @@
 	// Read interprets the head of an endpoint's response.
 	Read(status int, get Fields, r *Request) Reading
 	// Knows returns whether a response header field is known: either it is read, or it is
-	// known to say nothing about the endpoint.
+	// known to contain nothing about the endpoint.
 	Knows(name string) bool
 	// Sign sets the header fields of a response that the system creates itself.
 	Sign(set func(name, value string), r *Request)
--- a/errors.go
+++ b/errors.go
@@ -28,7 +28,7 @@
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Err }
 
-// ChangeError says why a change of the configuration is not valid.
+// ChangeError is the reason why a change of the configuration is not valid.
 type ChangeError struct {
 	Edit int    // index of the invalid edit; the number of edits if only their combination is invalid
 	Item string // kind and name of the item
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("edit %d: %s: %s", e.Edit+1, e.Item, e.Text)
 }
 
-// ConflictError says that another change was accepted after the revision that the change was
+// ConflictError reports that another change was accepted after the revision that the change was
 // written against.
 type ConflictError struct {
 	Expect uint64 // revision that the change was written against
--- a/feed.go
+++ b/feed.go
@@ -32,8 +32,8 @@
 	// of polling the listing.
 	WatchesConfiguration() bool
 	// Asking is called when a call to the platform begins, and Answered when it has ended; ok
-	// says whether the platform answered. Other hosts poll in place of one that the platform
-	// rejects.
+	// reports whether the platform answered. Other hosts poll in place of a host that the
+	// platform rejects.
 	Asking(now time.Time)
 	Answered(ok bool)
 	// Listing returns the newest listing that the host holds, read by itself or fetched from
@@ -43,8 +43,9 @@
 
 // Sink receives the data of a Feed. Its methods don't block.
 type Sink interface {
-	// Configured offers a configuration. One that is older than the current one is ignored.
-	// For one that is not valid it returns an error and keeps the current one in force.
+	// Configured offers a configuration. A configuration that is older than the current one
+	// is ignored. If the configuration is not valid, Configured returns an error and the
+	// current one stays in force.
 	Configured(s Snapshot) error
 	// Listed replaces the listing.
 	Listed(l Listing)
--- a/mechanism.go
+++ b/mechanism.go
@@ -16,12 +16,12 @@
 	PromptMoves                     // let endpoints transfer KV caches from each other
 	FarMoves                        // allow such transfers also from endpoints that this host doesn't call
 	LastSent                        // transfer from the endpoint to which this host sent the session last
-	KeptElsewhere                   // assume that other data centres have cached as much of a prompt as this one
+	KeptElsewhere                   // assume that remote data centres have cached as much of a prompt as this one
 	PromptBacklog                   // count the prompts that an endpoint has not processed yet
 	Pace                            // refuse streams that would end too late, so that the caller retries
 	UrgentFirst                     // refuse less urgent streams earlier than more urgent ones
 	Shedding                        // refuse streams that would begin too late for their caller
-	Forwarding                      // forward requests to other data centres
+	Forwarding                      // forward requests to remote data centres
 	Waiting                         // let requests queue on this host for capacity
 	LastChance                      // try to forward a request that has waited in vain before refusing it
 	Retries                         // retry requests where that is safe
--- a/observation.go
+++ b/observation.go
@@ -15,7 +15,7 @@
 	// Predicted is the time to the first byte of the response that the decision expected;
 	// 0: there was no prediction.
 	Predicted time.Duration
-	Cancel    bool // the caller disconnected, so the attempt says nothing about the endpoint
+	Cancel    bool // the caller disconnected, so the attempt shows nothing about the endpoint
 }
 
 // Endpoints is the state of the endpoints that a host may call.
@@ -43,7 +43,7 @@
 	Self() Host
 	// Find returns a host by its name.
 	Find(name string, now time.Time) (Host, bool)
-	// Fill appends the other data centres that run a service to a view; regionID returns the
+	// Fill appends the remote data centres that run a service to a view; regionID returns the
 	// id of a region.
 	Fill(v *View, service string, regionID func(region string) (RegionID, bool), now time.Time)
 	// Pick chooses a host of a data centre and counts a request in flight there.
--- a/outcome.go
+++ b/outcome.go
@@ -31,7 +31,7 @@
 	RetryAt time.Time // when a retry may succeed; zero: no retry is suggested
 	Err     error
 	Begun   bool // part of a response was sent to the caller
-	// HostLost says that the host to which the request was forwarded could not be reached or
+	// HostLost reports that the host to which the request was forwarded could not be reached or
 	// broke the connection. Peer is the name of that host.
 	HostLost bool
 	Events   int       // number of whole events of a stream that were forwarded
@@ -86,7 +86,7 @@
 	StepHold      Step = "hold"      // checking the quarantine
 )
 
-// Reason says why a candidate was not chosen, or why a request was refused or failed.
+// Reason is why a candidate was not chosen, or why a request was refused or failed.
 type Reason string
 
 // Reasons.
@@ -125,7 +125,7 @@
 	ReasonMisled       Reason = "other-process"    // another process has the endpoint's address
 	ReasonCold         Reason = "cold"             // the endpoint's cold start allows no further request now
 	ReasonLimited      Reason = "endpoint-limited" // the endpoint's rate limit allows no further request now
-	ReasonPaused       Reason = "endpoint-paused"  // the endpoint asked this host to pause
+	ReasonPaused       Reason = "endpoint-paused"  // the endpoint announced a pause to this host
 	ReasonSilent       Reason = "endpoint-silent"  // the streams of the endpoint have all stalled
 	ReasonNoRoute      Reason = "no-route"         // no route matches the request
 	ReasonSlow         Reason = "slow"             // a stream there would end too late
--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,5 +1,5 @@
 // Package clock reads the host's boot clock. Unlike the time of day, it is not set forward or back;
-// unlike the monotonic clock of package time, it goes on while the host is suspended. It serves
+// unlike the monotonic clock of package time, it runs on while the host is suspended. It serves
 // for deadlines and ages that outlast a request.
 package clock
 
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -72,8 +72,8 @@
 	Hosted *Hosted
 }
 
-// Hosted holds the adapters to a hosted platform: one that persists the configuration and
-// the list of endpoints itself.
+// Hosted holds the adapters to a hosted platform, which persists the configuration and the
+// list of endpoints itself.
 type Hosted struct {
 	// Feed returns the feed of the platform's configuration and listings. f decides which
 	// of the platform's calls this host makes.
@@ -86,7 +86,7 @@
 	Directory func(m *membership.Membership, homes func(name string) (regions []string, known bool)) Directory
 }
 
-// Directory tells callers which hosts to use and answers the platform's readiness probe.
+// Directory gives callers the hosts to use and answers the platform's readiness probe.
 type Directory interface {
 	Serve(l net.Listener) error
 	Shutdown(ctx context.Context) error
@@ -403,7 +403,7 @@
 // Revision returns the revision of the newest configuration that the host has.
 func (d *Daemon) Revision() uint64 { return d.changes.Revision() }
 
-// Reachable returns the number of other data centres that the host can reach.
+// Reachable returns the number of remote data centres that the host can reach.
 func (d *Daemon) Reachable() int {
 	n := 0
 	for _, c := range d.membership.DataCentres(time.Now()) {
--- a/process/daemon/hosted.go
+++ b/process/daemon/hosted.go
@@ -27,7 +27,7 @@
 const updateInterval = time.Second
 
 // runHostedPlatform starts the tasks of a host on a hosted platform: the directory's listeners,
-// the platform's feed, the host's registration and the exchange of lists with other hosts.
+// the platform's feed, the host's registration and the exchange of listings with other hosts.
 func (d *Daemon) runHostedPlatform(ctx context.Context, tasks *conc.WaitGroup) error {
 	for _, addr := range []netip.AddrPort{d.cfg.Listen.Ready, d.cfg.Listen.Directory} {
 		if !addr.IsValid() {
@@ -93,8 +93,8 @@
 	d.setReadyIfComplete()
 }
 
-// refreshConfiguration looks for a newer configuration and reports whether the host then has
-// the newest one that it can learn of.
+// refreshConfiguration checks for a newer configuration and reports whether the host then has
+// the newest that it can learn of.
 func (d *Daemon) refreshConfiguration(ctx context.Context) bool {
 	if d.hosted != nil {
 		return d.lists.Refresh(ctx)
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -20,7 +20,7 @@
 }
 
 // liveHosts ranks the live hosts for package quarantines. It uses time.Now, as membership does:
-// by the boot clock of the quarantines, hosts that are gone would seem live for ever.
+// by the boot clock of the quarantines, hosts that are gone would never expire.
 type liveHosts struct{ *membership.Membership }
 
 // RankedIn implements quarantines.Hosts.
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -51,7 +51,7 @@
 }
 
 // TestStopAnswersOpenConnections guards against responses lost when one host or all hosts are
-// told to stop: each request sent on an open connection must get its whole response, up to the
+// stopped: each request sent on an open connection must get its whole response, up to the
 // response that announces that the connection closes.
 func TestStopAnswersOpenConnections(t *testing.T) {
 	const hosts, connections = 3, 4
--- a/process/journal/history.go
+++ b/process/journal/history.go
@@ -92,7 +92,7 @@
 // msgDirectory is the message of an answer of the directory, which concerns no request.
 const msgDirectory = "directory answer"
 
-// Verdict returns a line that says how the request ended and where to look for the cause.
+// Verdict returns a line on how the request ended and where to look for the cause.
 func (h *History) Verdict() string {
 	finalOutcome, ok := h.finalOutcome()
 	if !ok {
@@ -111,7 +111,7 @@
 	return "answered as predicted"
 }
 
-// finalOutcome returns the outcome at the host that the caller asked.
+// finalOutcome returns the outcome at the host that received the request from its caller.
 func (h *History) finalOutcome() (Line, bool) {
 	for _, l := range slices.Backward(h.Lines) {
 		if l.Msg == MsgOutcome && l.Hops == 0 {
--- a/process/journal/lines.go
+++ b/process/journal/lines.go
@@ -34,7 +34,7 @@
 	Route   string    `json:"route,omitempty"`
 	// Workspace is the caller's workspace.
 	Workspace string `json:"workspace,omitempty"`
-	Hops      int    `json:"hops"` // 0: at the host that the caller asked; 1: at a host that it was forwarded to
+	Hops      int    `json:"hops"` // 0: at the host that the caller reached; 1: at a host that the request was forwarded to
 	Reason    string `json:"reason,omitempty"`
 	Revision  uint64 `json:"revision,omitempty"`
 
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -61,11 +61,11 @@
 	Unread int       `json:"unread"`
 }
 
-// requestLog collects what the log lines say about one request.
+// requestLog collects the log lines about one request.
 type requestLog struct {
-	firstDecision Line // first decision at the host that the caller asked
+	firstDecision Line // first decision at the host that the caller reached
 	lastRun       Line // last decision to run the request at an endpoint
-	outcome       Line // outcome at the host that the caller asked
+	outcome       Line // outcome at the host that the caller reached
 	answerBegan   time.Time
 	attempts      int // decisions to run the request at an endpoint
 }
--- a/process/lists/fetch.go
+++ b/process/lists/fetch.go
@@ -62,7 +62,7 @@
 }
 
 // fetchFromPeers queries hosts in turn until one has a recent listing.
-// A host that the platform rejects says so in its reply, and the next is queried at once.
+// A host that the platform rejects reports that in its reply, and the next is queried at once.
 func (l *Lists) fetchFromPeers(ctx context.Context) {
 	now := time.Now()
 	for _, h := range l.peersToQuery(now) {
--- a/process/lists/lists.go
+++ b/process/lists/lists.go
@@ -70,7 +70,7 @@
 	// Taken is called after a listing or a configuration may have changed. Calls may be
 	// concurrent.
 	Taken func()
-	// Clock returns the time of a clock that goes on while the host is suspended; quarantine
+	// Clock returns the time of a clock that runs on while the host is suspended; quarantine
 	// entries are timed by it.
 	Clock func() time.Time
 	Log   *slog.Logger
--- a/process/lists/poll.go
+++ b/process/lists/poll.go
@@ -12,14 +12,14 @@
 	// the host polls in place of the one assigned. It covers the time between two queries to
 	// peers, and slow replies.
 	takeoverSlack = 1300 * time.Millisecond
-	// takeoverStep is how much longer a host waits than the one that ranks before it in its
-	// data centre. By then that one has polled, unless the platform rejects it too.
+	// takeoverStep is how much longer a host waits than the host that ranks before it in its
+	// data centre. By then that host has polled, unless the platform rejects it too.
 	takeoverStep = time.Second
-	// takeoverDuration is how long a host that took over goes on polling.
+	// takeoverDuration is how long a host that took over continues to poll.
 	takeoverDuration = 5 * time.Second
-	// pollersPerRejected is how many hosts poll for each earlier-ranked one that is known to
-	// be rejected. If the platform rejects a third of the hosts, it rarely rejects all of
-	// these.
+	// pollersPerRejected is how many hosts poll for each earlier-ranked host that is known to
+	// be rejected. If the platform rejects a third of all hosts, it rarely rejects all of
+	// the pollers.
 	pollersPerRejected = 6
 	// pollFraction is the poll interval as a fraction of the time within which all hosts must
 	// know that an endpoint is leaving. The rest is for the listing's way to the other hosts and
--- a/process/lists/refresh.go
+++ b/process/lists/refresh.go
@@ -14,8 +14,8 @@
 	configCheckInterval = 250 * time.Millisecond
 	// configCheckTimeout bounds a check: the queried hosts are of the same region.
 	configCheckTimeout = 300 * time.Millisecond
-	// configCheckPeers is how many hosts a check queries: the one that polls the platform and
-	// the one that watches for configurations.
+	// configCheckPeers is how many hosts a check queries: the host that polls the platform and
+	// the host that watches for configurations.
 	configCheckPeers = 2
 )
 
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -257,7 +257,7 @@
 	s.lastSeen = now
 	prompt, known := s.unreadPrompts[r.ID]
 	if !known {
-		return // not admitted by Acquire: a stream that is only fetched again
+		return // a resumed stream, which Acquire doesn't admit, or a request without prompt tokens
 	}
 	if r.Stream {
 		if s.startedStreams == nil {
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -274,9 +274,9 @@
 	}
 }
 
-// TestSilent guards against an endpoint that stays in use though nothing arrives on its started streams, and
-// against one that counts as silent without such a stream. A stream that is only fetched again isn't in flight
-// and doesn't count.
+// TestSilent guards against an endpoint that stays in use although nothing arrives on its started streams, and
+// against an endpoint that counts as silent without such a stream. A resumed stream isn't in flight and doesn't
+// count.
 func TestSilent(t *testing.T) {
 	e := vetchtrail.Endpoint{Name: "a"}
 	stream := request("x", 3, 0)
--- a/process/membership/capacity.go
+++ b/process/membership/capacity.go
@@ -11,7 +11,7 @@
 )
 
 // minDrawn is the least number of hosts that a caller is given, if there are as many:
-// some may be lost before it asks again.
+// some may be lost before its next request for hosts.
 const minDrawn = 4
 
 // Named returns hosts for a caller to use. It draws them among those of Serving, each
--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -12,7 +12,7 @@
 	"vetchtrail/schema"
 )
 
-// SwapDigests swaps digests with other data centres until ctx ends.
+// SwapDigests swaps digests with remote data centres until ctx ends.
 func (m *Membership) SwapDigests(ctx context.Context, p Peers) {
 	for {
 		m.swapOnce(ctx, p)
@@ -48,7 +48,7 @@
 const discoveryTime = 10 * time.Second
 
 // unknownDataCentres returns the address of one listed host, at random, for each
-// other data centre without a digest, by data centre. A digest without services does
+// remote data centre without a digest, by data centre. A digest without services does
 // not count: its hosts had no configuration and listing yet.
 func (m *Membership) unknownDataCentres() map[string]netip.AddrPort {
 	m.mu.Lock()
@@ -106,7 +106,7 @@
 	return err
 }
 
-// regionOf returns a data centre's region, as its digest says; empty if there is none.
+// regionOf returns a data centre's region by its digest; empty if there is no digest.
 func (m *Membership) regionOf(dataCentre string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -226,7 +226,7 @@
 	return d
 }
 
-// Swapped handles the digest that a host of another data centre sent, and returns
+// Swapped handles the digest that a host of a remote data centre sent, and returns
 // this data centre's: without members if the sender holds them.
 func (m *Membership) Swapped(in *schema.Digests) *schema.Digests {
 	now := time.Now()
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -36,7 +36,7 @@
 }
 
 // sendHeartbeats exchanges heartbeats with some hosts of this data centre, and
-// with one that is dead or not known yet. It does not wait for the replies.
+// with one host that is dead or not known yet. It does not wait for the replies.
 func (m *Membership) sendHeartbeats(ctx context.Context, p Peers) {
 	for _, addr := range m.heartbeatTargets(time.Now()) {
 		h := m.heartbeatTo(addr, time.Now())
@@ -181,7 +181,7 @@
 }
 
 // shortIDOf returns the short ID of a host: a hash of its name and incarnation
-// that stands for both in short entries. A collision within a data centre is
+// that replaces both in short entries. A collision within a data centre is
 // unlikely, and what it mixes up is put right by the next full heartbeat.
 func shortIDOf(name string, incarnation uint64) uint32 {
 	return uint32(hashPair(name, strconv.FormatUint(incarnation, 16)))
--- a/process/membership/hosts.go
+++ b/process/membership/hosts.go
@@ -46,7 +46,7 @@
 	return out
 }
 
-// Elsewhere returns the ready hosts of other data centres that can be reached, sorted
+// Elsewhere returns the ready hosts of remote data centres that can be reached, sorted
 // by name.
 func (m *Membership) Elsewhere(now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
@@ -65,7 +65,7 @@
 }
 
 // SetListed replaces the hosts that the platform lists. Their peer addresses become
-// seeds, beside those of the settings.
+// seeds, in addition to those of the settings.
 func (m *Membership) SetListed(hosts []vetchtrail.Host) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestLeavingEndpointStaysInRegion guards against swaps that send leaving endpoints to other
-// regions, whose hosts never call them, or that do not send them to other data centres of
+// regions, whose hosts never call them, or that do not send them to remote data centres of
 // the same region, whose hosts do.
 func TestLeavingEndpointStaysInRegion(t *testing.T) {
 	a := newMembership("a", "dc", 1)
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -38,7 +38,7 @@
 	suspectAfter = 2 * time.Second        // without a newer heartbeat
 	deadAfter    = 4 * time.Second        // without a newer heartbeat
 	forgetAfter  = time.Minute            // without a newer heartbeat
-	SwapTick     = time.Second            // between digest swaps with another data centre
+	SwapTick     = time.Second            // between digest swaps with a remote data centre
 	// RelayInterval is the least time between two relays of one data centre's
 	// digest to the same host, unless the digest reports a newer configuration.
 	RelayInterval = 2 * time.Second
@@ -46,7 +46,7 @@
 	// swaps with that data centre too: the first may be slow or cut off from it.
 	standbyAfter     = 5 * SwapTick / 2
 	reachableFor     = 3 * time.Second  // age of its digest from which a data centre counts as unreachable
-	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after a host sent a load report that says so
+	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after a host sent such a load report
 	avoidTime        = 2 * time.Second  // without forwards to a host after one to it was lost
 )
 
@@ -62,7 +62,7 @@
 	Revision func() uint64 // newest configuration that this host holds
 	Log      *slog.Logger
 	Seed     uint64 // of the random choice of peers
-	// WholeRegion says that hosts call the endpoints of their whole region
+	// WholeRegion is set if hosts call the endpoints of their whole region
 	// directly, so that no request is forwarded within the region.
 	WholeRegion bool
 }
@@ -91,7 +91,7 @@
 	counter            uint64             // of this host's heartbeats
 	members            map[string]*member // other hosts of this data centre, by name
 	namesByShortID     map[uint32]string
-	remotes            map[string]*remote // other data centres, by name
+	remotes            map[string]*remote // remote data centres, by name
 	seeds              []netip.AddrPort   // those of the settings and of the listed hosts
 	listedHosts        []vetchtrail.Host  // on the platform's listing
 	haveListing        bool               // whether a listing was set, even an empty one
@@ -109,12 +109,12 @@
 	reported       vetchtrail.HostState  // by the host itself
 	relayed        map[string]relayState // what was last relayed to it, by data centre
 	sentState      sentState
-	wantFull       bool     // whether to ask it for a full heartbeat: it sent a short ID that is not known here
+	wantFull       bool     // whether to request a full heartbeat from it: it sent a short ID that is not known here
 	lacksMembersOf []string // data centres whose members it requested in its last heartbeat
 }
 
 // sentState records what another host was already sent, so that the next
-// heartbeat can leave it out. It starts anew when the other host asks for a full
+// heartbeat can leave it out. It starts anew when the other host requests a full
 // heartbeat, when a heartbeat to it failed, and every fullEvery heartbeats.
 type sentState struct {
 	shortIDs    map[uint32]bool            // hosts whose full entry it has
@@ -256,7 +256,7 @@
 	return h
 }
 
-// hostFromEntry reads a full entry. The entry does not say the host's region
+// hostFromEntry reads a full entry. The entry does not contain the host's region
 // and data centre.
 func hostFromEntry(entry *schema.Member) vetchtrail.Host {
 	callers, _ := netip.ParseAddrPort(entry.GetCallers())
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -115,8 +115,8 @@
 }
 
 // TestDataCentreReturns guards against forwards to a data centre that is out of reach, and
-// against a full load on one that has just come back, as the caches of its endpoints may be
-// cold. It must be unreachable when its digests stop, and return with a warm-up share that
+// against a full load on a data centre that has just returned, as the caches of its endpoints
+// may be cold. It must be unreachable when its digests stop, and return with a warm-up share that
 // grows with each answered forward.
 func TestDataCentreReturns(t *testing.T) {
 	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
@@ -266,7 +266,7 @@
 }
 
 // connectedPair returns a sender and a receiver of heartbeats that know the given numbers
-// of hosts, endpoints and other data centres.
+// of hosts, endpoints and remote data centres.
 func connectedPair(hosts, endpoints, dataCentres int) (a, b *Membership) {
 	a, b = newMembership("dc-host-001", "dc", 1), newMembership("dc-host-002", "dc", 2)
 	var placed []load.Placed
--- a/process/membership/rank.go
+++ b/process/membership/rank.go
@@ -91,7 +91,7 @@
 	m.eachRemote(m.self.Region, now, f)
 }
 
-// eachRemote calls f for the hosts of other data centres in a region that tasks may be
+// eachRemote calls f for the hosts of remote data centres in a region that tasks may be
 // assigned to and that can be reached. The caller holds the lock.
 func (m *Membership) eachRemote(region string, now time.Time, f func(h *vetchtrail.Host)) {
 	for _, d := range m.remotes {
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestIntroduced guards against hosts of one data centre that never find each other, as
-// their only seed is in another data centre. The seed must introduce them.
+// their only seed is in a remote data centre. The seed must introduce them.
 func TestIntroduced(t *testing.T) {
 	seed := newMembership("seed", "other", 9)
 	first, second := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -35,7 +35,7 @@
 	return now.Sub(r.sentAt) >= RelayInterval && d.relayCount < PassEach || d.digest.GetNewest() > r.newest
 }
 
-// relaysFor returns the digests of other data centres to send to a member. A host relays
+// relaysFor returns the digests of remote data centres to send to a member. A host relays
 // every digest that it holds, not only those that it swapped for itself. From the host
 // that swapped alone, a digest would reach only that host's gossip peers before it is
 // too old, and in a data centre of hundreds these are few. The caller holds the lock.
--- a/process/membership/relay_test.go
+++ b/process/membership/relay_test.go
@@ -14,8 +14,8 @@
 
 // relayRun is the result of runRelays.
 type relayRun struct {
-	unreachable, checks int           // after settleTime: checks of a host that found the other data centre out of reach, and all checks
-	reachedAfter        time.Duration // time from the start until all hosts could forward to the other data centre
+	unreachable, checks int           // after settleTime: checks of a host that found the remote data centre out of reach, and all checks
+	reachedAfter        time.Duration // time from the start until all hosts could forward to the remote data centre
 	relayRate           float64       // after settleTime: digests relayed each second, for each host
 	startBytes          float64       // before settleTime: bytes of digests relayed each second, for each host
 }
@@ -26,7 +26,7 @@
 )
 
 // runRelays simulates a data centre whose hosts all start at once. One of them swaps
-// digests with another data centre of the same size and relays them to the others.
+// digests with a remote data centre of the same size and relays them to the others.
 func runRelays(hosts int) relayRun {
 	var r relayRun
 	s := newSimulation(hosts, 10)
@@ -59,7 +59,7 @@
 	return r
 }
 
-// swapWith gives the digest of another data centre to the host that is assigned to swap
+// swapWith gives the digest of a remote data centre to the host that is assigned to swap
 // with it.
 func (s *simulation) swapWith(other *Membership) {
 	for _, m := range s.hosts {
@@ -71,10 +71,10 @@
 	}
 }
 
-// TestDigestsReachAll guards against hosts that take another data centre for out of reach
+// TestDigestsReachAll guards against hosts that take a remote data centre for out of reach
 // while one of their own swaps digests with it. That happens in a data centre of hundreds
 // if relays do not spread a digest before it is too old. After a start, all hosts must be
-// able to forward to the other data centre within 4 s: a host that knows no host there
+// able to forward to the remote data centre within 4 s: a host that knows no host there
 // forwards nothing.
 func TestDigestsReachAll(t *testing.T) {
 	const reachedWithin = 4 * time.Second
--- a/process/membership/remote.go
+++ b/process/membership/remote.go
@@ -9,7 +9,7 @@
 	"vetchtrail/schema"
 )
 
-// remote is another data centre.
+// remote is what this host knows about a remote data centre.
 type remote struct {
 	digest           *schema.Digest    // the newest, with the newest members that are held
 	hosts            []vetchtrail.Host // cached by allHosts
@@ -41,7 +41,7 @@
 	return d.hosts
 }
 
-// DataCentre is the state of another data centre, as operators see it.
+// DataCentre is the state of a remote data centre, as operators see it.
 type DataCentre struct {
 	Name      string
 	Region    string
@@ -50,7 +50,7 @@
 	Reachable bool      // whether the digest is new enough and some of its hosts are known
 }
 
-// DataCentres returns the other data centres, sorted by name.
+// DataCentres returns the remote data centres, sorted by name.
 func (m *Membership) DataCentres(now time.Time) []DataCentre {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/notices/metrics.go
+++ b/process/notices/metrics.go
@@ -12,7 +12,7 @@
 	UnknownName = "vetchtrail_endpoint_fields_unknown_total"
 )
 
-// countNotice counts an announcement by what it says.
+// countNotice counts an announcement by its content.
 func countNotice(says string) { metrics.GetOrCreateCounter(Name + `{says="` + says + `"}`).Inc() }
 
 // countUnknownField counts an unknown field by its name, without the characters that a metric's label can't
--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -1,5 +1,5 @@
 // Package poll fetches the load reports of this data centre's endpoints and the platform's list of hosts, which
-// says which endpoints are leaving, and records both in a load.Table. The data centre's hosts share the
+// has the endpoints that are leaving, and records both in a load.Table. The data centre's hosts share the
 // endpoints between them, so that each is polled by one host. The package doesn't pass reports on to other
 // hosts.
 package poll
@@ -37,7 +37,7 @@
 
 // Duties assigns tasks to hosts.
 type Duties interface {
-	// OnDuty says whether this host is among the first n hosts for a task.
+	// OnDuty reports whether this host is among the first n hosts for a task.
 	OnDuty(task string, n int, now time.Time) bool
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// due says whether this host should poll an endpoint now: as its assigned host, or as the standby host while
+// due reports whether this host should poll an endpoint now: as its assigned host, or as the standby host while
 // reports are missing.
 func (p *Poller) due(name string, now time.Time) bool {
 	task := "poll " + name
@@ -161,8 +161,8 @@
 }
 
 // RunList polls the platform's list of hosts until ctx ends. The list lags behind the endpoints, so it only
-// takes endpoints out of use. They return when the list no longer has them as leaving, and no other source says
-// so.
+// takes endpoints out of use. They return when the list no longer has them as leaving, nor does any other
+// source.
 func (p *Poller) RunList(ctx context.Context) {
 	if !p.cfg.Hosts.IsValid() {
 		return
--- a/process/quarantines/losses.go
+++ b/process/quarantines/losses.go
@@ -13,8 +13,8 @@
 	// lossGatherTime is how long after the first loss at an endpoint it is probed. All connections
 	// of an endpoint that crashes are reset together, so that the other losses arrive in this time.
 	lossGatherTime = 60 * time.Millisecond
-	// secondProbeDelay is the delay between two probes of an endpoint. One that refuses both has
-	// crashed; one that has too many connections refuses only now and then.
+	// secondProbeDelay is the delay between two probes of an endpoint. An endpoint that refuses
+	// both has crashed; an endpoint with too many connections refuses only now and then.
 	secondProbeDelay = 100 * time.Millisecond
 	// probeTimeout bounds a probe. Endpoints are in the same region, and a crashed one refuses at
 	// once.
@@ -166,7 +166,7 @@
 	if !ok {
 		return quarantine.Crash{}, false
 	}
-	delete(t.endpoints, name) // also if all losses have expired: an entry left here would be marked as probing for ever
+	delete(t.endpoints, name) // also if all losses have expired: an entry left here would stay marked as probing
 	if len(a.lost) == 0 {
 		return quarantine.Crash{}, false
 	}
--- a/process/quarantines/quarantines_test.go
+++ b/process/quarantines/quarantines_test.go
@@ -160,7 +160,7 @@
 	})
 }
 
-// TestSuspectsExpire guards against suspects that hosts send each other for ever. Only aggregators
+// TestSuspectsExpire guards against suspects that hosts send each other without end. Only aggregators
 // send them, as long as they suspect them, and all hosts drop them afterwards.
 func TestSuspectsExpire(t *testing.T) {
 	withFleet(t, "", 6, func(t *testing.T, f *fleet) {
--- a/process/quotas/lease.go
+++ b/process/quotas/lease.go
@@ -25,14 +25,14 @@
 	// apart. But after a power failure of all hosts, when many callers retry, a host with little
 	// bandwidth takes some hundred milliseconds.
 	requestTimeout = 300 * time.Millisecond
-	// unreachableTime is how long an owner that did not reply is not asked again. By then the
+	// unreachableTime is how long an owner that did not reply gets no requests. By then the
 	// other hosts know whether it is alive.
 	unreachableTime = 2 * time.Second
 	// strictUnreachableTime replaces unreachableTime with Config.Strict. It is shorter because no
-	// other owner is asked meanwhile: after each lost lease request the host runs nothing for that
-	// long.
+	// other owner is queried meanwhile: after each lost lease request the host runs nothing for
+	// that long.
 	strictUnreachableTime = 500 * time.Millisecond
-	// ownerRetryDelay is how long a host that reached no owner waits until it asks again.
+	// ownerRetryDelay is how long a host that reached no owner waits until it tries again.
 	// Meanwhile it uses its equal share, or nothing with Config.Strict.
 	ownerRetryDelay = 200 * time.Millisecond
 )
@@ -45,8 +45,8 @@
 	return int(xxhash.Sum64String(name) % uint64(q.cfg.Shards))
 }
 
-// requestLease asks the region's owner, and then the hosts that rank after it, until one
-// replies. It returns false if none did.
+// requestLease sends a lease request to the region's owner, and then to the hosts that rank
+// after it, until one replies. It returns false if none did.
 func (q *Quotas) requestLease(r quota.LeaseRequest) (quota.LeaseReply, bool) {
 	now := time.Now()
 	for _, h := range q.cfg.Hosts.RankedIn(q.cfg.Self.Region, q.shardTask(q.shardOf(r.Workspace)), q.ownersToTry(), now) {
@@ -67,8 +67,8 @@
 }
 
 // ownersToTry returns how many hosts a lease request is sent to in turn. With Config.Strict it
-// is one. With two, when messages are late or lost, some host would always be asking the
-// second while the others ask the first, and both would lease out the whole quota.
+// is one. With two, when messages are late or lost, some host would always use the
+// second while the others use the first, and both would lease out the whole quota.
 func (q *Quotas) ownersToTry() int {
 	if q.cfg.Strict {
 		return 1
@@ -76,7 +76,7 @@
 	return maxOwnersTried
 }
 
-// unreachableTime returns how long an owner that did not reply is not asked again.
+// unreachableTime returns how long an owner that did not reply gets no requests.
 func (q *Quotas) unreachableTime() time.Duration {
 	if q.cfg.Strict {
 		return strictUnreachableTime
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -1,8 +1,8 @@
 // Package quotas keeps the requests that all hosts run for a workspace within its quota. It
 // also serves rate limits of endpoints, which are quotas of requests (package ratelimits).
 //
-// Package request/quota has the rules. This package holds their state for the life of the
-// process and carries their messages between hosts: lease requests to the owner of a quota,
+// Package request/quota has the rules. This package holds their state, which ends with the
+// process, and carries their messages between hosts: lease requests to the owner of a quota,
 // and the exchange of demand between the owners in different regions.
 package quotas
 
@@ -102,7 +102,7 @@
 	holder           quota.LeaseHolder
 	equalShare       quota.EqualShare
 	assigned         quota.AssignedShare
-	unreachableUntil time.Time     // until when no owner is asked, as none was reached
+	unreachableUntil time.Time     // until when no owner is queried, as none was reached
 	pending          chan struct{} // closed when the lease request under way has ended; nil: there is none
 	waitingUnits     float64       // units of the requests that wait for it
 }
@@ -178,7 +178,7 @@
 	return l.verdict(false, later(retryAt, now.Add(minRetryDelay)), now)
 }
 
-// minRetryDelay is the shortest time that a refused caller is told to wait.
+// minRetryDelay is the shortest retry delay that a refused caller receives.
 const minRetryDelay = 50 * time.Millisecond
 
 // later returns the later of two times.
@@ -198,7 +198,7 @@
 	return l.verdict(ok, retryAt, now)
 }
 
-// takeAssignedShare spends the cost from this host's assigned share, and asks for a new rate
+// takeAssignedShare spends the cost from this host's assigned share, and requests a new rate
 // from time to time.
 func (q *Quotas) takeAssignedShare(l *localQuota, workspace string, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
 	if l.assigned.RequestDue(now) {
@@ -290,7 +290,7 @@
 	go q.runRequest(l, r)
 }
 
-// runRequest sends a lease request and applies the reply. If no owner replies, it asks none
+// runRequest sends a lease request and applies the reply. If no owner replies, it sends none
 // for ownerRetryDelay.
 func (q *Quotas) runRequest(l *localQuota, r quota.LeaseRequest) {
 	reply, ok := q.requestLease(r)
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -1,6 +1,5 @@
 // Package ratelimits keeps the requests that all hosts send to an endpoint within the rate
-// limit that the endpoint advertises. It holds the state of the limits for the life of the
-// process.
+// limit that the endpoint advertises. Its state is held in memory and ends with the process.
 //
 // A rate limit is a quota of requests, shared by the hosts of a region (package quotas). One
 // host of the region, the owner, leases parts of the rate to the hosts. A host reserves one
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -112,8 +112,9 @@
 }
 
 // Covers implements vetchtrail.Permits. It is called just before the first byte is sent. A
-// request without a valid reservation would exceed the rate: one that was routed before the
-// endpoint advertised its limit, or reserved under a higher one or before a suspension.
+// request without a valid reservation would exceed the rate. Its target may have been chosen
+// before the endpoint advertised its limit, or its reservation was made under a higher limit
+// or before this host was suspended.
 func (l *RateLimits) Covers(p vetchtrail.Permit, e vetchtrail.Endpoint) bool {
 	limit, binds := l.limit(e.Name)
 	if !binds {
@@ -123,9 +124,9 @@
 }
 
 // leaseTransport sends lease requests to the owner of a rate limit and adds what this host
-// knows of the limit; the reply has what the owner knows. So an owner that the endpoint has
-// not told its limit learns it from the hosts that ask, and they learn of newer limits. It
-// implements quotas.Peers.
+// knows of the limit; the reply has what the owner knows. So an owner that has received no
+// limit from the endpoint learns it from the hosts that send it requests, and they learn of
+// newer limits. It implements quotas.Peers.
 type leaseTransport struct{ l *RateLimits }
 
 // Grant implements quotas.Peers.
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads and checks the settings file of one daemon: its name, its addresses,
-// those of the platform, its limits. What holds for the whole system, such as services and
+// those of the platform, its limits. What applies to the whole system, such as services and
 // routes, is not here but in the configuration, which is persisted on the platform.
 package settings
 
@@ -46,8 +46,8 @@
 // Listen holds the addresses that the daemon listens on. Callers and Peers are required.
 type Listen struct {
 	Callers netip.AddrPort `yaml:"callers"`
-	// Ready serves the readiness probe of a hosted platform, Directory tells callers of a
-	// hosted platform which hosts to use, and Metrics serves the process's metrics.
+	// Ready serves the readiness probe of a hosted platform, Directory gives callers of a
+	// hosted platform the hosts to use, and Metrics serves the process's metrics.
 	Ready     netip.AddrPort `yaml:"ready"`
 	Directory netip.AddrPort `yaml:"directory"`
 	Metrics   netip.AddrPort `yaml:"metrics"`
@@ -123,7 +123,7 @@
 	Poll    time.Duration `yaml:"poll"`     // interval between polls of an endpoint's load report
 	KeyTime time.Duration `yaml:"key_time"` // lifetime of an idempotency key
 	Leave   time.Duration `yaml:"leave"`    // from announcing a stop to closing the listener
-	Grace   time.Duration `yaml:"grace"`    // from being told to stop to being killed; 0: unlimited
+	Grace   time.Duration `yaml:"grace"`    // from the signal to stop to being killed; 0: unlimited
 }
 
 // Log holds the format and level of the daemon's log.
--- a/quarantine.go
+++ b/quarantine.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Hold says that a request is quarantined. The request with this content hash runs nowhere
+// Hold is the quarantine entry of a request. The request with this content hash runs nowhere
 // until the entry ends, as several endpoints crashed while they ran it.
 type Hold struct {
 	Digest Digest
@@ -15,7 +15,7 @@
 	Ends   int       // number of endpoints that crashed before this entry was made
 	Since  time.Time // by the boot-time clock (process/clock), as is Until
 	Until  time.Time // when the request may run again
-	// Released says that an operator ended the entry early.
+	// Released is set if an operator ended the entry early.
 	Released bool
 }
 
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -21,7 +21,7 @@
 // Update returns the rate limit that counts after a further response. A response that was
 // certainly written earlier than l changes nothing, and one that was certainly written later
 // replaces l. If the order is not certain, the stricter one counts: a response that was long
-// on its way must not lift a limit that the endpoint has advertised since.
+// in transit must not lift a limit that the endpoint has advertised since.
 func (l RateLimit) Update(next RateLimit) RateLimit {
 	switch {
 	case l.Heard.IsZero():
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -67,8 +67,8 @@
 }
 
 // TestRateLimitUpdate checks which of two responses of an endpoint counts, by the times at
-// which each can have been written. Responses overtake each other: one that was long on its
-// way must not lift a limit that the endpoint has advertised since.
+// which each can have been written. Responses overtake each other: a response that was long in
+// transit must not lift a limit that the endpoint has advertised since.
 func TestRateLimitUpdate(t *testing.T) {
 	at := func(second int) time.Time { return time.Unix(1_800_000_000+int64(second), 0) }
 	limit := func(rate float64, asked, heard int) RateLimit {
--- a/request/dispatch/quota.go
+++ b/request/dispatch/quota.go
@@ -41,8 +41,8 @@
 	return r.Key != "" && err == nil && d.cfg.Keeper.Mine(key)
 }
 
-// take takes the cost of the next attempt, unless that of an attempt that did not
-// run can be used. It returns false with the refusal if the quota is exceeded.
+// take takes the cost of the next attempt, unless the cost of an earlier attempt that
+// did not run can be used. It returns false with the refusal if the quota is exceeded.
 func (u *quotaUse) take(ctx context.Context, attempt int) (vetchtrail.Outcome, bool) {
 	if u.cost == 0 || u.taken {
 		return vetchtrail.Outcome{}, true
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -50,8 +50,8 @@
 
 // TestQuotaCost checks what a request takes from the quota of its workspace, by the
 // outcomes of its attempts. If an attempt that may have run did not count, a workspace
-// could exceed its quota with requests that fail. If the cost of one that did not run
-// were not reused or returned, a workspace would lose quota to refused requests.
+// could exceed its quota with requests that fail. If the cost of an attempt that did
+// not run were not reused or returned, a workspace would lose quota to refused requests.
 func TestQuotaCost(t *testing.T) {
 	repeatable := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
 	cases := map[string]struct {
@@ -96,7 +96,7 @@
 
 // TestAPIKeyRemoved checks that a request runs no more once its API key is removed from
 // its workspace, also between two attempts. Its outcome is still what is known of the
-// first attempt: one that may have run must not become "not run".
+// first attempt: if that may have run, the outcome must not become "not run".
 func TestAPIKeyRemoved(t *testing.T) {
 	removeKey := func(applyEdits func(...vetchtrail.Edit)) {
 		applyEdits(vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w"}})
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -121,7 +121,7 @@
 }
 
 // Begun reports whether the request of a key that this process issued may have been
-// started: there is a record of it, or there could have been one that was removed.
+// started: there is a record of it, or there may have been a record that was removed.
 func (k *Keeper) Begun(key Key) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/route.go
+++ b/route.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Route assigns requests to services and says how they may be handled. A request belongs to
+// Route assigns requests to services and defines how they may be handled. A request belongs to
 // the route of its host name with the longest matching path prefix.
 type Route struct {
 	Name       string
@@ -37,7 +37,7 @@
 	Weight  int // its share is Weight over the sum of all weights
 }
 
-// RouteKind says whether the requests of a route may run more than once, and whether they
+// RouteKind defines whether the requests of a route may run more than once, and whether they
 // are streams.
 type RouteKind uint8
 
--- a/schema/doc.go
+++ b/schema/doc.go
@@ -2,8 +2,8 @@
 // operators and hosts. It consists of the protobuf file, the code generated from
 // it, and conversions between messages and the domain types of the root package.
 //
-// Hosts' clocks differ, so messages between hosts give a moment as its distance
+// Hosts' clocks differ, so messages between hosts contain a time as its difference
 // from the time of sending. Receivers add it to the time of arrival and thereby
-// neglect the time on the way. A moment that only identifies or describes
+// neglect the time in transit. A time that only identifies or describes
 // something, such as an endpoint's start time, is sent as Unix nanoseconds.
 package schema
--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -4,7 +4,7 @@
 // exactly one change. The configuration that a host holds only ever moves to a
 // newer revision, whether it learns of it from the store or from a peer.
 //
-// The package doesn't say what a valid configuration is (see package rules),
+// The package doesn't define what a valid configuration is (see package rules),
 // and doesn't send changes between hosts.
 package changelog
 
--- a/version/document/document.go
+++ b/version/document/document.go
@@ -64,7 +64,7 @@
 	Fenced     bool           `yaml:"fenced,omitempty"`   // it checks fencing tokens
 }
 
-// Route selects requests by host name and path and says which services take
+// Route selects requests by host name and path and defines which services take
 // them and how.
 type Route struct {
 	Name         string        `yaml:"name"`
--- a/version/rules/rules.go
+++ b/version/rules/rules.go
@@ -36,7 +36,7 @@
 	allowed vetchtrail.RegionSet // empty: only the home region of the request
 }
 
-// Judgement says where and how urgently the configuration lets a request run.
+// Judgement is where and how urgently the configuration lets a request run.
 type Judgement struct {
 	Home     vetchtrail.RegionID  // region that the request belongs to
 	Allowed  vetchtrail.RegionSet // regions that may process it
--- a/version/rules/rules_test.go
+++ b/version/rules/rules_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestApply checks that an invalid edit is rejected with an error that says what
-// is wrong with it, and that no edit, valid or not, modifies the configuration
-// that it is applied to: hosts go on using that one.
+// TestApply checks that an invalid edit is rejected with an error that names
+// the fault, and that no edit, valid or not, modifies the configuration
+// that it is applied to: hosts still use that one.
 func TestApply(t *testing.T) {
 	endpoint := baseEdits()[3].(vetchtrail.PutEndpoint).Endpoint
 	change := func(f func(*vetchtrail.Endpoint)) vetchtrail.Edit {
@@ -212,7 +212,7 @@
 }
 
 // TestInvalidRoutes checks that a route with one wrong field is rejected with an
-// error that says which.
+// error that names the field.
 func TestInvalidRoutes(t *testing.T) {
 	cases := map[string]struct {
 		change func(*vetchtrail.Route)
--- a/workspace.go
+++ b/workspace.go
@@ -15,7 +15,7 @@
 	Priority int8     // higher is more urgent
 	// Keys are the hashes of the keys by which its callers identify themselves.
 	Keys []KeyHash
-	// Locked says that callers always need a key, even if all keys of the workspace have been
+	// Locked is set if callers always need a key, even if all keys of the workspace have been
 	// removed.
 	Locked bool
 	Quota  Quota
