--- a/process/load/load.go
+++ b/process/load/load.go
@@ -64,7 +64,7 @@
 	minUsualErrorShare = 0.3
 	maxUsualErrorShare = 0.5
 	// maxEjectedShare is the share of a service's endpoints that may be ejected at once. When more fail, the
-	// fault is not theirs.
+	// cause is not in the endpoints.
 	maxEjectedShare = 0.34
 	initialWarmUp   = 0.2 // warm-up share of an endpoint that returns
 	warmUpStep      = 0.1 // added to the warm-up share by each answer
@@ -81,7 +81,7 @@
 	byShortHash  map[uint32]*endpointState        // see Short
 	serviceStats map[string]*serviceStats         // by service
 	freed        map[string]chan struct{}         // by service; closed when capacity is freed
-	switchedOff  vetchtrail.Mechanisms            // not used
+	switchedOff  vetchtrail.Mechanisms            // mechanisms that are not used
 	remote       map[string][]remoteEndpoint      // by service; in other regions, sources of cached prompts
 	unlisted     map[instanceKey]unlistedInstance // announcements of instances that are not listed now
 	leavingLog   []leavingLogEntry                // oldest first
--- a/process/load/prediction_ratio.go
+++ b/process/load/prediction_ratio.go
@@ -10,8 +10,8 @@
 )
 
 // predictionRatio is the median ratio of observed to predicted times to a stream's first byte. It corrects
-// predictions, which are too long for most streams: a prediction is a mean, most of which comes from a few long
-// waits, and each of many hosts adds what it doesn't know about the others' requests. With hundreds of hosts
+// predictions, which are too long for most streams: a prediction is a mean, and a few long waits make up most of
+// it. Each host also adds an estimate of the other hosts' requests that it doesn't know. With hundreds of hosts
 // streams begin several times sooner than predicted.
 type predictionRatio struct{ median float64 }
 
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -28,7 +28,7 @@
 	// that a fit through few points stays possible.
 	minTokenSeconds = 5e-6
 	maxTokenSeconds = 1e-3
-	// initialGuessTokens is the prompt length of the initial guess.
+	// initialGuessTokens is the prompt length at the second point of the initial guess, see newPrefillFit.
 	initialGuessTokens = 4000.0
 )
 
@@ -90,8 +90,8 @@
 	return x ^ x>>31
 }
 
-// cachedTokens is how many tokens of a request's prompt the endpoint probably needs not read: the shared ones if
-// it has them cached, or most of them if it can transfer them from another endpoint.
+// cachedTokens is how many tokens of a request's prompt the endpoint probably doesn't have to read: the shared
+// ones if it has them cached, or most of these if it can transfer them from another endpoint.
 func (t *Table) cachedTokens(s *endpointState, r *vetchtrail.Request, session vetchtrail.PromptPart, isHome bool, now time.Time) int {
 	shared := r.PromptTokens() - r.Prompt[len(r.Prompt)-1].Tokens
 	switch {
@@ -176,7 +176,7 @@
 	return last
 }
 
-// unreadPrompt is a prompt that was sent to an endpoint and that it has still to read.
+// unreadPrompt is a prompt that was sent to an endpoint and that the endpoint hasn't read yet.
 type unreadPrompt struct {
 	tokens      int
 	tokensAhead float64 // expected to be read before it, when it was sent
@@ -282,7 +282,7 @@
 }
 
 // newPrefillFit returns the fit of the seconds to the first byte of an answer by the tokens to read. It starts
-// with two points: nothing to read, and initialGuessTokens at a tenth of initialTokenSeconds each.
+// with two points: no seconds for no tokens, and a tenth of initialTokenSeconds for each of initialGuessTokens.
 func newPrefillFit() linearFit {
 	f := linearFit{minSlope: minTokenSeconds, maxSlope: maxTokenSeconds}
 	f.add(0, 0, initialGuessWeight)
--- a/process/load/prompt_stats.go
+++ b/process/load/prompt_stats.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// observeCached learns how much of a prompt's shared part an endpoint had cached. The prompt has all tokens, of
-// which unread were still to be read and own belong to its last part, which no other request shares.
+// observeCached learns how much of a prompt's shared part an endpoint had cached. all is the number of
+// the prompt's tokens, unread of those that were still to be read, and own of those in its last part, which no
+// other request shares.
 func (p *promptStats) observeCached(unread, own, all int) {
 	if all > own {
 		p.cachedShare.observe(float64(all-unread) / float64(all-own))
--- a/process/load/release.go
+++ b/process/load/release.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// recordAnswer learns from an answer that is no error.
+// recordAnswer learns from an answer that is not an error.
 func (t *Table) recordAnswer(s *endpointState, o vetchtrail.Observation, now time.Time) {
 	svc := t.serviceStats[s.Service]
 	s.failuresInRow, s.ejections, s.connectFailuresInRow, s.errorsInRow = 0, 0, 0, 0
@@ -83,7 +83,7 @@
 // Other answers count as errors if their outcome has ReasonFailed.
 const minErrorStatus = 500
 
-// observeErrorShare learns from an answer whether the endpoint failed: 1 if it is an error answer, else 0. A
+// observeErrorShare updates the error shares with an answer. failed is 1 for an error answer, else 0. A
 // high share only raises the endpoint's cost in a decision. It doesn't take the endpoint out of use, as the
 // service's others may fail as often.
 func (s *endpointState) observeErrorShare(failed float64, svc *serviceStats, now time.Time) {
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -312,8 +312,8 @@
 }
 
 // reached reports whether an attempt reached, or may have reached, any process.
-// One that did not run reached a process if it failed at StepAnswer: it was
-// refused in a response.
+// An attempt that did not run reached a process if it failed at StepAnswer: it
+// was refused in a response.
 func reached(o vetchtrail.Outcome) bool {
 	return o.Kind != vetchtrail.NotRun || o.Step == vetchtrail.StepAnswer
 }
@@ -334,7 +334,7 @@
 }
 
 // mayRetry reports whether another attempt is safe and within the retry budget.
-// A host that received the request from another one never retries: that is up to
+// A host that received the request from another host never retries: that is up to
 // the sender.
 func (d *Dispatcher) mayRetry(ctx context.Context, r *vetchtrail.Request, o vetchtrail.Outcome, history *attemptHistory, attempt int) bool {
 	switch {
