--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -28,7 +28,7 @@
 	// HeaderLeaving is 1 in the responses of an endpoint that will stop soon and accepts no
 	// new requests.
 	HeaderLeaving = "X-Leaving"
-	// headerRetryAfter is, in a 503, the number of seconds for which an endpoint wants no
+	// headerRetryAfter is, in a 503, the number of seconds for which an endpoint accepts no
 	// requests from the host.
 	headerRetryAfter = "Retry-After"
 	// HeaderWorkspace names the request's workspace to the endpoint. Callers may set it in
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -23,7 +23,7 @@
 	readBufferBytes    = 8 << 10
 	dialTimeout        = 700 * time.Millisecond
 	// idleMargin is how long before its announced idle timeout a connection is no longer used:
-	// the endpoint may close it while a request is on its way.
+	// the endpoint may close it while a request is in transit.
 	idleMargin = 500 * time.Millisecond
 	// unrepeatableMaxIdle is the idle time up to which a connection may take a request that
 	// may not run twice. Endpoints may drop idle connections without notice, and such a
--- a/process/lists/fetch.go
+++ b/process/lists/fetch.go
@@ -36,7 +36,7 @@
 )
 
 // Run keeps the listing and the configuration up to date from other hosts until ctx ends.
-// While this host polls the platform itself and its listing is new, it queries nobody.
+// While this host polls the platform itself and its listing is new, it queries no other host.
 func (l *Lists) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.current.Load() == nil {
--- a/process/notices/notices.go
+++ b/process/notices/notices.go
@@ -1,5 +1,5 @@
 // Package notices logs and counts what endpoints announce of their availability: that they are leaving, or that
-// they are paused and want no requests from this host for a time. The announcements themselves are kept by
+// they are paused and accept no requests from this host for a time. The announcements themselves are kept by
 // package load. The state of this package, which prevents repeated log lines, ends with the process.
 package notices
 
