--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -23,7 +23,7 @@
 	readBufferBytes    = 8 << 10
 	dialTimeout        = 700 * time.Millisecond
 	// idleMargin is how long before its announced idle timeout a connection is no longer used:
-	// the endpoint may close it while a request is on its way.
+	// the endpoint may close it while a request is in transit.
 	idleMargin = 500 * time.Millisecond
 	// unrepeatableMaxIdle is the idle time up to which a connection may take a request that
 	// may not run twice. Endpoints may drop idle connections without notice, and such a
@@ -125,7 +125,8 @@
 }
 
 // get returns an idle connection that is still usable, or a new one. A request that may
-// not run twice (repeats is false) only gets one that was used shortly before.
+// not run twice (repeats is false) gets an idle connection only if that was used shortly
+// before.
 func (p *pool) get(ctx context.Context, key poolKey, repeats bool) (*conn, error) {
 	for {
 		c := p.pop(key)
--- a/process/lists/fetch.go
+++ b/process/lists/fetch.go
@@ -36,7 +36,7 @@
 )
 
 // Run keeps the listing and the configuration up to date from other hosts until ctx ends.
-// While this host polls the platform itself and its listing is new, it queries nobody.
+// While this host polls the platform itself and its listing is new, it queries no other host.
 func (l *Lists) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.current.Load() == nil {
@@ -62,7 +62,7 @@
 }
 
 // fetchFromPeers queries hosts in turn until one has a recent listing.
-// A host that the platform rejects says so in its reply, and the next is queried at once.
+// A host that the platform rejects reports that in its reply, and the next is queried at once.
 func (l *Lists) fetchFromPeers(ctx context.Context) {
 	now := time.Now()
 	for _, h := range l.peersToQuery(now) {
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -121,7 +121,7 @@
 }
 
 // Begun reports whether the request of a key that this process issued may have been
-// started: there is a record of it, or there could have been one that was removed.
+// started: there is a record of it, or there may have been a record that was removed.
 func (k *Keeper) Begun(key Key) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -218,7 +218,7 @@
 }
 
 // Tee forwards an answer to the caller and keeps a copy of it. If the caller is gone, it
-// goes on copying without an error, because the caller may repeat the request to get the
+// still copies it, without an error, because the caller may repeat the request to get the
 // answer.
 type Tee struct {
 	To         vetchtrail.Answer // where the answer is forwarded
