--- /dev/null
+++ b/soak/announcements.go
@@ -0,0 +1,105 @@
+package soak
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"vetchtrail/standin/engine"
+	"vetchtrail/standin/ledger"
+)
+
+const (
+	// leavingPropagation is how long the hosts of an engine's region may take to learn that the
+	// engine announces that it is leaving.
+	leavingPropagation = 3 * time.Second
+	// minLeavingDuration and maxLeavingDuration bound how long an engine announces this, and
+	// leavingPause is the time until the next engine does.
+	minLeavingDuration = 6 * time.Second
+	maxLeavingDuration = 12 * time.Second
+	leavingPause       = 2 * time.Second
+	// pauseSeconds is the time for which an engine that rejects requests asks hosts to pause: they
+	// send to other engines meanwhile.
+	pauseSeconds = "3"
+)
+
+// announceAvailability makes one engine at a time announce that it is leaving, or reject requests
+// with a pause, until ctx ends. After that the engine acts as a process that has just started,
+// which announces nothing.
+func (c *checker) announceAvailability(ctx context.Context, rnd *rand.Rand) {
+	modelEngines := c.modelEngines()
+	for ctx.Err() == nil {
+		name := modelEngines[rnd.IntN(len(modelEngines))]
+		length := minLeavingDuration + time.Duration(rnd.Float64()*float64(maxLeavingDuration-minLeavingDuration))
+		if rnd.IntN(3) == 0 {
+			c.announce(ctx, name, engine.Words{Away: pauseSeconds})
+		} else if c.announce(ctx, name, engine.Words{Leaving: "1"}) {
+			from := time.Now()
+			sleep(ctx, length)
+			c.checkLeavingEngine(context.WithoutCancel(ctx), name, from)
+		}
+		c.announce(context.WithoutCancel(ctx), name, engine.Words{Anew: true})
+		sleep(ctx, leavingPause)
+	}
+}
+
+// modelEngines returns the names of the model engines.
+func (c *checker) modelEngines() []string {
+	var out []string
+	for _, e := range c.d.Document.Endpoints {
+		if e.Service == c.d.Spec.Model.Name {
+			out = append(out, e.Name)
+		}
+	}
+	return out
+}
+
+// announce makes an engine announce its availability in its responses. It returns false if the
+// engine could not be reached.
+func (c *checker) announce(ctx context.Context, name string, w engine.Words) bool {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	addr, err := c.fleet.EndpointAddr(name)
+	if err == nil {
+		err = c.fleet.Client.Put(ctx, addr, "/words", w)
+	}
+	if err != nil {
+		c.note("announcement not set: engine not reached")
+	}
+	return err == nil
+}
+
+// checkLeavingEngine checks that an engine that has announced since from that it is leaving gets
+// no new requests once leavingPropagation has passed.
+func (c *checker) checkLeavingEngine(ctx context.Context, name string, from time.Time) {
+	until := time.Now()
+	if c.engineInterrupted(advertised{engine: name, from: from, until: until}) {
+		c.note("leaving engine not checked: it was killed or frozen")
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	var words engine.Words
+	var list []ledger.Execution
+	addr, err := c.fleet.EndpointAddr(name)
+	if err == nil {
+		err = c.fleet.Client.Get(ctx, addr, "/words", &words)
+	}
+	if err == nil {
+		err = c.fleet.Client.Get(ctx, addr, "/arrivals", &list)
+	}
+	if err != nil || words.Leaving == "" { // the poison request crashed the engine meanwhile, and it restarted
+		c.note("leaving engine not checked: it crashed or was not reached")
+		return
+	}
+	got := 0
+	for _, e := range list {
+		if e.At.After(from.Add(leavingPropagation)) && e.At.Before(until) {
+			got++
+		}
+	}
+	c.note("leaving engine checked")
+	if allowed := newHostAllowance * c.hostStarts(from, until); got > allowed {
+		c.recordViolation("a leaving endpoint gets no new requests", "%s got %d later than %s after it announced that it is leaving; allowed: %d", name, got, leavingPropagation, allowed)
+	}
+}
--- a/soak/check.go
+++ b/soak/check.go
@@ -14,14 +14,14 @@
 	"vetchtrail/standin/ledger"
 )
 
-// Violation is a broken promise.
+// Violation describes one broken promise.
 type Violation struct {
 	At      time.Duration // into the run
 	Promise string
 	Detail  string
 }
 
-// attempt is a sending of a keyed request.
+// attempt is one attempt at a keyed request.
 type attempt struct {
 	began, ended time.Time
 	host         string
@@ -29,73 +29,79 @@
 	text         string
 }
 
-// process is what was seen of a host's process.
+// process is what the checker knows of a host's current process.
 type process struct {
-	number   int    // of the host's processes so far
-	revision uint64 // the newest configuration that it told
+	number   int    // how many processes of the host have ended; identifies reports of an earlier one
+	revision uint64 // newest configuration revision that the process reported
 }
 
-// checker gathers what callers and endpoints saw. It is safe for use by many.
+// checker gathers what callers, endpoints and hosts report and checks the promises against it.
+// It is safe for concurrent use.
 type checker struct {
-	fleet  *fleet.Fleet
-	d      *deployment.Deployment
-	began  time.Time
-	events []Event
+	fleet     *fleet.Fleet
+	d         *deployment.Deployment
+	startedAt time.Time
+	faults    []Fault // the schedule of the run
 
-	mu         sync.Mutex
-	violations []Violation
-	notes      map[string]int
-	keys       map[string][]attempt
-	runs       map[string][]ledger.Execution // of engines that were killed since, by endpoint
-	hosts      map[string]process
-	named      []named // rates that engines named
-	deadly     int     // arrivals of the deadly request at engines that were killed since
+	mu                sync.Mutex
+	violations        []Violation
+	notes             map[string]int                // observations that break no promise, counted
+	keys              map[string][]attempt          // by idempotency key
+	earlierExecutions map[string][]ledger.Execution // by endpoint, of processes that were killed since
+	processes         map[string]process            // by host
+	advertised        []advertised                  // rate limits that engines advertised
+	poisonArrivals    int                           // of the poison request at engines, as far as they were read
 }
 
-func newChecker(f *fleet.Fleet, d *deployment.Deployment, events []Event) *checker {
+// newChecker returns a checker of a run that starts now.
+func newChecker(f *fleet.Fleet, d *deployment.Deployment, faults []Fault) *checker {
 	return &checker{
-		fleet: f, d: d, began: time.Now(), events: events, notes: map[string]int{}, keys: map[string][]attempt{},
-		runs: map[string][]ledger.Execution{}, hosts: map[string]process{},
+		fleet: f, d: d, startedAt: time.Now(), faults: faults, notes: map[string]int{}, keys: map[string][]attempt{},
+		earlierExecutions: map[string][]ledger.Execution{}, processes: map[string]process{},
 	}
 }
 
-func (c *checker) violate(promise, format string, args ...any) {
+// recordViolation records a broken promise with its details.
+func (c *checker) recordViolation(promise, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violations = append(c.violations, Violation{At: time.Since(c.began), Promise: promise, Detail: fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Violation{At: time.Since(c.startedAt), Promise: promise, Detail: fmt.Sprintf(format, args...)})
 }
 
-// note counts something that happened and breaks no promise.
+// note counts an observation that breaks no promise.
 func (c *checker) note(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notes[what]++
 }
 
-// ended tells that a host's process has ended: the next may hold less.
-func (c *checker) ended(host string) {
+// processEnded records that a host's process has ended. The next process may start with an older
+// revision.
+func (c *checker) processEnded(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hosts[host] = process{number: c.hosts[host].number + 1}
+	c.processes[host] = process{number: c.processes[host].number + 1}
 }
 
-// collect keeps what an endpoint ran, before its process ends.
-func (c *checker) collect(ctx context.Context, endpoint string) error {
+// keepExecutions keeps the list of what an endpoint ran before its process is killed.
+func (c *checker) keepExecutions(ctx context.Context, endpoint string) error {
 	list, err := c.executions(ctx, endpoint)
 	if err != nil {
-		c.note("endpoint not asked before its end") // frozen, or not up yet
+		c.note("executions not read before a kill") // frozen, or not up yet
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.runs[endpoint] = append(c.runs[endpoint], list...)
+	c.earlierExecutions[endpoint] = append(c.earlierExecutions[endpoint], list...)
 	return nil
 }
 
-const askTime = 2 * time.Second
+// queryTimeout bounds a call by which the checker reads from or sets a host or endpoint.
+const queryTimeout = 2 * time.Second
 
+// executions returns the requests that an endpoint's process has started.
 func (c *checker) executions(ctx context.Context, endpoint string) ([]ledger.Execution, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	addr, err := c.fleet.EndpointAddr(endpoint)
 	if err != nil {
@@ -105,123 +111,129 @@
 	return list, c.fleet.Client.Get(ctx, addr, "/executions", &list)
 }
 
-// runs is how many requests an endpoint's process has started.
-func (c *checker) runsOf(ctx context.Context, endpoint string) (int, error) {
+// executionCount returns how many requests an endpoint's process has started.
+func (c *checker) executionCount(ctx context.Context, endpoint string) (int, error) {
 	list, err := c.executions(ctx, endpoint)
 	return len(list), err
 }
 
-// calm says whether no fault that may hold up the news of a drain was at work in a
-// span: of the store, of links, or of hosts.
-func (c *checker) calm(from, until time.Time) bool {
-	for _, e := range c.events {
+// noPropagationFault reports whether no fault was active in a span that may delay the news of a
+// drain: a fault of the store, of links or of hosts.
+func (c *checker) noPropagationFault(from, until time.Time) bool {
+	for _, e := range c.faults {
 		switch e.Kind {
-		case EngineRefuse, EngineCut, EngineEarly, EngineJunk, EngineKill, EngineFreeze, AppLost, Drain, LinkReset:
+		case EngineRefuses, EngineCutsStreams, EngineEndsEarly, EngineNonsense, EngineKill, EngineFreeze, PlainLosesResponses, EndpointDrain, LinkReset:
 			continue
 		}
-		if c.began.Add(e.At).Before(until) && c.began.Add(e.End()+settle).After(from) {
+		if c.startedAt.Add(e.Start).Before(until) && c.startedAt.Add(e.End()+settleTime).After(from) {
 			return false
 		}
 	}
 	return true
 }
 
-// struck says whether a host was frozen, cut off, slowed or ended in a span.
-func (c *checker) struck(host string, from, until time.Time) bool {
+// hostAffected reports whether a fault on a host, or on a link or all hosts of its region, was
+// active in a span.
+func (c *checker) hostAffected(host string, from, until time.Time) bool {
 	region := ""
 	for _, h := range c.d.Hosts {
 		if h.Host == host {
 			region = h.Region
 		}
 	}
-	for _, e := range c.events {
+	for _, e := range c.faults {
 		mine := e.Target == host || e.Target == region || e.To == region
-		if mine && c.began.Add(e.At).Before(until) && c.began.Add(e.End()+settle).After(from) {
+		if mine && c.startedAt.Add(e.Start).Before(until) && c.startedAt.Add(e.End()+settleTime).After(from) {
 			return true
 		}
 	}
 	return false
 }
 
-// asked checks the answer to a model request.
-func (c *checker) asked(a client.Ask, host string, began time.Time, r client.Result) {
+// checkModelResponse checks the content, the order and the duration of a response to a model
+// request.
+func (c *checker) checkModelResponse(a client.Ask, host string, began time.Time, r client.Result) {
 	want := a.Want()
 	switch {
 	case r.Whole && r.Status == 200 && r.Text != want:
-		c.violate("a whole answer is the right one", "%s: %q instead of %q", host, r.Text, want)
+		c.recordViolation("a complete response has the right content", "%s: got %q, want %q", host, r.Text, want)
 	case r.Status == 200 && !r.Whole && r.Err == nil:
-		c.violate("an answer that ends early does not look whole", "%s: ended in order after %q", host, r.Text)
+		c.recordViolation("a response that ends early does not look complete", "%s: ended without an error after %q", host, r.Text)
 	case len(r.Text) > len(want) || r.Text != want[:len(r.Text)]:
-		c.violate("a stream comes in order", "%s: %q is no beginning of %q", host, r.Text, want)
-	case r.Took > a.Timeout+heldMost && !c.struck(host, began, time.Now()):
-		c.violate("a request ends in its time", "%s: %s of %s, outcome %q %v", host, r.Took, a.Timeout, r.Outcome, r.Err)
+		c.recordViolation("a stream arrives in order", "%s: %q is not a prefix of %q", host, r.Text, want)
+	case r.Took > a.Timeout+maxOverrun && !c.hostAffected(host, began, time.Now()):
+		c.recordViolation("a request ends by its deadline", "%s: took %s with a timeout of %s, outcome %q, error %v", host, r.Took, a.Timeout, r.Outcome, r.Err)
 	}
 }
 
-// heldMost is how long over its time a request may take on a busy machine.
-const heldMost = 4 * time.Second
+// maxOverrun is how long after its timeout a request may end on a busy machine.
+const maxOverrun = 4 * time.Second
 
-// keyed notes a sending of a keyed request.
-func (c *checker) keyed(key string, a attempt) {
+// recordAttempt records an attempt at a keyed request.
+func (c *checker) recordAttempt(key string, a attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keys[key] = append(c.keys[key], a)
 }
 
-// watch looks at the hosts' revisions until ctx ends.
-func (c *checker) watch(ctx context.Context) {
+// watchRevisions checks the revisions of all hosts every second until ctx ends.
+func (c *checker) watchRevisions(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, h := range c.d.Hosts {
-			c.look(ctx, h.Host)
+			c.checkRevision(ctx, h.Host)
 		}
 		sleep(ctx, time.Second)
 	}
 }
 
-// look checks that a host's process holds no older configuration than before.
-func (c *checker) look(ctx context.Context, host string) {
+// checkRevision reads a host's revision and checks that its process hasn't gone back to an older
+// one.
+func (c *checker) checkRevision(ctx context.Context, host string) {
 	s, err := c.fleet.Settings(host)
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
-	before := c.hosts[host]
+	before := c.processes[host]
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	op, err := operator.Dial(ctx, operator.Config{Addr: s.Listen.Peers})
 	if err != nil {
-		return // it is down, or frozen
+		return // the host is down or frozen
 	}
 	defer func() { _ = op.Close() }()
 	reply, err := op.Status(ctx, &schema.StatusRequest{})
 	if err != nil {
 		return
 	}
-	c.told(host, before, reply.GetRevision())
+	c.recordRevision(host, before, reply.GetRevision())
 }
 
-// told takes the revision that a host told when it was asked.
-func (c *checker) told(host string, asked process, revision uint64) {
+// recordRevision checks the revision that a host reported against before, the state of its process
+// that was known before the call, and records it. If the process has ended since, it ignores the
+// revision: either process may have sent it.
+func (c *checker) recordRevision(host string, before process, revision uint64) {
 	c.mu.Lock()
-	now := c.hosts[host]
-	if now.number == asked.number {
-		c.hosts[host] = process{number: now.number, revision: max(now.revision, revision)}
+	current := c.processes[host]
+	if current.number == before.number {
+		c.processes[host] = process{number: current.number, revision: max(current.revision, revision)}
 	}
 	c.mu.Unlock()
-	if now.number == asked.number && revision < asked.revision {
-		c.violate("a configuration is never replaced by an older one", "%s: %d after %d", host, revision, asked.revision)
+	if current.number == before.number && revision < before.revision {
+		c.recordViolation("a configuration is never replaced by an older one", "%s: %d after %d", host, revision, before.revision)
 	}
 }
 
-// finish checks what only the end tells: how often each request ran, and where.
-func (c *checker) finish(ctx context.Context) error {
+// checkExecutions checks how often each request ran, and where. It is called at the end of the
+// run, when the endpoints' records are complete.
+func (c *checker) checkExecutions(ctx context.Context) error {
 	all, err := c.fleet.Executions(ctx)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	for name, list := range c.runs {
+	for name, list := range c.earlierExecutions {
 		all[name] = append(all[name], list...)
 	}
 	c.mu.Unlock()
@@ -230,57 +242,59 @@
 		for _, e := range list {
 			keys[e.Key]++
 			requests[e.Request]++
-			c.atHome(name, e)
+			c.checkRegion(name, e)
 		}
 	}
 	for id, n := range requests {
-		if id != "" && n > attemptsMost {
-			c.violate("a request is not passed around", "%s was started %d times", id, n)
+		if id != "" && n > maxExecutions {
+			c.recordViolation("a request is not forwarded in a loop", "%s was started %d times", id, n)
 		}
 	}
 	for key, list := range c.keys {
-		c.once(key, list, keys[key])
+		c.checkKeyedRequest(key, list, keys[key])
 	}
 	return nil
 }
 
-// attemptsMost is how many endpoints a request without a key may be sent to.
-const attemptsMost = 2
+// maxExecutions is how many times endpoints may start one request, with retries.
+const maxExecutions = 2
 
-// atHome checks that a request of a bound workspace ran in its region.
-func (c *checker) atHome(endpoint string, e ledger.Execution) {
+// checkRegion checks that a request of a workspace that is bound to a region ran there.
+func (c *checker) checkRegion(endpoint string, e ledger.Execution) {
 	for _, w := range c.d.Document.Workspaces {
 		if w.Name != e.Workspace {
 			continue
 		}
 		for _, x := range c.d.Document.Endpoints {
 			if x.Name == endpoint && x.Region != w.Home {
-				c.violate("a workspace's requests run in its region", "%s ran at %s", w.Name, endpoint)
+				c.recordViolation("a workspace's requests run in its region", "%s ran at %s", w.Name, endpoint)
 			}
 		}
 	}
 }
 
-// once checks the sendings of one key against how often it ran.
-func (c *checker) once(key string, list []attempt, runs int) {
+// checkKeyedRequest checks the attempts with one idempotency key against the number of times that
+// the request ran. Only the last attempt is checked for a false "not run": after an earlier one
+// that did not run, a later one may have.
+func (c *checker) checkKeyedRequest(key string, list []attempt, runs int) {
 	answer := ""
 	for _, a := range list {
 		switch a.outcome {
 		case "answered":
 			if runs == 0 {
-				c.violate("what was answered ran", "key %s, at %s", key, a.host)
+				c.recordViolation("an answered request ran", "key %s, at %s", key, a.host)
 			}
 			if answer != "" && a.text != answer {
-				c.violate("repeats get the first answer", "key %s: %q after %q", key, a.text, answer)
+				c.recordViolation("retries get the first response", "key %s: %q after %q", key, a.text, answer)
 			}
 			answer = a.text
 		case "not-run":
 			if runs > 0 && a.began.Equal(list[len(list)-1].began) {
-				c.violate("not run is true", "key %s, at %s: it ran %d times", key, a.host, runs)
+				c.recordViolation("a request reported as not run did not run", "key %s, at %s: ran %d times", key, a.host, runs)
 			}
 		}
 	}
 	if runs > 1 {
-		c.violate("a keyed request runs at most once", "key %s ran %d times", key, runs)
+		c.recordViolation("a keyed request runs at most once", "key %s ran %d times", key, runs)
 	}
 }
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -14,7 +14,8 @@
 	"vetchtrail/standin/ledger"
 )
 
-func small(t *testing.T) *deployment.Deployment {
+// smallDeployment returns a deployment of two regions with two hosts and one engine each.
+func smallDeployment(t *testing.T) *deployment.Deployment {
 	t.Helper()
 	spec, err := deployment.Sized(250, 2, 2, 1)
 	assert.NilError(t, err)
@@ -22,9 +23,10 @@
 	return &d
 }
 
-// TestChecks: what of the things that callers and endpoints may see breaks a
-// promise, and which.
-func TestChecks(t *testing.T) {
+// TestPromiseChecks guards against checks that miss a broken promise or report one that holds:
+// each case gives the checker what a caller, an endpoint or a host may show, and the promise that
+// this breaks, if any.
+func TestPromiseChecks(t *testing.T) {
 	ask := client.Ask{Prompt: "p", Tokens: 3, Timeout: time.Second}
 	want := ask.Want()
 	began := time.Now()
@@ -32,50 +34,58 @@
 		return attempt{began: began.Add(time.Duration(n) * time.Second), outcome: outcome, text: text}
 	}
 	cases := map[string]struct {
-		sees func(c *checker)
-		want string
+		observe func(c *checker)
+		want    string
 	}{
-		"a right answer": {func(c *checker) {
-			c.asked(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: want})
+		"right content": {func(c *checker) {
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: want})
 		}, ""},
-		"a wrong answer": {func(c *checker) {
-			c.asked(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: "x"})
-		}, "a whole answer is the right one"},
-		"a short answer as if whole": {func(c *checker) {
-			c.asked(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: want[:2]})
-		}, "a whole answer is the right one"},
-		"a cut answer": {func(c *checker) {
-			c.asked(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[:2], Err: io.ErrUnexpectedEOF})
+		"wrong content": {func(c *checker) {
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: "x"})
+		}, "a complete response has the right content"},
+		"short response that looks complete": {func(c *checker) {
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: want[:2]})
+		}, "a complete response has the right content"},
+		"cut response": {func(c *checker) {
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[:2], Err: io.ErrUnexpectedEOF})
 		}, ""},
-		"one that ends in order": {func(c *checker) { c.asked(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[:2]}) }, "an answer that ends early does not look whole"},
+		"short response that ends without an error": {func(c *checker) {
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[:2]})
+		}, "a response that ends early does not look complete"},
 		"events out of order": {func(c *checker) {
-			c.asked(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[2:4], Err: io.ErrUnexpectedEOF})
-		}, "a stream comes in order"},
-		"held for long":              {func(c *checker) { c.asked(ask, "centre-1-1", began, client.Result{Took: time.Minute}) }, "a request ends in its time"},
-		"once":                       {func(c *checker) { c.once("k", []attempt{at(0, "answered", "a")}, 1) }, ""},
-		"twice":                      {func(c *checker) { c.once("k", []attempt{at(0, "answered", "a")}, 2) }, "a keyed request runs at most once"},
-		"never, though answered":     {func(c *checker) { c.once("k", []attempt{at(0, "answered", "a")}, 0) }, "what was answered ran"},
-		"another answer":             {func(c *checker) { c.once("k", []attempt{at(0, "answered", "a"), at(1, "answered", "b")}, 1) }, "repeats get the first answer"},
-		"not run, and did not":       {func(c *checker) { c.once("k", []attempt{at(0, "not-run", "")}, 0) }, ""},
-		"not run, and did":           {func(c *checker) { c.once("k", []attempt{at(0, "not-run", "")}, 1) }, "not run is true"},
-		"not run, then run":          {func(c *checker) { c.once("k", []attempt{at(0, "not-run", ""), at(1, "answered", "a")}, 1) }, ""},
-		"at home":                    {func(c *checker) { c.atHome("centre-1-engine-1", ledger.Execution{Workspace: "region-1-bound"}) }, ""},
-		"away from home":             {func(c *checker) { c.atHome("centre-2-engine-1", ledger.Execution{Workspace: "region-1-bound"}) }, "a workspace's requests run in its region"},
-		"newer":                      {func(c *checker) { c.told("h", process{}, 4); c.told("h", process{revision: 4}, 5) }, ""},
-		"older":                      {func(c *checker) { c.told("h", process{}, 4); c.told("h", process{revision: 4}, 3) }, "a configuration is never replaced by an older one"},
-		"older, in the next process": {func(c *checker) { c.told("h", process{}, 4); c.ended("h"); c.told("h", process{number: 1}, 0) }, ""},
-		"asked before the end": {func(c *checker) {
-			c.told("h", process{}, 4)
-			c.ended("h")
-			c.told("h", process{revision: 4}, 4)
-			c.told("h", process{number: 1}, 0)
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[2:4], Err: io.ErrUnexpectedEOF})
+		}, "a stream arrives in order"},
+		"ends long after its deadline": {func(c *checker) { c.checkModelResponse(ask, "centre-1-1", began, client.Result{Took: time.Minute}) }, "a request ends by its deadline"},
+		"runs once":                    {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "answered", "a")}, 1) }, ""},
+		"runs twice":                   {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "answered", "a")}, 2) }, "a keyed request runs at most once"},
+		"answered but never ran":       {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "answered", "a")}, 0) }, "an answered request ran"},
+		"retry gets another response": {func(c *checker) {
+			c.checkKeyedRequest("k", []attempt{at(0, "answered", "a"), at(1, "answered", "b")}, 1)
+		}, "retries get the first response"},
+		"not run, and did not run":           {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "not-run", "")}, 0) }, ""},
+		"not run, but ran":                   {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "not-run", "")}, 1) }, "a request reported as not run did not run"},
+		"not run at first, ran at the retry": {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "not-run", ""), at(1, "answered", "a")}, 1) }, ""},
+		"runs in its region":                 {func(c *checker) { c.checkRegion("centre-1-engine-1", ledger.Execution{Workspace: "region-1-bound"}) }, ""},
+		"runs in another region":             {func(c *checker) { c.checkRegion("centre-2-engine-1", ledger.Execution{Workspace: "region-1-bound"}) }, "a workspace's requests run in its region"},
+		"newer revision":                     {func(c *checker) { c.recordRevision("h", process{}, 4); c.recordRevision("h", process{revision: 4}, 5) }, ""},
+		"older revision":                     {func(c *checker) { c.recordRevision("h", process{}, 4); c.recordRevision("h", process{revision: 4}, 3) }, "a configuration is never replaced by an older one"},
+		"older revision of the next process": {func(c *checker) {
+			c.recordRevision("h", process{}, 4)
+			c.processEnded("h")
+			c.recordRevision("h", process{number: 1}, 0)
+		}, ""},
+		"late report of the process before": {func(c *checker) {
+			c.recordRevision("h", process{}, 4)
+			c.processEnded("h")
+			c.recordRevision("h", process{revision: 4}, 4)
+			c.recordRevision("h", process{number: 1}, 0)
 		}, ""},
 	}
 	for name, k := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := small(t)
+			d := smallDeployment(t)
 			c := newChecker(&fleet.Fleet{}, d, nil)
-			k.sees(c)
+			k.observe(c)
 			got := ""
 			if len(c.violations) > 0 {
 				got = c.violations[0].Promise
@@ -85,46 +95,47 @@
 	}
 }
 
-// TestSchedule: a seed gives the same faults; nothing is struck by two at a time,
-// and in a long run each kind comes.
+// TestSchedule guards against a failed seed that can't be repeated, two faults on one resource at
+// a time, of which the end of one would clear the other, and kinds of fault that never occur.
 func TestSchedule(t *testing.T) {
 	const seed, length, rate = 7, 30 * time.Minute, 1
-	d := small(t)
-	events := Schedule(seed, length, rate, d)
-	assert.DeepEqual(t, events, Schedule(seed, length, rate, d))
-	assert.Assert(t, len(events) > 500, "%d", len(events))
+	d := smallDeployment(t)
+	faults := Schedule(seed, length, rate, d)
+	assert.DeepEqual(t, faults, Schedule(seed, length, rate, d))
+	assert.Assert(t, len(faults) > 500, "%d", len(faults))
 	kinds := map[Kind]bool{}
 	last := map[string]time.Duration{}
-	for _, e := range events {
+	for _, e := range faults {
 		kinds[e.Kind] = true
-		assert.Assert(t, e.At >= last[e.object()], "%v", e)
-		last[e.object()] = e.End()
+		assert.Assert(t, e.Start >= last[e.resource()], "%v", e)
+		last[e.resource()] = e.End()
 	}
-	assert.Equal(t, len(kinds), len(weights))
+	assert.Equal(t, len(kinds), len(faultWeights))
 }
 
-// TestConfig: values that can't be run are named.
-func TestConfig(t *testing.T) {
-	spec := small(t).Spec
+// TestConfigBounds guards against a run that starts with values out of bounds, or an error that
+// doesn't name the value.
+func TestConfigBounds(t *testing.T) {
+	spec := smallDeployment(t).Spec
 	cases := map[string]struct {
-		config Config
-		names  string
+		config    Config
+		wantError string
 	}{
-		"usual":     {Config{Length: time.Second, Rate: 1, Callers: 1, Spec: spec}, ""},
-		"no length": {Config{Rate: 1, Callers: 1, Spec: spec}, "length"},
-		"rate":      {Config{Length: time.Second, Rate: 99, Callers: 1, Spec: spec}, "faults a second"},
-		"callers":   {Config{Length: time.Second, Rate: 1, Callers: 99, Spec: spec}, "callers"},
-		"processes": {Config{Length: time.Second, Rate: 1, Callers: 1, Spec: deployment.Small(1, 40, 40)}, "processes"},
+		"in bounds":  {Config{Length: time.Second, Rate: 1, Callers: 1, Spec: spec}, ""},
+		"no length":  {Config{Rate: 1, Callers: 1, Spec: spec}, "length"},
+		"fault rate": {Config{Length: time.Second, Rate: 99, Callers: 1, Spec: spec}, "faults a second"},
+		"callers":    {Config{Length: time.Second, Rate: 1, Callers: 99, Spec: spec}, "callers"},
+		"processes":  {Config{Length: time.Second, Rate: 1, Callers: 1, Spec: deployment.Small(1, 40, 40)}, "processes"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, err := Run(context.Background(), Config{})
 			assert.ErrorContains(t, err, "length")
-			if c.names == "" {
+			if c.wantError == "" {
 				assert.NilError(t, c.config.Check())
 				return
 			}
-			assert.ErrorContains(t, c.config.Check(), c.names)
+			assert.ErrorContains(t, c.config.Check(), c.wantError)
 		})
 	}
 }
--- /dev/null
+++ b/soak/poison.go
@@ -0,0 +1,91 @@
+package soak
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"vetchtrail/standin/client"
+	"vetchtrail/standin/engine"
+)
+
+const (
+	// poisonPrompt is the prompt that crashes engines, and poisonRestartDelay how long a crashed
+	// engine takes to listen again.
+	poisonPrompt       = "the drawing that ends its reader"
+	poisonRestartDelay = 700 * time.Millisecond
+	// poisonRetryInterval is the pause of its caller between two attempts.
+	poisonRetryInterval = 300 * time.Millisecond
+	// crashesPerRegion is how many crashes a region without contact to the others needs before it
+	// quarantines the request.
+	crashesPerRegion = 3
+)
+
+// sendPoisonRequests sends the poison request to random hosts until ctx ends, and checks how it
+// is rejected once it is quarantined.
+func (v *driver) sendPoisonRequests(ctx context.Context) {
+	for ctx.Err() == nil {
+		h := v.d.Hosts[v.rnd.IntN(len(v.d.Hosts))]
+		r := v.client.Do(ctx, client.Ask{
+			Host: h.Listen.Callers, Service: v.d.Spec.Model.Name, Stream: true, Timeout: modelTimeout, Prompt: poisonPrompt, Tokens: maxTokens,
+		})
+		switch {
+		case r.Reason == "held-back" && (r.Status != http.StatusServiceUnavailable || !r.RetryAt.IsZero()):
+			v.checks.recordViolation("a quarantined request is rejected with 503 and no retry time", "status %d, %s", r.Status, r.Detail)
+		case r.Reason == "held-back":
+			v.checks.note("poison request quarantined")
+		}
+		sleep(ctx, poisonRetryInterval)
+	}
+}
+
+// keepPoisonArrivals adds the arrivals of the poison request at an engine's process to the total.
+// It is called before the engine is killed, as the next process starts without them, and at the
+// end of the run.
+func (c *checker) keepPoisonArrivals(ctx context.Context, endpoint string) {
+	n := c.poisonArrivalsAt(ctx, endpoint)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.poisonArrivals += n
+}
+
+// poisonArrivalsAt returns how often the poison request reached an engine's process.
+func (c *checker) poisonArrivalsAt(ctx context.Context, endpoint string) int {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	addr, err := c.fleet.EndpointAddr(endpoint)
+	if err != nil {
+		return 0
+	}
+	var l engine.Life
+	if c.fleet.Client.Get(ctx, addr, "/life", &l) != nil {
+		c.note("poison arrivals not read: engine not reached")
+	}
+	return len(l.Deadly)
+}
+
+// checkPoisonArrivals checks how often the poison request reached engines. Each region may need
+// crashesPerRegion crashes to quarantine it by itself. Each fault that makes a host lose its
+// state, or miss a message about the quarantine, allows for one arrival more.
+func (c *checker) checkPoisonArrivals(ctx context.Context) {
+	for _, e := range c.d.Document.Endpoints {
+		if e.Service == c.d.Spec.Model.Name {
+			c.keepPoisonArrivals(ctx, e.Name)
+		}
+	}
+	bound := crashesPerRegion * len(c.d.Spec.Regions)
+	for _, e := range c.faults {
+		switch e.Kind {
+		case EngineKill, EngineFreeze, EngineRefuses, EngineCutsStreams, EngineEndsEarly, EngineNonsense, PlainLosesResponses, EndpointDrain, LinkSlow, LinkReset:
+		default:
+			bound++
+		}
+	}
+	c.mu.Lock()
+	n := c.poisonArrivals
+	c.notes["poison request arrivals at engines"] = n
+	c.mu.Unlock()
+	if n > bound {
+		c.recordViolation("a poison request is quarantined", "it reached engines %d times; allowed: %d", n, bound)
+	}
+}
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -11,41 +11,46 @@
 )
 
 const (
-	// rateWindow, rateShare and rateExtra are the users' bound on what an endpoint gets that names a
-	// rate, and rateKnown the time in which the hosts of its region know of it: a heartbeat and an answer.
-	rateWindow = 4 * time.Second
-	rateShare  = 1.5
-	rateExtra  = 5
-	rateKnown  = 2 * time.Second
-	// rateShortest and rateLongest bound how long one is named, and ratePause is the time between two.
-	rateShortest = 8 * time.Second
-	rateLongest  = 14 * time.Second
-	ratePause    = time.Second
-	// newHost is what a host that has just started may send beside: it hears of the rate by its first
-	// answer or the first heartbeat of another.
-	newHost = 5
+	// The users' bound on an endpoint that advertises a rate limit: in any rateWindow it gets at
+	// most rateTolerance times what the limit allows, and rateAllowance requests in addition.
+	rateWindow    = 4 * time.Second
+	rateTolerance = 1.5
+	rateAllowance = 5
+	// ratePropagation is how long the hosts of the engine's region may take to learn of a rate
+	// limit: the time of a response and a heartbeat.
+	ratePropagation = 2 * time.Second
+	// minRateDuration and maxRateDuration bound how long an engine advertises a rate limit, and
+	// ratePause is the time until the next engine does.
+	minRateDuration = 8 * time.Second
+	maxRateDuration = 14 * time.Second
+	ratePause       = time.Second
+	// newHostAllowance is how many requests a host that has just started may send in addition: it
+	// learns of the rate limit only from its first response or another host's first heartbeat.
+	newHostAllowance = 5
 )
 
-// named is a rate that an engine named for a time.
-type named struct {
+// advertised is what an engine advertised for a time: a rate limit, or, with rate 0, that it is
+// leaving.
+type advertised struct {
 	engine      string
-	rate        float64
+	rate        float64 // requests a second
 	from, until time.Time
 }
 
-// nameRates has one engine after the other name a rate, until ctx ends; then none does.
-func (c *checker) nameRates(ctx context.Context, rnd *rand.Rand) {
-	engines := c.engines()
+// advertiseRateLimits makes one engine at a time advertise a rate limit, until ctx ends. Then no
+// engine does.
+func (c *checker) advertiseRateLimits(ctx context.Context, rnd *rand.Rand) {
+	modelEngines := c.modelEngines()
 	for ctx.Err() == nil {
-		n := named{engine: engines[rnd.IntN(len(engines))], rate: []float64{0.5, 1, 2, 5}[rnd.IntN(4)]}
-		length := rateShortest + time.Duration(rnd.Float64()*float64(rateLongest-rateShortest))
-		if c.setRate(ctx, n.engine, strconv.FormatFloat(n.rate, 'g', -1, 64)) {
+		n := advertised{engine: modelEngines[rnd.IntN(len(modelEngines))], rate: []float64{0.5, 1, 2, 5}[rnd.IntN(4)]}
+		length := minRateDuration + time.Duration(rnd.Float64()*float64(maxRateDuration-minRateDuration))
+		if c.setRateLimit(ctx, n.engine, strconv.FormatFloat(n.rate, 'g', -1, 64)) {
 			n.from = time.Now()
 			sleep(ctx, length)
 			n.until = time.Now()
-			if c.setRate(context.WithoutCancel(ctx), n.engine, "") {
+			if c.setRateLimit(context.WithoutCancel(ctx), n.engine, "") {
 				c.mu.Lock()
-				c.named = append(c.named, n)
+				c.advertised = append(c.advertised, n)
 				c.mu.Unlock()
 			}
 		}
@@ -53,79 +58,82 @@
 	}
 }
 
-// setRate has an engine name a rate from now on, or none; false: it could not be asked.
-func (c *checker) setRate(ctx context.Context, engine, rate string) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+// setRateLimit makes an engine advertise a rate limit from now on, or none if rate is empty. It
+// returns false if the engine could not be reached.
+func (c *checker) setRateLimit(ctx context.Context, engine, rate string) bool {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	addr, err := c.fleet.EndpointAddr(engine)
 	if err == nil {
 		err = c.fleet.Client.Put(ctx, addr, "/rate", rate)
 	}
 	if err != nil {
-		c.note("engine not told its rate")
+		c.note("rate limit not set: engine not reached")
 	}
 	return err == nil
 }
 
-// ratesKept checks what the engines got while they named a rate.
-func (c *checker) ratesKept(ctx context.Context) {
-	for _, n := range c.named {
-		if c.restless(n) {
-			c.note("rate named by an engine that was struck")
+// checkRateLimits checks each rate limit that was advertised against the requests that its
+// engine started. It leaves out engines that were interrupted meanwhile.
+func (c *checker) checkRateLimits(ctx context.Context) {
+	for _, n := range c.advertised {
+		if c.engineInterrupted(n) {
+			c.note("rate limit not checked: engine was killed or frozen")
 			continue
 		}
 		list, err := c.executions(ctx, n.engine)
 		if err != nil {
-			c.note("engine not asked what it got of its rate")
+			c.note("rate limit not checked: executions not read")
 			continue
 		}
-		c.note("rate named")
-		c.rateKept(n, append(slices.Clone(c.runs[n.engine]), list...))
+		c.note("rate limit checked")
+		c.checkRateLimit(n, append(slices.Clone(c.earlierExecutions[n.engine]), list...))
 	}
 }
 
-// rateKept checks one rate in all windows of the time in which it was named.
-func (c *checker) rateKept(n named, runs []ledger.Execution) {
-	var at []time.Time
+// checkRateLimit checks one rate limit in every rateWindow of the time in which it was advertised
+// and known.
+func (c *checker) checkRateLimit(n advertised, runs []ledger.Execution) {
+	var starts []time.Time
 	for _, e := range runs {
-		if e.At.After(n.from.Add(rateKnown)) && e.At.Before(n.until) {
-			at = append(at, e.At)
+		if e.At.After(n.from.Add(ratePropagation)) && e.At.Before(n.until) {
+			starts = append(starts, e.At)
 		}
 	}
-	slices.SortFunc(at, time.Time.Compare)
+	slices.SortFunc(starts, time.Time.Compare)
 	first := 0
-	for last, now := range at {
-		for now.Sub(at[first]) >= rateWindow {
+	for last, now := range starts {
+		for now.Sub(starts[first]) >= rateWindow {
 			first++
 		}
-		bound := rateShare*n.rate*rateWindow.Seconds() + rateExtra + float64(newHost*c.starts(at[first].Add(-rateKnown), now))
+		bound := rateTolerance*n.rate*rateWindow.Seconds() + rateAllowance + float64(newHostAllowance*c.hostStarts(starts[first].Add(-ratePropagation), now))
 		if got := last - first + 1; float64(got) > bound {
-			c.violate("an endpoint gets no more than the rate that it names", "%s got %d in %s of a rate of %g; allowed %g", n.engine, got, rateWindow, n.rate, bound)
+			c.recordViolation("an endpoint gets no more than its advertised rate limit", "%s started %d requests within %s at a limit of %g a second; allowed: %g", n.engine, got, rateWindow, n.rate, bound)
 			return
 		}
 	}
 }
 
-// restless says whether an engine was killed or stood still while it named a rate: what it was sent
-// meanwhile it notes at once when it goes on.
-func (c *checker) restless(n named) bool {
-	return slices.ContainsFunc(c.events, func(e Event) bool {
+// engineInterrupted reports whether an engine was killed or frozen in the span of n. A frozen
+// engine records what it was sent in one burst when it resumes, which would look like too many.
+func (c *checker) engineInterrupted(n advertised) bool {
+	return slices.ContainsFunc(c.faults, func(e Fault) bool {
 		hit := e.Target == n.engine && (e.Kind == EngineKill || e.Kind == EngineFreeze)
-		return hit && c.began.Add(e.At).Before(n.until) && c.began.Add(e.End()+settle).After(n.from)
+		return hit && c.startedAt.Add(e.Start).Before(n.until) && c.startedAt.Add(e.End()+settleTime).After(n.from)
 	})
 }
 
-// starts is how many hosts may have started, or gone on after they stood still, in a span.
-func (c *checker) starts(from, until time.Time) int {
+// hostStarts returns how many hosts may have started, or resumed after a freeze, in a span.
+func (c *checker) hostStarts(from, until time.Time) int {
 	n := 0
-	for _, e := range c.events {
-		if end := c.began.Add(e.End()); end.Add(settle).Before(from) || end.After(until) {
+	for _, e := range c.faults {
+		if end := c.startedAt.Add(e.End()); end.Add(settleTime).Before(from) || end.After(until) {
 			continue
 		}
 		switch e.Kind {
 		case HostKill, HostStop, HostFreeze:
 			n++
-		case AllStop:
+		case RegionStop:
 			n += len(c.d.Hosts) / len(c.d.Spec.Regions)
 		}
 	}
--- a/soak/report.go
+++ b/soak/report.go
@@ -14,12 +14,12 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Write writes a report as text.
+// Write writes the report as text: counts of faults, requests and notes, then the violations.
 func (r *Report) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintf(w, "seed\t%d\nfaults\t%d\n", r.Seed, len(r.Events))
+	_, _ = fmt.Fprintf(w, "seed\t%d\nfaults\t%d\n", r.Seed, len(r.Faults))
 	kinds := Tally{}
-	for _, e := range r.Events {
+	for _, e := range r.Faults {
 		kinds[string(e.Kind)]++
 	}
 	for _, list := range []struct {
@@ -37,14 +37,14 @@
 	return w.Flush()
 }
 
-// Size of the timeline.
+// Size of the timeline's image.
 const (
 	plotWidth  = 28 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
 )
 
-// outcomes are the lines of the timeline, with their colours.
-var outcomes = []struct {
+// outcomeLines are the lines of the timeline: outcomes of requests and their colours.
+var outcomeLines = []struct {
 	name   string
 	colour color.RGBA
 }{
@@ -54,15 +54,15 @@
 	{"cut", color.RGBA{R: 0x70, G: 0x40, B: 0xa0, A: 0xff}},
 }
 
-// Plot writes the timeline as an SVG file: how requests ended in each second, and
-// the faults as bars below.
+// Plot writes the timeline as an SVG file: the outcomes of requests in each second as lines, and
+// the faults as bars below them.
 func (r *Report) Plot(file string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("soak, seed %d: %d faults, %d promises broken", r.Seed, len(r.Events), len(r.Violations))
+	p.Title.Text = fmt.Sprintf("soak, seed %d: %d faults, %d promises broken", r.Seed, len(r.Faults), len(r.Violations))
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "requests a second; below: faults"
-	for _, o := range outcomes {
-		points := make(plotter.XYs, len(r.Seconds))
-		for i, t := range r.Seconds {
+	for _, o := range outcomeLines {
+		points := make(plotter.XYs, len(r.OutcomesBySecond))
+		for i, t := range r.OutcomesBySecond {
 			points[i] = plotter.XY{X: float64(i), Y: float64(t[o.name])}
 		}
 		l, err := plotter.NewLine(points)
@@ -73,7 +73,7 @@
 		p.Add(l)
 		p.Legend.Add(o.name, l)
 	}
-	if err := r.bars(p); err != nil {
+	if err := r.addFaultBars(p); err != nil {
 		return err
 	}
 	p.Legend.Top = true
@@ -83,15 +83,15 @@
 	return nil
 }
 
-// bars adds a bar for each fault, one row for each kind.
-func (r *Report) bars(p *plot.Plot) error {
+// addFaultBars adds a bar for each fault, in one row for each kind.
+func (r *Report) addFaultBars(p *plot.Plot) error {
 	rows := map[Kind]int{}
-	for _, e := range r.Events {
+	for _, e := range r.Faults {
 		if _, ok := rows[e.Kind]; !ok {
 			rows[e.Kind] = len(rows) + 1
 		}
-		y := -float64(rows[e.Kind]) * barGap
-		l, err := plotter.NewLine(plotter.XYs{{X: e.At.Seconds(), Y: y}, {X: e.End().Seconds(), Y: y}})
+		y := -float64(rows[e.Kind]) * rowHeight
+		l, err := plotter.NewLine(plotter.XYs{{X: e.Start.Seconds(), Y: y}, {X: e.End().Seconds(), Y: y}})
 		if err != nil {
 			return errors.Wrap(err, "soak.Plot")
 		}
@@ -100,7 +100,7 @@
 	}
 	labels := plotter.XYLabels{}
 	for kind, row := range rows {
-		labels.XYs = append(labels.XYs, plotter.XY{X: 0, Y: -float64(row) * barGap})
+		labels.XYs = append(labels.XYs, plotter.XY{X: 0, Y: -float64(row) * rowHeight})
 		labels.Labels = append(labels.Labels, string(kind))
 	}
 	if len(rows) == 0 {
@@ -114,5 +114,6 @@
 	return nil
 }
 
-// barGap is the distance between two rows of faults, in requests a second.
-const barGap = 6.0
+// rowHeight is the distance between two rows of faults, in units of the vertical axis (requests a
+// second).
+const rowHeight = 6.0
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -1,6 +1,3 @@
-// Package soak runs a deployment of real programs as separate processes under a
-// random schedule of faults, and checks the promises of docs/PROOFS.md from what
-// callers and endpoints see.
 package soak
 
 import (
@@ -12,88 +9,89 @@
 	"vetchtrail/standin/deployment"
 )
 
-// Kind is a kind of fault.
+// Kind is a kind of fault; its text is shown in reports and timelines.
 type Kind string
 
-// Kinds of fault.
+// Kinds of fault. The engines are the stand-ins for model endpoints.
 const (
-	HostKill     Kind = "host killed"
-	HostStop     Kind = "host stopped in order"
-	HostFreeze   Kind = "host frozen"
-	AllStop      Kind = "all hosts of a region stopped in order"
-	LinkCut      Kind = "link cut"
-	LinkForth    Kind = "link cut one way"
-	LinkReset    Kind = "connections reset"
-	LinkSlow     Kind = "link slow"
-	StoreDown    Kind = "store down"
-	StoreSilent  Kind = "store silent"
-	StoreSlow    Kind = "store slow"
-	StoreLost    Kind = "store loses answers"
-	EngineKill   Kind = "endpoint killed"
-	EngineFreeze Kind = "endpoint frozen"
-	EngineRefuse Kind = "endpoint refuses"
-	EngineCut    Kind = "endpoint cuts streams"
-	EngineEarly  Kind = "endpoint ends streams early, as if whole"
-	EngineJunk   Kind = "endpoint answers nonsense"
-	AppLost      Kind = "plain service loses answers"
-	Drain        Kind = "endpoint drained and taken back"
+	HostKill            Kind = "host killed"
+	HostStop            Kind = "host stopped gracefully"
+	HostFreeze          Kind = "host frozen"
+	RegionStop          Kind = "all hosts of a region stopped gracefully"
+	LinkCut             Kind = "link cut"
+	LinkCutOneWay       Kind = "link cut in one direction"
+	LinkReset           Kind = "connections reset"
+	LinkSlow            Kind = "link slow"
+	StoreDown           Kind = "store down"
+	StoreSilent         Kind = "store silent"
+	StoreSlow           Kind = "store slow"
+	StoreLosesResponses Kind = "store loses responses"
+	EngineKill          Kind = "endpoint killed"
+	EngineFreeze        Kind = "endpoint frozen"
+	EngineRefuses       Kind = "endpoint refuses"
+	EngineCutsStreams   Kind = "endpoint cuts streams"
+	EngineEndsEarly     Kind = "endpoint ends streams early, without an error"
+	EngineNonsense      Kind = "endpoint sends malformed responses"
+	PlainLosesResponses Kind = "plain service loses responses"
+	EndpointDrain       Kind = "endpoint drained and undrained"
 )
 
-// weights are how often each kind comes beside the others.
-var weights = []struct {
+// faultWeights are the relative frequencies of the kinds of fault.
+var faultWeights = []struct {
 	kind   Kind
 	weight int
 }{
-	{HostKill, 4}, {HostStop, 4}, {HostFreeze, 3}, {AllStop, 1}, {LinkCut, 3}, {LinkForth, 3}, {LinkReset, 2}, {LinkSlow, 2},
-	{StoreDown, 2}, {StoreSilent, 2}, {StoreSlow, 1}, {StoreLost, 2}, {EngineKill, 3}, {EngineFreeze, 2}, {EngineRefuse, 2},
-	{EngineCut, 2}, {EngineEarly, 2}, {EngineJunk, 1}, {AppLost, 2}, {Drain, 3},
+	{HostKill, 4}, {HostStop, 4}, {HostFreeze, 3}, {RegionStop, 1}, {LinkCut, 3}, {LinkCutOneWay, 3}, {LinkReset, 2}, {LinkSlow, 2},
+	{StoreDown, 2}, {StoreSilent, 2}, {StoreSlow, 1}, {StoreLosesResponses, 2}, {EngineKill, 3}, {EngineFreeze, 2}, {EngineRefuses, 2},
+	{EngineCutsStreams, 2}, {EngineEndsEarly, 2}, {EngineNonsense, 1}, {PlainLosesResponses, 2}, {EndpointDrain, 3},
 }
 
-// Event is one fault, from a moment of the run on.
-type Event struct {
-	At     time.Duration
-	For    time.Duration
-	Kind   Kind
-	Target string // a host, an endpoint, or the region where a link begins
-	To     string // the region or platform where a link ends; of a region's stop, its data centre
+// Fault is one scheduled fault.
+type Fault struct {
+	Start    time.Duration // into the run
+	Duration time.Duration
+	Kind     Kind
+	Target   string // a host, an endpoint, or a region: the one to stop, or the one where a link starts
+	To       string // where a link ends: a region or the platform; for RegionStop, the data centre of the region
 }
 
-// End is when the fault is over.
-func (e Event) End() time.Duration { return e.At + e.For }
+// End returns the time into the run at which the fault is cleared.
+func (f Fault) End() time.Duration { return f.Start + f.Duration }
 
 const (
-	quietStart = 2 * time.Second // before the first fault
-	// shortest and longest bound a fault; the longest is well above the seconds in
-	// which a host is taken as dead.
-	shortest = 200 * time.Millisecond
-	longest  = 6 * time.Second
-	// drainFor is how long an endpoint is drained: it must be left alone for some of
-	// it.
-	drainFor = 9 * time.Second
+	faultFreeStart = 2 * time.Second // from the start of the run to its first fault
+	// minFaultDuration and maxFaultDuration bound a fault. The maximum is well above the few
+	// seconds after which the other hosts take a silent host for dead.
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 6 * time.Second
+	// drainDuration is how long an endpoint is drained. It covers drainPropagation, after which
+	// the endpoint must get no new requests, and drainObservation, in which that is checked.
+	drainDuration = 9 * time.Second
 )
 
-// Schedule draws the faults of a run: rate a second, in series and overlapping.
-// The same seed and deployment give the same.
-func Schedule(seed uint64, length time.Duration, rate float64, d *deployment.Deployment) []Event {
+// Schedule draws the faults of a run at random, at an average of faultsPerSecond, and drops
+// those that would affect a resource while another fault does. The others may overlap in time.
+// The same seed and deployment give the same schedule.
+func Schedule(seed uint64, length time.Duration, faultsPerSecond float64, d *deployment.Deployment) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, seed>>7))
 	total := 0
-	for _, w := range weights {
+	for _, w := range faultWeights {
 		total += w.weight
 	}
-	var out []Event
-	for at := quietStart; at < length; at += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)) {
-		e := Event{At: at, For: shortest + time.Duration(rnd.Float64()*float64(longest-shortest)), Kind: drawKind(rnd, total)}
-		e.aim(rnd, d)
-		if !overlaps(out, e) {
-			out = append(out, e)
+	var out []Fault
+	for at := faultFreeStart; at < length; at += time.Duration(rnd.ExpFloat64() / faultsPerSecond * float64(time.Second)) {
+		f := Fault{Start: at, Duration: minFaultDuration + time.Duration(rnd.Float64()*float64(maxFaultDuration-minFaultDuration)), Kind: pickKind(rnd, total)}
+		f.pickTarget(rnd, d)
+		if !overlaps(out, f) {
+			out = append(out, f)
 		}
 	}
 	return out
 }
 
-func drawKind(rnd *rand.Rand, total int) Kind {
+func pickKind(rnd *rand.Rand, total int) Kind {
 	n := rnd.IntN(total)
-	for _, w := range weights {
+	for _, w := range faultWeights {
 		if n -= w.weight; n < 0 {
 			return w.kind
 		}
@@ -101,32 +99,32 @@
 	return HostKill
 }
 
-// aim picks what a fault strikes.
-func (e *Event) aim(rnd *rand.Rand, d *deployment.Deployment) {
+// pickTarget draws the target of a fault, which depends on its kind.
+func (f *Fault) pickTarget(rnd *rand.Rand, d *deployment.Deployment) {
 	region := func() string { return d.Spec.Regions[rnd.IntN(len(d.Spec.Regions))].Name }
-	switch e.Kind {
+	switch f.Kind {
 	case HostKill, HostStop, HostFreeze:
-		e.Target = d.Hosts[rnd.IntN(len(d.Hosts))].Host
-	case AllStop:
+		f.Target = d.Hosts[rnd.IntN(len(d.Hosts))].Host
+	case RegionStop:
 		r := d.Spec.Regions[rnd.IntN(len(d.Spec.Regions))]
-		e.Target, e.To = r.Name, r.DataCentre
-	case LinkCut, LinkForth, LinkReset, LinkSlow:
-		e.Target, e.To = region(), region()
-		if e.Target == e.To {
-			e.To = deployment.PlatformName
+		f.Target, f.To = r.Name, r.DataCentre
+	case LinkCut, LinkCutOneWay, LinkReset, LinkSlow:
+		f.Target, f.To = region(), region()
+		if f.Target == f.To {
+			f.To = deployment.PlatformName
 		}
-	case StoreDown, StoreSilent, StoreSlow, StoreLost:
-	case AppLost:
-		e.Target = drawEndpoint(rnd, d, d.Spec.Plain.Name)
+	case StoreDown, StoreSilent, StoreSlow, StoreLosesResponses:
+	case PlainLosesResponses:
+		f.Target = pickEndpoint(rnd, d, d.Spec.Plain.Name)
 	default:
-		e.Target = drawEndpoint(rnd, d, d.Spec.Model.Name)
+		f.Target = pickEndpoint(rnd, d, d.Spec.Model.Name)
 	}
-	if e.Kind == Drain {
-		e.For = drainFor
+	if f.Kind == EndpointDrain {
+		f.Duration = drainDuration
 	}
 }
 
-func drawEndpoint(rnd *rand.Rand, d *deployment.Deployment, service string) string {
+func pickEndpoint(rnd *rand.Rand, d *deployment.Deployment, service string) string {
 	var names []string
 	for _, e := range d.Document.Endpoints {
 		if e.Service == service {
@@ -136,30 +134,33 @@
 	return names[rnd.IntN(len(names))]
 }
 
-// overlaps says whether a fault strikes what another still does: a stopped process
-// can't be frozen, and the end of one would heal the other.
-func overlaps(all []Event, e Event) bool {
-	return slices.ContainsFunc(all, func(o Event) bool {
-		return e.At < o.End()+settle && (o.object() == e.object() || o.holds(e) || e.holds(o))
+// overlaps reports whether f affects a resource that another fault still affects, or did less
+// than settleTime ago. Two faults on one resource don't work: a stopped process can't be frozen,
+// and clearing one link fault would clear the other too.
+func overlaps(scheduled []Fault, f Fault) bool {
+	return slices.ContainsFunc(scheduled, func(other Fault) bool {
+		return f.Start < other.End()+settleTime && (other.resource() == f.resource() || other.stopsTargetOf(f) || f.stopsTargetOf(other))
 	})
 }
 
-// settle is how long a process or link is left alone after a fault: the end of an
-// orderly stop takes about a second.
-const settle = 2 * time.Second
+// settleTime is how long no fault affects a resource again after a fault on it was cleared, and
+// how long checks still count a cleared fault as active. A graceful stop takes about a second.
+const settleTime = 2 * time.Second
 
-// holds says whether a stop of a whole region strikes what another event does.
-func (e Event) holds(o Event) bool {
-	return e.Kind == AllStop && (o.Kind == AllStop || strings.HasPrefix(o.Target, e.To+"-"))
+// stopsTargetOf reports whether f stops all hosts of a region and other affects one of these
+// hosts, or is such a stop too: only one region is stopped at a time.
+func (f Fault) stopsTargetOf(other Fault) bool {
+	return f.Kind == RegionStop && (other.Kind == RegionStop || strings.HasPrefix(other.Target, f.To+"-"))
 }
 
-// object is what is struck, so that only one fault holds it at a time.
-func (e Event) object() string {
-	switch e.Kind {
-	case LinkCut, LinkForth, LinkReset, LinkSlow:
-		return e.Target + ">" + e.To
-	case StoreDown, StoreSilent, StoreSlow, StoreLost:
+// resource returns the process, link or store that a fault affects. Only one fault at a time affects
+// a resource.
+func (f Fault) resource() string {
+	switch f.Kind {
+	case LinkCut, LinkCutOneWay, LinkReset, LinkSlow:
+		return f.Target + ">" + f.To
+	case StoreDown, StoreSilent, StoreSlow, StoreLosesResponses:
 		return "store"
 	}
-	return e.Target
+	return f.Target
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,3 +1,7 @@
+// Package soak runs a deployment of the real programs, as separate processes on this machine,
+// under a random schedule of faults and under requests of many callers. It checks the promises
+// of docs/PROOFS.md from what callers and endpoints see and from the configuration revisions
+// that hosts report. It doesn't measure performance: standin/loadrun and standin/capacity do.
 package soak
 
 import (
@@ -18,63 +22,64 @@
 	"vetchtrail/standin/fleet"
 )
 
-// Config says how a run is to be.
+// Config holds the parameters of a run.
 type Config struct {
-	Seed      uint64
-	Length    time.Duration
-	Rate      float64 // faults a second
-	Callers   int     // for each host
+	Seed      uint64        // of the schedule of faults and of the requests
+	Length    time.Duration // how long faults are injected
+	Rate      float64       // faults a second
+	Callers   int           // for each host
 	Spec      deployment.Spec
 	Binaries  string    // directory of the programs
 	Directory string    // for settings files and logs
-	Progress  io.Writer // nil: none
-	// Deadly has a caller send a request under which engines end, again and again.
+	Progress  io.Writer // receives a line every few seconds; nil: none
+	// Deadly makes one caller send a poison request, which crashes engines, again and again.
 	Deadly bool
-	// Rates has engines name rates in their answers, one after the other.
+	// Rates makes engines advertise a rate limit in their responses, one engine at a time.
 	Rates bool
-	// Words has engines say that they leave, or turn hosts away for a time, one after the other.
+	// Words makes engines announce that they are leaving, or reject requests and ask hosts to
+	// pause, one engine at a time.
 	Words bool
 }
 
-// Bounds of a run: of the machine's processes, and of what one person waits for.
+// Bounds of a run: what one machine can run, and how long a person waits for it.
 const (
-	mostLength    = 2 * time.Hour
-	mostProcesses = 200
-	mostRate      = 5.0
-	mostCallers   = 8
+	maxRunLength      = 2 * time.Hour
+	maxProcesses      = 200
+	maxFaultRate      = 5.0
+	maxCallersPerHost = 8
 )
 
-// Check returns an error that names a value that can't be run.
+// Check returns an error that names the first value that is out of bounds.
 func (c *Config) Check() error {
 	processes := 3
 	for _, r := range c.Spec.Regions {
 		processes += r.Hosts + r.Engines + r.Plains
 	}
 	switch {
-	case c.Length <= 0 || c.Length > mostLength:
-		return errors.Errorf("soak: a length of %s: above 0 and up to %s", c.Length, mostLength)
-	case c.Rate <= 0 || c.Rate > mostRate:
-		return errors.Errorf("soak: %g faults a second: above 0 and up to %g", c.Rate, mostRate)
-	case c.Callers <= 0 || c.Callers > mostCallers:
-		return errors.Errorf("soak: %d callers for a host: 1 to %d", c.Callers, mostCallers)
-	case processes > mostProcesses:
-		return errors.Errorf("soak: %d processes: up to %d", processes, mostProcesses)
+	case c.Length <= 0 || c.Length > maxRunLength:
+		return errors.Errorf("soak: length %s is out of bounds: must be above 0 and at most %s", c.Length, maxRunLength)
+	case c.Rate <= 0 || c.Rate > maxFaultRate:
+		return errors.Errorf("soak: %g faults a second are out of bounds: must be above 0 and at most %g", c.Rate, maxFaultRate)
+	case c.Callers <= 0 || c.Callers > maxCallersPerHost:
+		return errors.Errorf("soak: %d callers for each host are out of bounds: must be 1 to %d", c.Callers, maxCallersPerHost)
+	case processes > maxProcesses:
+		return errors.Errorf("soak: %d processes are too many: must be at most %d", processes, maxProcesses)
 	}
 	return nil
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
-	Seed       uint64
-	Events     []Event
-	Outcomes   Tally
-	Notes      Tally
-	Violations []Violation
-	Seconds    []Tally // how requests ended, by the second
+	Seed             uint64
+	Faults           []Fault
+	Outcomes         Tally // of all callers' requests, but not of the poison request
+	Notes            Tally // observations that break no promise
+	Violations       []Violation
+	OutcomesBySecond []Tally // outcomes of requests, by second of the run
 }
 
-// Run runs a deployment under faults and checks it. An error says that the run
-// itself failed; broken promises are in the report.
+// Run starts a deployment, injects the scheduled faults while callers send requests, and checks
+// the promises. An error means that the run itself failed; broken promises are in the report.
 func Run(ctx context.Context, c Config) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -82,7 +87,7 @@
 	d := deployment.Build(c.Spec)
 	f, err := fleet.Start(ctx, fleet.Config{
 		Deployment: d, Binaries: c.Binaries, Directory: c.Directory, EngineArgs: c.engineArgs(),
-		Leave: leaveTime, Poll: pollTime,
+		Leave: leaveDelay, Poll: pollInterval,
 	})
 	if err != nil {
 		return nil, err
@@ -91,28 +96,31 @@
 	if err := configure(ctx, f, &d, c.Directory); err != nil {
 		return nil, err
 	}
-	events := Schedule(c.Seed, c.Length, c.Rate, &d)
-	r := &run{cfg: c, fleet: f, d: &d, checks: newChecker(f, &d, events), report: &Report{Seed: c.Seed, Events: events, Outcomes: Tally{}}}
-	if err := r.play(ctx); err != nil {
+	faults := Schedule(c.Seed, c.Length, c.Rate, &d)
+	r := &run{cfg: c, fleet: f, d: &d, checks: newChecker(f, &d, faults), report: &Report{Seed: c.Seed, Faults: faults, Outcomes: Tally{}}}
+	if err := r.execute(ctx); err != nil {
 		return nil, err
 	}
 	return r.report, nil
 }
 
+// engineArgs returns the flags of the stand-in engines. An engine that a poison request crashed
+// listens again after poisonRestartDelay.
 func (c *Config) engineArgs() []string {
 	args := []string{"--step=5ms"}
 	if c.Deadly {
-		args = append(args, "--deadly="+deadlyPrompt, "--back="+deadlyBack.String())
+		args = append(args, "--deadly="+poisonPrompt, "--back="+poisonRestartDelay.String())
 	}
 	return args
 }
 
 const (
-	leaveTime = 500 * time.Millisecond // between announcing a stop and closing
-	pollTime  = 200 * time.Millisecond // of load reports
+	leaveDelay   = 500 * time.Millisecond // time in which a stopping host announces that it is leaving, before it closes
+	pollInterval = 200 * time.Millisecond // between two load reports that a host reads from an endpoint
 )
 
-// configure applies the deployment's configuration and waits until it is in force.
+// configure applies the deployment's configuration and waits until every host is ready and
+// answers a model request.
 func configure(ctx context.Context, f *fleet.Fleet, d *deployment.Deployment, dir string) error {
 	text, err := d.Document.YAML()
 	if err != nil {
@@ -127,7 +135,7 @@
 	}
 	for _, h := range d.Hosts {
 		err := f.Await(ctx, h.Host+" ready", func() bool {
-			ask := client.Ask{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1, Timeout: askWithin}
+			ask := client.Ask{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1, Timeout: modelTimeout}
 			return f.Client.Get(ctx, h.Listen.Callers, "/readyz", nil) == nil && f.Client.Do(ctx, ask).Status == 200
 		})
 		if err != nil {
@@ -137,84 +145,87 @@
 	return nil
 }
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
 	cfg    Config
 	fleet  *fleet.Fleet
 	d      *deployment.Deployment
 	checks *checker
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards report.OutcomesBySecond
 	report *Report
 }
 
-func (r *run) play(ctx context.Context) error {
-	driving, stop := context.WithCancel(ctx)
+// execute starts the callers, injects the faults at their times, and fills the report. It waits
+// until the deployment has had time to recover before it stops the callers.
+func (r *run) execute(ctx context.Context) error {
+	callersCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var callers, faults conc.WaitGroup
 	var drivers []*driver
 	for host := range r.d.Hosts {
 		for n := range r.cfg.Callers {
 			v := &driver{
-				d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, uint64(host*mostCallers+n))),
-				home: host, seen: Tally{}, served: r.served,
+				d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, uint64(host*maxCallersPerHost+n))),
+				homeHost: host, outcomes: Tally{}, recordOutcome: r.recordOutcome,
 			}
 			drivers = append(drivers, v)
-			callers.Go(func() { v.run(driving) })
+			callers.Go(func() { v.run(callersCtx) })
 		}
 	}
 	if r.cfg.Deadly {
-		v := &driver{d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, 1<<20)), seen: Tally{}, served: func(time.Time, string) {}}
-		callers.Go(func() { v.sendDeadly(driving) })
+		v := &driver{d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, 1<<20)), outcomes: Tally{}, recordOutcome: func(time.Time, string) {}}
+		callers.Go(func() { v.sendPoisonRequests(callersCtx) })
 	}
-	callers.Go(func() { r.checks.watch(driving) })
-	callers.Go(func() { r.progress(driving) })
-	naming, lift := context.WithDeadline(ctx, r.checks.began.Add(r.cfg.Length))
-	defer lift()
+	callers.Go(func() { r.checks.watchRevisions(callersCtx) })
+	callers.Go(func() { r.writeProgress(callersCtx) })
+	announceCtx, stopAnnouncing := context.WithDeadline(ctx, r.checks.startedAt.Add(r.cfg.Length))
+	defer stopAnnouncing()
 	if r.cfg.Rates {
-		faults.Go(func() { r.checks.nameRates(naming, rand.New(rand.NewPCG(r.cfg.Seed, 1<<21))) })
+		faults.Go(func() { r.checks.advertiseRateLimits(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<21))) })
 	}
 	if r.cfg.Words {
-		faults.Go(func() { r.checks.sayWords(naming, rand.New(rand.NewPCG(r.cfg.Seed, 1<<22))) })
+		faults.Go(func() { r.checks.announceAvailability(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<22))) })
 	}
-	errs := make(chan error, len(r.report.Events)+1)
-	for _, e := range r.report.Events {
+	errs := make(chan error, len(r.report.Faults)+1)
+	for _, e := range r.report.Faults {
 		faults.Go(func() {
-			sleep(ctx, time.Until(r.checks.began.Add(e.At)))
+			sleep(ctx, time.Until(r.checks.startedAt.Add(e.Start)))
 			if err := (&injector{r.fleet, r.d, r.checks}).run(ctx, e); err != nil {
 				errs <- errors.Wrapf(err, "soak: %s %s", e.Kind, e.Target)
 			}
 		})
 	}
-	sleep(ctx, time.Until(r.checks.began.Add(r.cfg.Length)))
+	sleep(ctx, time.Until(r.checks.startedAt.Add(r.cfg.Length)))
 	faults.Wait()
-	errs <- r.recovers(ctx)
+	errs <- r.checkRecovery(ctx)
 	stop()
 	callers.Wait()
 	if r.cfg.Deadly {
-		sleep(ctx, 2*deadlyBack) // the last that it ended listen again
+		sleep(ctx, 2*poisonRestartDelay) // until the engines that crashed last listen again
 	}
-	if err := r.checks.finish(ctx); err != nil {
+	if err := r.checks.checkExecutions(ctx); err != nil {
 		return err
 	}
 	if r.cfg.Deadly {
-		r.checks.boundedDeadly(ctx)
+		r.checks.checkPoisonArrivals(ctx)
 	}
-	r.checks.ratesKept(ctx)
+	r.checks.checkRateLimits(ctx)
 	for _, v := range drivers {
-		for how, n := range v.seen {
-			r.report.Outcomes[how] += n
+		for outcome, n := range v.outcomes {
+			r.report.Outcomes[outcome] += n
 		}
 	}
 	for _, line := range r.fleet.Complaints() {
-		r.checks.violate("no program panics or races", "%s", line)
+		r.checks.recordViolation("no program panics or races", "%s", line)
 	}
 	r.report.Violations, r.report.Notes = r.checks.violations, r.checks.notes
 	close(errs)
-	return errors.Join(collect(errs)...)
+	return errors.Join(nonNilErrors(errs)...)
 }
 
-func collect(errs <-chan error) []error {
+// nonNilErrors drains a closed channel and returns its errors without the nils.
+func nonNilErrors(errs <-chan error) []error {
 	var out []error
 	for err := range errs {
 		if err != nil {
@@ -224,55 +235,57 @@
 	return out
 }
 
-// served counts a request's end in its second.
-func (r *run) served(at time.Time, how string) {
+// recordOutcome counts the outcome of a request in the second of the run in which it ended.
+func (r *run) recordOutcome(at time.Time, outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	second := int(at.Sub(r.checks.began) / time.Second)
-	for len(r.report.Seconds) <= second {
-		r.report.Seconds = append(r.report.Seconds, Tally{})
+	second := int(at.Sub(r.checks.startedAt) / time.Second)
+	for len(r.report.OutcomesBySecond) <= second {
+		r.report.OutcomesBySecond = append(r.report.OutcomesBySecond, Tally{})
 	}
-	r.report.Seconds[second][how]++
+	r.report.OutcomesBySecond[second][outcome]++
 }
 
 const (
-	// recoverTime is how long after the last fault all must be served again: a host
-	// is forgotten as dead after some seconds, an endpoint tried after up to 8 s.
-	recoverTime = 15 * time.Second
-	// servedAgain is the share of the requests that then must be answered.
-	servedAgain = 0.95
-	lookFor     = 3 * time.Second
+	// recoveryTime is how long after the last fault the system may take to recover: a dead host
+	// is removed after some seconds, and a failed endpoint gets a request again after up to 8 s.
+	recoveryTime = 15 * time.Second
+	// minAnsweredShare is the share of requests that must be answered after recoveryTime.
+	minAnsweredShare = 0.95
+	// recoverySample is how long requests are counted for that share.
+	recoverySample = 3 * time.Second
 )
 
-// recovers checks that the deployment serves again once no fault is at work.
-func (r *run) recovers(ctx context.Context) error {
+// checkRecovery waits for recoveryTime after the last fault, then checks that the deployment
+// answers at least minAnsweredShare of the requests.
+func (r *run) checkRecovery(ctx context.Context) error {
 	for _, h := range r.d.Hosts {
 		if err := r.fleet.HostUp(ctx, h.Host); err != nil {
 			return err
 		}
 	}
-	sleep(ctx, recoverTime)
-	from := int(time.Since(r.checks.began) / time.Second)
-	sleep(ctx, lookFor)
+	sleep(ctx, recoveryTime)
+	from := int(time.Since(r.checks.startedAt) / time.Second)
+	sleep(ctx, recoverySample)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	answered, all := 0, 0
-	for _, t := range r.report.Seconds[min(from, len(r.report.Seconds)):] {
-		for how, n := range t {
+	for _, t := range r.report.OutcomesBySecond[min(from, len(r.report.OutcomesBySecond)):] {
+		for outcome, n := range t {
 			all += n
-			if how == "answered" {
+			if outcome == "answered" {
 				answered += n
 			}
 		}
 	}
-	if float64(answered) < servedAgain*float64(all) || all == 0 {
-		r.checks.violate("the system serves again after its faults", "%d of %d answered", answered, all)
+	if float64(answered) < minAnsweredShare*float64(all) || all == 0 {
+		r.checks.recordViolation("the system recovers after the last fault", "%d of %d answered", answered, all)
 	}
 	return nil
 }
 
-// progress writes a line now and then.
-func (r *run) progress(ctx context.Context) {
+// writeProgress writes a line of progress every few seconds until ctx ends.
+func (r *run) writeProgress(ctx context.Context) {
 	const every = 5 * time.Second
 	for r.cfg.Progress != nil && ctx.Err() == nil {
 		sleep(ctx, every)
@@ -280,6 +293,6 @@
 		broken := len(r.checks.violations)
 		r.checks.mu.Unlock()
 		_, _ = fmt.Fprintf(r.cfg.Progress, "seed %d, %s of %s, %d promises broken\n", r.cfg.Seed,
-			time.Since(r.checks.began).Round(time.Second), r.cfg.Length, broken)
+			time.Since(r.checks.startedAt).Round(time.Second), r.cfg.Length, broken)
 	}
 }
