--- a/answer.go
+++ b/answer.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Answer writes a response to the caller. Begin is called once, before any Write. An error
+// ResponseWriter writes a response to the caller. Begin is called once, before any Write. An error
 // from either method means that the caller has disconnected.
-type Answer interface {
+type ResponseWriter interface {
 	Begin(status int, header []HeaderField) error
 	Write(part []byte) error
 }
 
 // EndpointCaller sends a request to an endpoint and writes the endpoint's response to a.
 type EndpointCaller interface {
-	Call(ctx context.Context, e Endpoint, r *Request, a Answer) (Outcome, Timing)
+	Call(ctx context.Context, e Endpoint, r *Request, a ResponseWriter) (Outcome, Timing)
 }
 
 // Forwarder sends a request to another host and writes that host's response to a. The
 // target is a host of a remote data centre, or the host that issued the request's
 // at-most-once key.
 type Forwarder interface {
-	Forward(ctx context.Context, h Host, r *Request, a Answer) Outcome
+	Forward(ctx context.Context, h Host, r *Request, a ResponseWriter) Outcome
 }
 
 // Observer receives what responses show about an endpoint while requests run there.
 type Observer interface {
-	// Started reports that the first byte of a response body arrived.
-	Started(e Endpoint, r *Request, now time.Time)
-	// Paced reports the time between two events of a stream.
-	Paced(e Endpoint, interval time.Duration, now time.Time)
+	// ResponseStarted reports that the first byte of a response body arrived.
+	ResponseStarted(e Endpoint, r *Request, now time.Time)
+	// EventReceived reports the time between two events of a stream.
+	EventReceived(e Endpoint, interval time.Duration, now time.Time)
 	// Silent returns whether an endpoint runs streams of this host but has sent nothing on
 	// any of them for too long.
 	Silent(e Endpoint, now time.Time) bool
-	// Told reports the load that an endpoint stated in a response.
-	Told(e Endpoint, l LoadReport)
-	// Limited reports the rate limit that a response advertises. If err is not nil, the
+	// LoadReported reports the load that an endpoint stated in a response.
+	LoadReported(e Endpoint, l LoadReport)
+	// RateLimitReported reports the rate limit that a response advertises. If err is not nil, the
 	// response contained a value that can't be parsed.
-	Limited(e Endpoint, l RateLimit, err error)
-	// Noticed reports the availability that a response announces. If err is not nil, the
+	RateLimitReported(e Endpoint, l RateLimit, err error)
+	// AvailabilityReported reports the availability that a response announces. If err is not nil, the
 	// response contained a value that can't be parsed.
-	Noticed(e Endpoint, n Notice, err error)
-	// Unknown reports a header field of a response that the dialect doesn't know.
-	Unknown(e Endpoint, field string)
+	AvailabilityReported(e Endpoint, n Availability, err error)
+	// UnknownField reports a header field of a response that the dialect doesn't know.
+	UnknownField(e Endpoint, field string)
 }
 
 // Timing is when the stages of a request at an endpoint took place.
 type Timing struct {
-	Sent  time.Time // when the first byte of the request was written
-	First time.Time // when the first byte of the response body arrived
-	Done  time.Time // when the response was complete
+	Sent      time.Time // when the first byte of the request was written
+	FirstByte time.Time // when the first byte of the response body arrived
+	Done      time.Time // when the response was complete
 }
--- a/availability.go
+++ b/availability.go
@@ -8,17 +8,17 @@
 	"github.com/go-faster/errors"
 )
 
-// Notice is what an endpoint announced in a response head about whether it accepts requests.
+// Availability is what an endpoint announced in a response head about whether it accepts requests.
 // The endpoint wrote it at an unknown time between Asked and Heard.
-type Notice struct {
-	Leaving bool      // it will stop soon and accepts no new requests from any host
-	Until   time.Time // it is paused until then, and accepts no requests from this host; zero: not paused
-	Asked   time.Time // when the request with this response was sent
-	Heard   time.Time // when the response head was received
+type Availability struct {
+	Leaving     bool      // it will stop soon and accepts no new requests from any host
+	PausedUntil time.Time // it is paused until then, and accepts no requests from this host; zero: not paused
+	RequestedAt time.Time // when the request with this response was sent
+	ReceivedAt  time.Time // when the response head was received
 }
 
-// NoticeReading is the parsed availability from one response head.
-type NoticeReading struct {
+// ParsedAvailability is the parsed availability from one response head.
+type ParsedAvailability struct {
 	Leaving bool
 	Pause   time.Duration // for how long it accepts no requests from this host; 0: not paused
 	Err     error         // a field can't be parsed, and was ignored
@@ -39,23 +39,23 @@
 	maxPause = time.Hour
 )
 
-// ReadNotice parses the fields leaving and pause of a response head. The pause is parsed
+// ParseAvailability parses the fields leaving and pause of a response head. The pause is parsed
 // only if the response's status is 503 (service unavailable).
-func ReadNotice(leaving, pause string, unavailable bool) NoticeReading {
-	var out NoticeReading
+func ParseAvailability(leaving, pause string, unavailable bool) ParsedAvailability {
+	var out ParsedAvailability
 	var errPause error
-	out.Leaving, out.Err = ReadLeaving(leaving)
+	out.Leaving, out.Err = ParseLeaving(leaving)
 	if unavailable {
-		out.Pause, errPause = ReadPause(pause)
+		out.Pause, errPause = ParsePause(pause)
 	}
 	out.Err = errors.Join(out.Err, errPause)
 	return out
 }
 
-// ReadLeaving parses the field by which an endpoint announces that it is leaving: 1 if it is,
+// ParseLeaving parses the field by which an endpoint announces that it is leaving: 1 if it is,
 // 0 or empty if not. A field that occurs more than once arrives as a comma-separated list;
 // one value of 1 is enough.
-func ReadLeaving(text string) (leaving bool, err error) {
+func ParseLeaving(text string) (leaving bool, err error) {
 	if text == "" {
 		return false, nil
 	}
@@ -74,11 +74,11 @@
 	return leaving, nil
 }
 
-// ReadPause parses the seconds for which an endpoint that refused a request accepts no
+// ParsePause parses the seconds for which an endpoint that refused a request accepts no
 // requests from this host. Fractions are allowed; empty means no pause. A field that occurs
 // more than once arrives as a comma-separated list; the longest pause counts. A date is not
 // accepted, as the clocks of endpoints and hosts differ.
-func ReadPause(text string) (time.Duration, error) {
+func ParsePause(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
--- a/availability_test.go
+++ b/availability_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReadLeaving checks which values announce that an endpoint is leaving. If a valid value
+// TestParseLeaving checks which values announce that an endpoint is leaving. If a valid value
 // is ignored, requests go to an endpoint that stops. If a malformed value is accepted, a
 // working endpoint is taken out of use.
-func TestReadLeaving(t *testing.T) {
+func TestParseLeaving(t *testing.T) {
 	cases := map[string]struct {
 		text    string
 		leaving bool
@@ -30,16 +30,16 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			leaving, err := ReadLeaving(c.text)
+			leaving, err := ParseLeaving(c.text)
 			assert.Equal(t, leaving, c.leaving)
 			assert.ErrorIs(t, err, c.err)
 		})
 	}
 }
 
-// TestReadPause checks for how long an endpoint that refused a request is paused. A malformed
+// TestParsePause checks for how long an endpoint that refused a request is paused. A malformed
 // or excessive value must not keep a working endpoint out of use.
-func TestReadPause(t *testing.T) {
+func TestParsePause(t *testing.T) {
 	cases := map[string]struct {
 		text  string
 		pause time.Duration
@@ -62,7 +62,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			pause, err := ReadPause(c.text)
+			pause, err := ParsePause(c.text)
 			assert.Equal(t, pause, c.pause)
 			assert.ErrorIs(t, err, c.err)
 		})
@@ -76,9 +76,9 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		leaving, err := ReadLeaving(text)
+		leaving, err := ParseLeaving(text)
 		assert.Assert(t, err == nil || !leaving)
-		pause, err := ReadPause(text)
+		pause, err := ParsePause(text)
 		assert.Assert(t, pause >= 0 && pause <= maxPause)
 		assert.Assert(t, err == nil || pause == 0)
 	})
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -251,7 +251,7 @@
 		Host: callerAddr, Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "bound", Tokens: demoTokens,
 	})
 	m.currentStep().requests++
-	if res.Outcome != vetchtrail.NotRun.String() {
+	if res.Outcome != vetchtrail.OutcomeNotRun.String() {
 		m.recordWrong(r, res)
 		return
 	}
--- a/cmd/standin/keys.go
+++ b/cmd/standin/keys.go
@@ -39,7 +39,7 @@
 		switch {
 		case res.Status == http.StatusOK && res.Whole:
 			served++
-		case res.Status == http.StatusTooManyRequests && res.Outcome == vetchtrail.NotRun.String():
+		case res.Status == http.StatusTooManyRequests && res.Outcome == vetchtrail.OutcomeNotRun.String():
 			m.currentStep().refused++
 		default:
 			m.recordWrong(r, res)
@@ -78,7 +78,7 @@
 func (m *demo) expectRefusal(ctx context.Context, who string, a client.Ask, status int) {
 	res := m.system.Client.Do(ctx, m.withDefaults(a))
 	m.currentStep().requests++
-	if res.Status != status || res.Outcome != vetchtrail.NotRun.String() {
+	if res.Status != status || res.Outcome != vetchtrail.OutcomeNotRun.String() {
 		m.recordWrong(m.layout.Spec.Regions[0], res)
 		return
 	}
--- a/cmd/vetchtrail/quarantine.go
+++ b/cmd/vetchtrail/quarantine.go
@@ -65,7 +65,7 @@
 
 // Run releases the request. It fails if the request is not in quarantine.
 func (c *quarantineRelease) Run(g *globals) error {
-	contentHash, err := vetchtrail.ParseDigest(c.Digest)
+	contentHash, err := vetchtrail.ParseContentHash(c.Digest)
 	if err != nil {
 		return err
 	}
--- a/cmd/vetchtrail/workspace.go
+++ b/cmd/vetchtrail/workspace.go
@@ -104,7 +104,7 @@
 	line("home", w.Home)
 	line("allowed", strings.Join(w.Allowed, ", "))
 	line("priority", fmt.Sprint(w.Priority))
-	if w.Quota.Bounded() {
+	if w.Quota.IsLimited() {
 		line("quota", fmt.Sprintf("%g %s a second, %g at once", w.Quota.Rate, w.Quota.Unit, w.Quota.Burst))
 	} else {
 		line("quota", "none")
--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -82,7 +82,7 @@
 	}
 	log = log.With("host", s.Host)
 	return &daemon.Hosted{
-		Feed: func(f vetchtrail.Following) vetchtrail.Feed {
+		Feed: func(f vetchtrail.PollCoordinator) vetchtrail.Feed {
 			return platform.NewFeed(platform.FeedConfig{
 				Store: s.Platform.Store, Places: s.Platform.DataCentres, Log: log, Following: f, Clock: clock.Boot,
 				Weights: platform.Weights{Model: vetchtrail.Weights(s.Platform.Weights.Model), Plain: vetchtrail.Weights(s.Platform.Weights.Plain)},
--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -31,7 +31,7 @@
 // findWorkspace is authenticate without the record of the rejection.
 func (s *Server) findWorkspace(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	r.Workspace = ""
-	key, err := s.cfg.Dialect.Key(joinedHeaderFields(c))
+	key, err := s.cfg.Dialect.ParseKey(joinedHeaderFields(c))
 	if err != nil {
 		return unauthorized(err), false
 	}
@@ -82,13 +82,13 @@
 		reason = vetchtrail.ReasonUnknownKey
 	}
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.NotRun, Status: fiber.StatusUnauthorized, Step: vetchtrail.StepParse, Reason: reason, Err: err,
+		Kind: vetchtrail.OutcomeNotRun, Status: fiber.StatusUnauthorized, Step: vetchtrail.StepParse, Reason: reason, Err: err,
 	}
 }
 
 // joinedHeaderFields returns a function that reads request header fields and joins
 // repeated ones with commas. A key that is sent twice is therefore invalid.
-func joinedHeaderFields(c fiber.Ctx) vetchtrail.Fields {
+func joinedHeaderFields(c fiber.Ctx) vetchtrail.HeaderGetter {
 	return func(name string) string {
 		var out []string
 		for _, value := range c.Request().Header.PeekAll(name) {
--- a/connection/caller/authentication_test.go
+++ b/connection/caller/authentication_test.go
@@ -28,7 +28,7 @@
 	}
 	edits := []vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{Name: "r", DataCentres: []string{"d"}}},
-		vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", Kind: vetchtrail.KindPlain, AnswerWithin: time.Minute}},
+		vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", Kind: vetchtrail.ServicePlain, AnswerWithin: time.Minute}},
 		route("keyed", true), route("open", false),
 	}
 	for _, w := range workspaces {
@@ -41,7 +41,7 @@
 
 // echoWorkspace answers with the request's workspace and those forwarded header fields
 // that concern authentication.
-func echoWorkspace(_ context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func echoWorkspace(_ context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	_ = a.Begin(200, nil)
 	text := r.Workspace
 	for _, f := range r.Header {
@@ -50,7 +50,7 @@
 		}
 	}
 	_ = a.Write([]byte(text))
-	return vetchtrail.Outcome{Kind: vetchtrail.Answered}
+	return vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}
 }
 
 // TestAuthentication checks that a request's workspace follows from its key alone,
--- a/connection/caller/pipe.go
+++ b/connection/caller/pipe.go
@@ -114,7 +114,7 @@
 		return chunk, nil
 	default:
 	}
-	if p.outcome.Kind != vetchtrail.Answered {
+	if p.outcome.Kind != vetchtrail.OutcomeAnswered {
 		return nil, p.outcome
 	}
 	return nil, io.EOF
--- a/connection/caller/responses.go
+++ b/connection/caller/responses.go
@@ -35,7 +35,7 @@
 // refuseBadRequest answers 400 with err as the detail.
 func (s *Server) refuseBadRequest(c fiber.Ctx, err error) error {
 	return s.writeProblem(c, vetchtrail.Outcome{
-		Kind: vetchtrail.NotRun, Status: fiber.StatusBadRequest, Step: vetchtrail.StepParse,
+		Kind: vetchtrail.OutcomeNotRun, Status: fiber.StatusBadRequest, Step: vetchtrail.StepParse,
 		Reason: vetchtrail.ReasonBadRequest, Err: err,
 	})
 }
@@ -94,7 +94,7 @@
 }
 
 func newHostEntry(h vetchtrail.Host, weight int) hostEntry {
-	return hostEntry{Name: h.Name, Address: h.Callers.String(), Region: h.Region, Weight: weight}
+	return hostEntry{Name: h.Name, Address: h.CallerAddr.String(), Region: h.Region, Weight: weight}
 }
 
 // keysResponse is the response to POST /v1/keys.
@@ -132,7 +132,7 @@
 func (s *Server) handleModels(c fiber.Ctx) error {
 	list := modelsResponse{Object: "list", Data: []modelEntry{}}
 	for _, v := range s.cfg.Rules().Services() {
-		if v.Kind == vetchtrail.KindModel {
+		if v.Kind == vetchtrail.ServiceModel {
 			list.Data = append(list.Data, modelEntry{ID: v.Name, Object: "model"})
 		}
 	}
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -56,15 +56,15 @@
 	if current.Revision() == 0 {
 		return s.refuse(c, r, startingOutcome(now))
 	}
-	if err := s.cfg.Dialect.Parse(headerFields(c), r, now); err != nil {
+	if err := s.cfg.Dialect.ParseRequest(headerFields(c), r, now); err != nil {
 		return s.refuse(c, r, vetchtrail.Outcome{
-			Kind: vetchtrail.NotRun, Status: fiber.StatusBadRequest, Step: vetchtrail.StepParse,
+			Kind: vetchtrail.OutcomeNotRun, Status: fiber.StatusBadRequest, Step: vetchtrail.StepParse,
 			Reason: vetchtrail.ReasonBadRequest, Err: err,
 		})
 	}
 	if !ok {
 		return s.refuse(c, r, vetchtrail.Outcome{
-			Kind: vetchtrail.NotRun, Status: fiber.StatusNotFound, Step: vetchtrail.StepParse, Reason: vetchtrail.ReasonNoRoute,
+			Kind: vetchtrail.OutcomeNotRun, Status: fiber.StatusNotFound, Step: vetchtrail.StepParse, Reason: vetchtrail.ReasonNoRoute,
 		})
 	}
 	if m.Keyed {
@@ -86,7 +86,7 @@
 
 // headerFields returns a function that reads request header fields. It copies the values,
 // because the library reuses its buffers.
-func headerFields(c fiber.Ctx) vetchtrail.Fields {
+func headerFields(c fiber.Ctx) vetchtrail.HeaderGetter {
 	return func(name string) string { return strings.Clone(c.Get(name)) }
 }
 
@@ -94,7 +94,7 @@
 // configuration.
 func startingOutcome(now time.Time) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.NotRun, Status: fiber.StatusServiceUnavailable, Step: vetchtrail.StepDecide,
+		Kind: vetchtrail.OutcomeNotRun, Status: fiber.StatusServiceUnavailable, Step: vetchtrail.StepDecide,
 		Reason: vetchtrail.ReasonStarting, RetryAt: now.Add(startingRetryAfter),
 	}
 }
@@ -104,11 +104,11 @@
 func (s *Server) applyRoute(c fiber.Ctx, r *vetchtrail.Request, m *rules.Match, now time.Time) {
 	current := s.cfg.Rules()
 	region, _ := current.Region(s.cfg.Region)
-	r.Entry, r.Route, r.Service = region.ID, m.Name, m.Target(rand.Float64())
+	r.EntryRegion, r.Route, r.Service = region.ID, m.Name, m.Target(rand.Float64())
 	if v, ok := current.Service(r.Service); ok {
 		r.Kind = v.Kind
 	}
-	r.Repeats, r.Attempts = m.Repeats(), m.Attempts
+	r.Repeatable, r.MaxAttempts = m.Repeatable(), m.Attempts
 	r.Stream, r.Resumable = m.Kind == vetchtrail.RouteStream, m.Kind == vetchtrail.RouteStream && m.Resumable
 	if r.Deadline.IsZero() {
 		r.Deadline = now.Add(defaultTimeout)
@@ -116,11 +116,11 @@
 	if bound := now.Add(m.AnswerWithin); bound.Before(r.Deadline) {
 		r.Deadline = bound
 	}
-	r.Fresh = r.Deadline.Sub(now) >= m.AnswerWithin*freshDeadlineTenths/10
+	r.CallerCanRetry = r.Deadline.Sub(now) >= m.AnswerWithin*freshDeadlineTenths/10
 	r.Goal = now.Add(m.Goal)
-	r.Patience = now.Add(m.Goal / patienceDivisor)
+	r.QueueUntil = now.Add(m.Goal / patienceDivisor)
 	if r.Stream && m.Pause > 0 {
-		r.BeginBy = now.Add(max(minFirstEventWait, firstEventGoals*m.Goal, firstEventPauses*m.Pause))
+		r.FirstEventBy = now.Add(max(minFirstEventWait, firstEventGoals*m.Goal, firstEventPauses*m.Pause))
 	}
 	r.Header = s.routedHeader(c, m.Keyed)
 	r.Body = append([]byte(nil), c.Body()...)
@@ -133,7 +133,7 @@
 	var out []vetchtrail.HeaderField
 	for name, value := range c.Request().Header.All() {
 		n := string(name)
-		if endpoint.HopByHop(n) || s.cfg.Dialect.Own(n) || (keyed && n == dialect.HeaderAuthorization) || (connectionField != "" && listsField(connectionField, n)) {
+		if endpoint.HopByHop(n) || s.cfg.Dialect.IsReserved(n) || (keyed && n == dialect.HeaderAuthorization) || (connectionField != "" && listsField(connectionField, n)) {
 			continue
 		}
 		out = append(out, vetchtrail.HeaderField{Name: n, Value: string(value)})
@@ -173,7 +173,7 @@
 		after := max(time.Until(o.RetryAt), minRetryAfter)
 		c.Set(fiber.HeaderRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
-	s.cfg.Dialect.Sign(c.Set, r)
+	s.cfg.Dialect.SetResponseHeader(c.Set, r)
 	if s.leaving() {
 		c.Set(fiber.HeaderConnection, "close")
 	}
--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -37,7 +37,7 @@
 // Runner runs requests. The dispatcher implements it.
 type Runner interface {
 	// Run runs r, writes the response to a and returns when the request has ended.
-	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
 	// Starting returns the outcome of a request that arrived before this host had a
 	// configuration.
 	Starting(r *vetchtrail.Request) vetchtrail.Outcome
@@ -128,7 +128,7 @@
 		reason = vetchtrail.ReasonTooLarge
 	}
 	return s.writeProblem(c, vetchtrail.Outcome{
-		Kind: vetchtrail.NotRun, Status: status, Step: vetchtrail.StepParse, Reason: reason, Err: err,
+		Kind: vetchtrail.OutcomeNotRun, Status: status, Step: vetchtrail.StepParse, Reason: reason, Err: err,
 	})
 }
 
--- a/connection/caller/server_test.go
+++ b/connection/caller/server_test.go
@@ -24,14 +24,14 @@
 )
 
 // fakeRunner runs requests by calling a function.
-type fakeRunner func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+type fakeRunner func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
 
-func (f fakeRunner) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (f fakeRunner) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	return f(ctx, r, a)
 }
 
 func (f fakeRunner) Starting(*vetchtrail.Request) vetchtrail.Outcome {
-	return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Status: 503, Reason: vetchtrail.ReasonStarting}
+	return vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Status: 503, Reason: vetchtrail.ReasonStarting}
 }
 
 func (f fakeRunner) Rejected(*vetchtrail.Request, vetchtrail.Outcome) {}
@@ -43,7 +43,7 @@
 	current, err := rules.Empty().Apply(vetchtrail.Change{Edits: []vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{Name: "r", DataCentres: []string{"d"}}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "model", AnswerWithin: time.Minute}},
-		vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", Kind: vetchtrail.KindPlain, AnswerWithin: time.Minute}},
+		vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", Kind: vetchtrail.ServicePlain, AnswerWithin: time.Minute}},
 		vetchtrail.PutEndpoint{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "model", Region: "r", DataCentre: "d", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1}},
 		vetchtrail.PutEndpoint{Endpoint: vetchtrail.Endpoint{Name: "p", Service: "app", Region: "r", DataCentre: "d", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1}},
 	}})
@@ -73,7 +73,7 @@
 // TestInvalidRequests checks that an invalid request gets a problem document with the
 // right status, reason and detail, and never reaches the runner.
 func TestInvalidRequests(t *testing.T) {
-	addr := serve(t, func(context.Context, *vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
+	addr := serve(t, func(context.Context, *vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		t.Error("an invalid request was run")
 		return vetchtrail.Outcome{}
 	})
@@ -127,12 +127,12 @@
 		outcome  vetchtrail.Outcome
 		complete bool
 	}{
-		"answered": {vetchtrail.Outcome{Kind: vetchtrail.Answered}, true},
-		"cut":      {vetchtrail.Outcome{Kind: vetchtrail.Unknown, Begun: true, Err: errors.New("cut")}, false},
+		"answered": {vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}, true},
+		"cut":      {vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, ResponseStarted: true, Err: errors.New("cut")}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			addr := serve(t, func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+			addr := serve(t, func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 				_ = a.Begin(200, nil)
 				_ = a.Write([]byte("half"))
 				return c.outcome
@@ -153,11 +153,11 @@
 func TestCallerDisconnect(t *testing.T) {
 	gone := make(chan struct{})
 	begun := make(chan struct{})
-	addr := serve(t, func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.Answer) vetchtrail.Outcome {
+	addr := serve(t, func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		close(begun)
 		<-ctx.Done()
 		close(gone)
-		return vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonCallerGone}
+		return vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonCallerGone}
 	})
 	c, err := net.Dial("tcp", addr.String())
 	assert.NilError(t, err)
--- a/connection/caller/unrouted.go
+++ b/connection/caller/unrouted.go
@@ -60,7 +60,7 @@
 	if p.Model == "" {
 		return s.refuseBadRequest(c, errors.New(`the body names no service in "model"`))
 	}
-	r, err := s.newUnroutedRequest(c, p.Model, vetchtrail.KindModel)
+	r, err := s.newUnroutedRequest(c, p.Model, vetchtrail.ServiceModel)
 	if err != nil {
 		return s.refuseBadRequest(c, err)
 	}
@@ -70,10 +70,10 @@
 	r.Path = c.Path()
 	r.Stream = p.Stream
 	promptText := p.promptText()
-	r.Tokens = len(promptText)/bytesPerToken + 1
-	r.Repeats = r.Key == ""
+	r.EstimatedTokens = len(promptText)/bytesPerToken + 1
+	r.Repeatable = r.IdempotencyKey == ""
 	if last := c.Get(headerLastEvent); last != "" {
-		if r.Resume, err = endpoint.ParsePosition(last); err != nil {
+		if r.ResumeAt, err = endpoint.ParsePosition(last); err != nil {
 			return s.refuseBadRequest(c, err)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // handlePlain serves /services/{service}/… for services of kind plain.
 func (s *Server) handlePlain(c fiber.Ctx) error {
-	r, err := s.newUnroutedRequest(c, c.Params("service"), vetchtrail.KindPlain)
+	r, err := s.newUnroutedRequest(c, c.Params("service"), vetchtrail.ServicePlain)
 	if err != nil {
 		return s.refuseBadRequest(c, err)
 	}
@@ -91,7 +91,7 @@
 	}
 	uri := string(c.Request().URI().RequestURI())
 	r.Path = "/" + strings.TrimPrefix(strings.TrimPrefix(uri, "/services/"+c.Params("service")), "/")
-	r.Repeats = r.Key == "" && repeatable(r.Method)
+	r.Repeatable = r.IdempotencyKey == "" && repeatable(r.Method)
 	return s.runUnrouted(c, r)
 }
 
@@ -112,8 +112,8 @@
 	region, _ := current.Region(s.cfg.Region)
 	r := &vetchtrail.Request{
 		ID: uuid.NewString(), Service: strings.Clone(service), Kind: kind, Workspace: strings.Clone(c.Get(headerWorkspace)),
-		Entry: region.ID, Method: strings.Clone(c.Method()), Header: unroutedHeader(c),
-		Body: append([]byte(nil), c.Body()...), Key: strings.Clone(c.Get(headerIdempotencyKey)),
+		EntryRegion: region.ID, Method: strings.Clone(c.Method()), Header: unroutedHeader(c),
+		Body: append([]byte(nil), c.Body()...), IdempotencyKey: strings.Clone(c.Get(headerIdempotencyKey)),
 	}
 	if len(r.Workspace) > maxWorkspaceBytes {
 		return nil, fmt.Errorf("%s is over %d bytes", headerWorkspace, maxWorkspaceBytes)
--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -50,8 +50,8 @@
 // Plain is the project's own vetchtrail.Dialect.
 type Plain struct{}
 
-// Parse implements vetchtrail.Dialect. It makes an id for a request that has none.
-func (Plain) Parse(get vetchtrail.Fields, r *vetchtrail.Request, now time.Time) error {
+// ParseRequest implements vetchtrail.Dialect. It makes an id for a request that has none.
+func (Plain) ParseRequest(get vetchtrail.HeaderGetter, r *vetchtrail.Request, now time.Time) error {
 	r.ID = get(HeaderRequestID)
 	if r.ID == "" {
 		r.ID = uuid.NewString()
@@ -59,7 +59,7 @@
 	if len(r.ID) > maxRequestIDBytes {
 		return fmt.Errorf("%s is over %d bytes", HeaderRequestID, maxRequestIDBytes)
 	}
-	r.LastEvent = get(headerLastEvent)
+	r.LastEventID = get(headerLastEvent)
 	timeout, err := ParseTimeout(get(HeaderTimeout))
 	if err == nil && timeout > 0 {
 		r.Deadline = now.Add(timeout)
@@ -79,43 +79,43 @@
 	return time.Duration(n * float64(time.Second)), nil
 }
 
-// Key implements vetchtrail.Dialect. The key is a bearer token (RFC 6750).
-func (Plain) Key(get vetchtrail.Fields) (string, error) {
+// ParseKey implements vetchtrail.Dialect. The key is a bearer token (RFC 6750).
+func (Plain) ParseKey(get vetchtrail.HeaderGetter) (string, error) {
 	text := get(HeaderAuthorization)
 	scheme, key, _ := strings.Cut(text, " ")
 	if text == "" {
 		return "", vetchtrail.ErrNoKey
 	}
 	if !strings.EqualFold(scheme, keyScheme) {
-		return "", vetchtrail.ErrOddKey
+		return "", vetchtrail.ErrInvalidKey
 	}
 	return key, vetchtrail.CheckKey(key)
 }
 
-// Own implements vetchtrail.Dialect.
-func (Plain) Own(name string) bool {
+// IsReserved implements vetchtrail.Dialect.
+func (Plain) IsReserved(name string) bool {
 	return name == HeaderRequestID || name == headerLastEvent || name == HeaderWorkspace
 }
 
-// Tell implements vetchtrail.Dialect.
-func (Plain) Tell(set func(name, value string), _ vetchtrail.Endpoint, r *vetchtrail.Request, _ time.Time) {
+// SetRequestHeader implements vetchtrail.Dialect.
+func (Plain) SetRequestHeader(set func(name, value string), _ vetchtrail.Endpoint, r *vetchtrail.Request, _ time.Time) {
 	set(HeaderRequestID, r.ID)
 	if r.Workspace != "" {
 		set(HeaderWorkspace, r.Workspace)
 	}
-	if r.LastEvent != "" {
-		set(headerLastEvent, r.LastEvent)
+	if r.LastEventID != "" {
+		set(headerLastEvent, r.LastEventID)
 	}
 }
 
-// Read implements vetchtrail.Dialect.
-func (Plain) Read(status int, get vetchtrail.Fields, _ *vetchtrail.Request) vetchtrail.Reading {
-	out := vetchtrail.Reading{
-		Cold: -1, Rate: vetchtrail.ReadRate(get(HeaderRate)),
-		Notice: vetchtrail.ReadNotice(get(HeaderLeaving), get(headerRetryAfter), status == statusServiceUnavailable),
+// ParseResponse implements vetchtrail.Dialect.
+func (Plain) ParseResponse(status int, get vetchtrail.HeaderGetter, _ *vetchtrail.Request) vetchtrail.ResponseHead {
+	out := vetchtrail.ResponseHead{
+		ColdStart: -1, Rate: vetchtrail.ParseRateLimit(get(HeaderRate)),
+		Availability: vetchtrail.ParseAvailability(get(HeaderLeaving), get(headerRetryAfter), status == statusServiceUnavailable),
 	}
 	if status == statusTooManyRequests || (status == statusServiceUnavailable && get(HeaderNotStarted) != "") {
-		out.Kind = vetchtrail.ReadingRefused
+		out.Kind = vetchtrail.ResponseRefused
 	}
 	return out
 }
@@ -127,8 +127,10 @@
 	"Content-Encoding": true,
 }
 
-// Knows implements vetchtrail.Dialect.
-func (Plain) Knows(name string) bool { return knownFields[name] }
+// IsKnown implements vetchtrail.Dialect.
+func (Plain) IsKnown(name string) bool { return knownFields[name] }
 
-// Sign implements vetchtrail.Dialect.
-func (Plain) Sign(set func(name, value string), r *vetchtrail.Request) { set(HeaderRequestID, r.ID) }
+// SetResponseHeader implements vetchtrail.Dialect.
+func (Plain) SetResponseHeader(set func(name, value string), r *vetchtrail.Request) {
+	set(HeaderRequestID, r.ID)
+}
--- a/connection/endpoint/deliver.go
+++ b/connection/endpoint/deliver.go
@@ -15,7 +15,7 @@
 // deliver passes the response on to the caller, or stores it as a deferred failure.
 func (t *attempt) deliver() error {
 	switch {
-	case t.req.Begun && (t.resp.StatusCode() != fasthttp.StatusOK || !t.isEventStream()):
+	case t.req.ResponseStarted && (t.resp.StatusCode() != fasthttp.StatusOK || !t.isEventStream()):
 		return errors.Errorf("status %d instead of the rest of the stream", t.resp.StatusCode())
 	case t.defersFailure():
 		return t.deferFailure()
@@ -32,7 +32,7 @@
 // defersFailure reports whether the response is a failure that is held back, as another
 // attempt may succeed. Only failures of routed requests that may run twice are.
 func (t *attempt) defersFailure() bool {
-	return t.req.Route != "" && t.req.Repeats && t.resp.StatusCode() >= minFailureStatus
+	return t.req.Route != "" && t.req.Repeatable && t.resp.StatusCode() >= minFailureStatus
 }
 
 // deferFailure buffers the response as the attempt's deferred failure.
@@ -41,13 +41,13 @@
 	if err != nil {
 		return err
 	}
-	t.deferredFailure = &vetchtrail.KeptAnswer{Status: t.resp.StatusCode(), Header: t.responseHeader(), Body: wholeBody}
+	t.deferredFailure = &vetchtrail.BufferedResponse{Status: t.resp.StatusCode(), Header: t.responseHeader(), Body: wholeBody}
 	return nil
 }
 
 // isEventStream reports whether the response is a stream of events.
 func (t *attempt) isEventStream() bool {
-	return (t.req.Kind == vetchtrail.KindModel || t.req.Stream) &&
+	return (t.req.Kind == vetchtrail.ServiceModel || t.req.Stream) &&
 		strings.HasPrefix(string(t.resp.Header.ContentType()), "text/event-stream")
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if t.req.Route == "" && t.req.Kind == vetchtrail.KindModel && t.resp.StatusCode() == fasthttp.StatusOK && !json.Valid(wholeBody) {
+	if t.req.Route == "" && t.req.Kind == vetchtrail.ServiceModel && t.resp.StatusCode() == fasthttp.StatusOK && !json.Valid(wholeBody) {
 		return errors.New("response is not JSON")
 	}
 	return t.writeChunk(wholeBody)
@@ -111,9 +111,9 @@
 		return nil
 	}
 	t.begun = true
-	t.timing.First = time.Now()
+	t.timing.FirstByte = time.Now()
 	if t.client.cfg.Observer != nil {
-		t.client.cfg.Observer.Started(t.endpoint, t.req, t.timing.First)
+		t.client.cfg.Observer.ResponseStarted(t.endpoint, t.req, t.timing.FirstByte)
 	}
 	return t.answer.Begin(t.resp.StatusCode(), t.responseHeader())
 }
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -81,20 +81,20 @@
 	client          *Caller
 	endpoint        vetchtrail.Endpoint
 	req             *vetchtrail.Request
-	answer          vetchtrail.Answer
+	answer          vetchtrail.ResponseWriter
 	conn            *conn
 	resp            *fasthttp.Response
 	body            *body
 	timing          vetchtrail.Timing
 	begun           bool
-	eventsSent      int                    // of the stream, to the caller
-	deferredFailure *vetchtrail.KeptAnswer // set if the response is a failure that another attempt may improve on
+	eventsSent      int                          // of the stream, to the caller
+	deferredFailure *vetchtrail.BufferedResponse // set if the response is a failure that another attempt may improve on
 }
 
 // Call implements vetchtrail.EndpointCaller.
-func (k *Caller) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.Answer) (vetchtrail.Outcome, vetchtrail.Timing) {
+func (k *Caller) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
 	t := &attempt{client: k, endpoint: e, req: r, answer: a}
-	c, err := k.pool.get(ctx, poolKeyOf(e), r.Repeats)
+	c, err := k.pool.get(ctx, poolKeyOf(e), r.Repeatable)
 	if err != nil {
 		return t.notRun(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, err), t.timing
 	}
@@ -133,38 +133,38 @@
 		if t.conn.written == 0 {
 			return t.notRun(vetchtrail.StepSend, vetchtrail.ReasonUnreachable, err), false
 		}
-		return t.unknown(ctx, vetchtrail.StepSend, vetchtrail.ReasonLost, err), false
+		return t.unknown(ctx, vetchtrail.StepSend, vetchtrail.ReasonResponseLost, err), false
 	}
 	t.resp = fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(t.resp)
 	reading, err := t.readResponseHead()
 	if err != nil {
-		return t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonLost, err), false
+		return t.unknown(ctx, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost, err), false
 	}
 	t.conn.readKeepAlive(t.headerField("Keep-Alive"))
 	switch reading.Kind {
-	case vetchtrail.ReadingRefused:
-		o := t.notRun(vetchtrail.StepAnswer, vetchtrail.ReasonRefused, nil)
+	case vetchtrail.ResponseRefused:
+		o := t.notRun(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused, nil)
 		o.RetryAt = t.retryAt()
-		o.Cold = max(0, reading.Cold)
+		o.ColdStart = max(0, reading.ColdStart)
 		return o, t.discardBody()
-	case vetchtrail.ReadingMisled:
-		return t.notRun(vetchtrail.StepAnswer, vetchtrail.ReasonMisled, nil), false
-	case vetchtrail.ReadingForeign, vetchtrail.ReadingDoubtful:
+	case vetchtrail.ResponseMisdirected:
+		return t.notRun(vetchtrail.StepResponse, vetchtrail.ReasonOtherProcess, nil), false
+	case vetchtrail.ResponseForeign, vetchtrail.ResponseUnverified:
 		err := errors.Errorf("status %d in a response that can't be verified as the endpoint's", t.resp.StatusCode())
-		return t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonBroken, err), false
+		return t.unknown(ctx, vetchtrail.StepResponse, vetchtrail.ReasonResponseBroken, err), false
 	}
 	if err := t.deliver(); err != nil {
-		return t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonBroken, err), false
+		return t.unknown(ctx, vetchtrail.StepResponse, vetchtrail.ReasonResponseBroken, err), false
 	}
 	t.timing.Done = time.Now()
 	if t.deferredFailure != nil {
-		o := t.unknown(ctx, vetchtrail.StepAnswer, vetchtrail.ReasonFailed, nil)
-		o.Failure = t.deferredFailure
+		o := t.unknown(ctx, vetchtrail.StepResponse, vetchtrail.ReasonEndpointFailed, nil)
+		o.DeferredFailure = t.deferredFailure
 		return o, t.reusable()
 	}
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.Answered, Status: t.resp.StatusCode(), Step: vetchtrail.StepAnswer, Peer: t.endpoint.Name, Begun: true,
+		Kind: vetchtrail.OutcomeAnswered, Status: t.resp.StatusCode(), Step: vetchtrail.StepResponse, Peer: t.endpoint.Name, ResponseStarted: true,
 		Events: t.eventsSent,
 	}, t.reusable()
 }
@@ -173,7 +173,7 @@
 // endpoint has fallen silent. Only routed requests that may run twice have one, as another
 // attempt can replace them. Others wait until their deadline.
 func (t *attempt) silenceCheck() func() bool {
-	if !t.req.Repeats || t.req.Route == "" || t.client.cfg.Observer == nil {
+	if !t.req.Repeatable || t.req.Route == "" || t.client.cfg.Observer == nil {
 		return nil
 	}
 	return func() bool { return t.client.cfg.Observer.Silent(t.endpoint, time.Now()) }
@@ -198,7 +198,7 @@
 	if t.req.Route == "" {
 		t.setUnroutedFields(req)
 	} else {
-		t.client.cfg.Dialect.Tell(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
+		t.client.cfg.Dialect.SetRequestHeader(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
 	}
 	req.SetBodyRaw(t.req.Body)
 	out := bufio.NewWriterSize(t.conn, readBufferBytes)
@@ -210,62 +210,62 @@
 
 // setUnroutedFields sets the header fields of requests that belong to no route.
 func (t *attempt) setUnroutedFields(req *fasthttp.Request) {
-	dialect.Plain{}.Tell(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
-	if t.req.Key != "" {
-		req.Header.Set("Idempotency-Key", t.req.Key)
+	dialect.Plain{}.SetRequestHeader(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
+	if t.req.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", t.req.IdempotencyKey)
 	}
-	if t.req.Resume.Endpoint != "" {
-		req.Header.Set("Last-Event-Id", strconv.Itoa(t.req.Resume.Offset))
+	if t.req.ResumeAt.Endpoint != "" {
+		req.Header.Set("Last-Event-Id", strconv.Itoa(t.req.ResumeAt.Offset))
 	}
 }
 
 // readResponseHead reads the head of the response to the request and reports to the
 // observer what it contains about the endpoint. An endpoint may send responses to other
 // requests first; their bodies are discarded.
-func (t *attempt) readResponseHead() (vetchtrail.Reading, error) {
+func (t *attempt) readResponseHead() (vetchtrail.ResponseHead, error) {
 	for range maxForeignResponses + 1 {
 		if err := t.readFinalHead(); err != nil {
-			return vetchtrail.Reading{}, err
+			return vetchtrail.ResponseHead{}, err
 		}
 		reading := t.interpretHead()
-		if reading.Told && t.client.cfg.Observer != nil {
-			reading.Load.At = time.Now()
-			t.client.cfg.Observer.Told(t.endpoint, reading.Load)
+		if reading.HasLoad && t.client.cfg.Observer != nil {
+			reading.Load.ReceivedAt = time.Now()
+			t.client.cfg.Observer.LoadReported(t.endpoint, reading.Load)
 		}
 		t.reportRateLimit(reading.Rate)
-		t.reportAvailability(reading.Notice)
+		t.reportAvailability(reading.Availability)
 		t.reportUnknownFields()
 		t.body = newBody(t.conn.reader, &t.resp.Header, t.req.Method)
-		if reading.Kind != vetchtrail.ReadingForeign {
+		if reading.Kind != vetchtrail.ResponseForeign {
 			return reading, nil
 		}
 		if _, err := io.Copy(io.Discard, t.body); err != nil {
-			return vetchtrail.Reading{}, err
+			return vetchtrail.ResponseHead{}, err
 		}
 	}
-	return vetchtrail.Reading{}, errors.New("received only responses to other requests")
+	return vetchtrail.ResponseHead{}, errors.New("received only responses to other requests")
 }
 
 // reportRateLimit reports the rate limit that the endpoint advertises. It does so as soon
 // as the head is read: at the end of the response the report would be seconds late.
-func (t *attempt) reportRateLimit(r vetchtrail.RateReading) {
-	if t.client.cfg.Observer == nil || (!r.Told && r.Err == nil) {
+func (t *attempt) reportRateLimit(r vetchtrail.ParsedRateLimit) {
+	if t.client.cfg.Observer == nil || (!r.Reported && r.Err == nil) {
 		return
 	}
-	t.client.cfg.Observer.Limited(t.endpoint, vetchtrail.RateLimit{Named: r.Named, Rate: r.Rate, Asked: t.timing.Sent, Heard: time.Now()}, r.Err)
+	t.client.cfg.Observer.RateLimitReported(t.endpoint, vetchtrail.RateLimit{Advertised: r.Advertised, Rate: r.Rate, RequestedAt: t.timing.Sent, ReceivedAt: time.Now()}, r.Err)
 }
 
 // reportAvailability reports whether the endpoint announces that it is leaving or paused,
 // as early as reportRateLimit does.
-func (t *attempt) reportAvailability(r vetchtrail.NoticeReading) {
-	if t.client.cfg.Observer == nil || r == (vetchtrail.NoticeReading{}) {
+func (t *attempt) reportAvailability(r vetchtrail.ParsedAvailability) {
+	if t.client.cfg.Observer == nil || r == (vetchtrail.ParsedAvailability{}) {
 		return
 	}
-	n := vetchtrail.Notice{Leaving: r.Leaving, Asked: t.timing.Sent, Heard: time.Now()}
+	n := vetchtrail.Availability{Leaving: r.Leaving, RequestedAt: t.timing.Sent, ReceivedAt: time.Now()}
 	if r.Pause > 0 {
-		n.Until = n.Heard.Add(r.Pause)
+		n.PausedUntil = n.ReceivedAt.Add(r.Pause)
 	}
-	t.client.cfg.Observer.Noticed(t.endpoint, n, r.Err)
+	t.client.cfg.Observer.AvailabilityReported(t.endpoint, n, r.Err)
 }
 
 // reportUnknownFields reports header fields that no code reads, so that operators notice a
@@ -274,13 +274,13 @@
 	if t.client.cfg.Observer == nil {
 		return
 	}
-	knows := t.client.cfg.Dialect.Knows
+	knows := t.client.cfg.Dialect.IsKnown
 	if t.req.Route == "" {
-		knows = dialect.Plain{}.Knows
+		knows = dialect.Plain{}.IsKnown
 	}
 	for name := range t.resp.Header.All() {
 		if !hopByHop[string(name)] && !knows(string(name)) {
-			t.client.cfg.Observer.Unknown(t.endpoint, string(name))
+			t.client.cfg.Observer.UnknownField(t.endpoint, string(name))
 		}
 	}
 }
@@ -300,11 +300,11 @@
 
 // interpretHead reads the head by the dialect of the request: the deployment's for a
 // routed one, dialect.Plain for others.
-func (t *attempt) interpretHead() vetchtrail.Reading {
+func (t *attempt) interpretHead() vetchtrail.ResponseHead {
 	if t.req.Route == "" {
-		return dialect.Plain{}.Read(t.resp.StatusCode(), t.headerField, t.req)
+		return dialect.Plain{}.ParseResponse(t.resp.StatusCode(), t.headerField, t.req)
 	}
-	return t.client.cfg.Dialect.Read(t.resp.StatusCode(), t.headerField, t.req)
+	return t.client.cfg.Dialect.ParseResponse(t.resp.StatusCode(), t.headerField, t.req)
 }
 
 // headerField returns a field of the response head. Values of a repeated field are joined
@@ -333,7 +333,7 @@
 // or fallbackRetryAfter if it has none that can be read.
 func (t *attempt) retryAt() time.Time {
 	after, text := t.fallbackRetryAfter(), t.headerField(fasthttp.HeaderRetryAfter)
-	if named, err := vetchtrail.ReadPause(text); err == nil && text != "" {
+	if named, err := vetchtrail.ParsePause(text); err == nil && text != "" {
 		after = min(named, maxRetryAfter)
 	}
 	return time.Now().Add(after)
@@ -374,8 +374,8 @@
 // notRun is the outcome of a request that did not run at the endpoint.
 func (t *attempt) notRun(step vetchtrail.Step, reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.NotRun, Status: fasthttp.StatusServiceUnavailable, Step: step, Peer: t.endpoint.Name,
-		Reason: reason, RetryAt: time.Now().Add(t.fallbackRetryAfter()), Err: err, Begun: t.req.Begun,
+		Kind: vetchtrail.OutcomeNotRun, Status: fasthttp.StatusServiceUnavailable, Step: step, Peer: t.endpoint.Name,
+		Reason: reason, RetryAt: time.Now().Add(t.fallbackRetryAfter()), Err: err, ResponseStarted: t.req.ResponseStarted,
 	}
 }
 
@@ -383,8 +383,8 @@
 // that can be delivered.
 func (t *attempt) unknown(ctx context.Context, step vetchtrail.Step, reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	o := vetchtrail.Outcome{
-		Kind: vetchtrail.Unknown, Status: fasthttp.StatusBadGateway, Step: step, Peer: t.endpoint.Name,
-		Reason: reason, Err: err, Begun: t.begun || t.req.Begun,
+		Kind: vetchtrail.OutcomeUnknown, Status: fasthttp.StatusBadGateway, Step: step, Peer: t.endpoint.Name,
+		Reason: reason, Err: err, ResponseStarted: t.begun || t.req.ResponseStarted,
 	}
 	switch {
 	case ctx.Err() != nil:
--- a/connection/endpoint/events.go
+++ b/connection/endpoint/events.go
@@ -77,7 +77,7 @@
 // that the caller has already received are skipped.
 func (t *attempt) deliverRoutedEvents() error {
 	reader := bufio.NewReaderSize(t.body, readBufferBytes)
-	lastReceived, resumed := parseEventNumber(t.req.LastEvent)
+	lastReceived, resumed := parseEventNumber(t.req.LastEventID)
 	var last time.Time
 	for {
 		event, err := readEvent(reader)
@@ -103,7 +103,7 @@
 	now := time.Now()
 	t.eventsSent++
 	if !last.IsZero() && t.client.cfg.Observer != nil {
-		t.client.cfg.Observer.Paced(t.endpoint, now.Sub(last), now)
+		t.client.cfg.Observer.EventReceived(t.endpoint, now.Sub(last), now)
 	}
 	return now
 }
@@ -139,8 +139,8 @@
 // streamID is the endpoint's id of the stream: the id of the request that opened it, which
 // is this request unless it resumes a stream.
 func (t *attempt) streamID() string {
-	if t.req.Resume.Stream != "" {
-		return t.req.Resume.Stream
+	if t.req.ResumeAt.Stream != "" {
+		return t.req.ResumeAt.Stream
 	}
 	return t.req.ID
 }
--- a/connection/peer/client.go
+++ b/connection/peer/client.go
@@ -205,7 +205,7 @@
 
 // Forward implements vetchtrail.Forwarder. The outcome is NotRun only if the message was
 // not sent or the host reported NotRun.
-func (c *Client) Forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (c *Client) Forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	o := c.forward(ctx, h, r, a)
 	if o.HostLost && ctx.Err() != nil {
 		// The caller disconnected. The host is not at fault and must not be taken out of use.
@@ -215,7 +215,7 @@
 }
 
 // forward is Forward without the check whether the caller disconnected.
-func (c *Client) forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (c *Client) forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	deadlineTimer := time.AfterFunc(time.Until(r.Deadline)+deadlineGrace, cancel)
@@ -233,34 +233,34 @@
 // forwardClient returns the client that forwards a request. Requests that may not run
 // twice get a connection that was used shortly before, or a new one.
 func (c *Client) forwardClient(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request) schema.DRPCPeersClient {
-	if r.Repeats {
-		return c.peersClient(ctx, h.Peers)
+	if r.Repeatable {
+		return c.peersClient(ctx, h.PeerAddr)
 	}
-	return schema.NewDRPCPeersClient(c.unrepeatablePool.Get(ctx, h.Peers, c.dial))
+	return schema.NewDRPCPeersClient(c.unrepeatablePool.Get(ctx, h.PeerAddr, c.dial))
 }
 
 // sendFailure is the outcome of a request whose forwarding failed before a response.
 func sendFailure(h vetchtrail.Host, err error) vetchtrail.Outcome {
 	var pe *vetchtrail.PeerError
 	if errors.As(err, &pe) && pe.Step == vetchtrail.StepConnect {
-		return failedOutcome(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, h, err)
+		return failedOutcome(vetchtrail.OutcomeNotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, h, err)
 	}
-	return failedOutcome(vetchtrail.Unknown, vetchtrail.StepForward, vetchtrail.ReasonLost, h, err)
+	return failedOutcome(vetchtrail.OutcomeUnknown, vetchtrail.StepForward, vetchtrail.ReasonResponseLost, h, err)
 }
 
 // receiveResponse writes the forwarded response to a and returns the outcome. Each message
 // restarts the timer, which cancels the call when it fires.
-func receiveResponse(stream schema.DRPCPeers_ForwardClient, h vetchtrail.Host, a vetchtrail.Answer, deadlineTimer *time.Timer) vetchtrail.Outcome {
+func receiveResponse(stream schema.DRPCPeers_ForwardClient, h vetchtrail.Host, a vetchtrail.ResponseWriter, deadlineTimer *time.Timer) vetchtrail.Outcome {
 	begun := false
 	failed := func(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
-		o := failedOutcome(vetchtrail.Unknown, vetchtrail.StepForward, reason, h, err)
-		o.Begun = begun
+		o := failedOutcome(vetchtrail.OutcomeUnknown, vetchtrail.StepForward, reason, h, err)
+		o.ResponseStarted = begun
 		return o
 	}
 	for {
 		m, err := stream.Recv()
 		if err != nil {
-			return failed(vetchtrail.ReasonLost, err)
+			return failed(vetchtrail.ReasonResponseLost, err)
 		}
 		switch part := m.GetPart().(type) {
 		case *schema.ForwardReply_Begin:
@@ -270,7 +270,7 @@
 			err = a.Write(part.Body)
 		case *schema.ForwardReply_End:
 			o := schema.ToOutcome(part.End, time.Now())
-			o.Begun = begun
+			o.ResponseStarted = begun
 			return o
 		}
 		if err != nil {
@@ -286,9 +286,9 @@
 	const badGateway, unavailable = 502, 503
 	o := vetchtrail.Outcome{
 		Kind: kind, Status: badGateway, Step: step, Peer: h.Name, Reason: reason, Err: err,
-		HostLost: reason == vetchtrail.ReasonLost || reason == vetchtrail.ReasonUnreachable,
+		HostLost: reason == vetchtrail.ReasonResponseLost || reason == vetchtrail.ReasonUnreachable,
 	}
-	if kind == vetchtrail.NotRun {
+	if kind == vetchtrail.OutcomeNotRun {
 		o.Status = unavailable
 		o.RetryAt = time.Now().Add(time.Second)
 	}
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -20,7 +20,7 @@
 // fakeHost implements the server's interfaces for a host that runs requests by a function.
 type fakeHost struct {
 	schema.DRPCOperatorsUnimplementedServer
-	run func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+	run func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
 }
 
 func (fakeHost) Exchanged(h *schema.Heartbeat) *schema.Heartbeat { return h }
@@ -29,7 +29,7 @@
 	return nil, nil
 }
 
-func (f fakeHost) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (f fakeHost) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	return f.run(ctx, r, a)
 }
 
@@ -68,9 +68,9 @@
 // can end. NotRun must only be reported if the request did not run, and a host must not be
 // reported as lost because the caller disconnected.
 func TestForwardOutcomes(t *testing.T) {
-	ok := vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 200}
+	ok := vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200}
 	cases := map[string]struct {
-		run          func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+		run          func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
 		unreachable  bool
 		callerLeaves bool // the caller disconnects before a response
 		hostLost     bool // the outcome must report it
@@ -78,27 +78,27 @@
 		reason       vetchtrail.Reason
 		body         string
 	}{
-		"answered": {run: func(_ context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+		"answered": {run: func(_ context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			_ = a.Begin(200, nil)
 			_ = a.Write([]byte(fmt.Sprint("hops ", r.Hops)))
 			return ok
-		}, kind: vetchtrail.Answered, body: "hops 1"},
-		"refused by the host": {run: func(context.Context, *vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
-			return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Reason: vetchtrail.ReasonFull}
-		}, kind: vetchtrail.NotRun, reason: vetchtrail.ReasonFull},
-		"broken after it began": {run: func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+		}, kind: vetchtrail.OutcomeAnswered, body: "hops 1"},
+		"refused by the host": {run: func(context.Context, *vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
+			return vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Reason: vetchtrail.ReasonFull}
+		}, kind: vetchtrail.OutcomeNotRun, reason: vetchtrail.ReasonFull},
+		"broken after it began": {run: func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			_ = a.Begin(200, nil)
-			return vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonBroken, Err: errors.New("connection broken")}
-		}, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonBroken},
-		"never answers": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.Answer) vetchtrail.Outcome {
+			return vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseBroken, Err: errors.New("connection broken")}
+		}, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonResponseBroken},
+		"never answers": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			<-ctx.Done()
 			return ok
-		}, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonLost, hostLost: true},
-		"caller disconnects": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.Answer) vetchtrail.Outcome {
+		}, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonResponseLost, hostLost: true},
+		"caller disconnects": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			<-ctx.Done()
 			return ok
-		}, callerLeaves: true, kind: vetchtrail.Unknown, reason: vetchtrail.ReasonCallerGone},
-		"unreachable": {unreachable: true, kind: vetchtrail.NotRun, reason: vetchtrail.ReasonUnreachable, hostLost: true},
+		}, callerLeaves: true, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonCallerGone},
+		"unreachable": {unreachable: true, kind: vetchtrail.OutcomeNotRun, reason: vetchtrail.ReasonUnreachable, hostLost: true},
 	}
 	for name, c := range cases {
 		for _, repeats := range []bool{true, false} {
@@ -110,13 +110,13 @@
 				client := New(Config{})
 				defer client.Close()
 				var got bufferedAnswer
-				r := &vetchtrail.Request{ID: "r", Deadline: time.Now().Add(200 * time.Millisecond), Repeats: repeats}
+				r := &vetchtrail.Request{ID: "r", Deadline: time.Now().Add(200 * time.Millisecond), Repeatable: repeats}
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				if c.callerLeaves {
 					time.AfterFunc(20*time.Millisecond, cancel)
 				}
-				o := client.Forward(ctx, vetchtrail.Host{Name: "h", Peers: addr}, r, &got)
+				o := client.Forward(ctx, vetchtrail.Host{Name: "h", PeerAddr: addr}, r, &got)
 				assert.Equal(t, o.Kind, c.kind, o.Error())
 				assert.Equal(t, o.Reason, c.reason)
 				assert.Equal(t, o.HostLost, c.hostLost)
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -33,7 +33,7 @@
 
 // Runner runs forwarded requests.
 type Runner interface {
-	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
 }
 
 // Quotas answers for the quota shards that this host owns.
--- a/connection/store/store.go
+++ b/connection/store/store.go
@@ -56,12 +56,12 @@
 }
 
 // Get implements vetchtrail.Store.
-func (c *Client) Get(ctx context.Context, key string) (vetchtrail.Entry, error) {
+func (c *Client) Get(ctx context.Context, key string) (vetchtrail.StoreEntry, error) {
 	return c.read(ctx, key, "", time.Now().Add(callTimeout))
 }
 
 // Wait implements vetchtrail.Store.
-func (c *Client) Wait(ctx context.Context, key string, index uint64, deadline time.Time) (vetchtrail.Entry, error) {
+func (c *Client) Wait(ctx context.Context, key string, index uint64, deadline time.Time) (vetchtrail.StoreEntry, error) {
 	left := max(time.Until(deadline), time.Millisecond)
 	query := fmt.Sprintf("index=%d&wait=%dms", index, left.Milliseconds())
 	return c.read(ctx, key, query, deadline.Add(waitMargin))
@@ -69,7 +69,7 @@
 
 // read returns the entry of a key. If the key does not exist, the error wraps ErrNotFound
 // and the entry has the index to wait from.
-func (c *Client) read(ctx context.Context, key, query string, deadline time.Time) (vetchtrail.Entry, error) {
+func (c *Client) read(ctx context.Context, key, query string, deadline time.Time) (vetchtrail.StoreEntry, error) {
 	var pairs []kvPair
 	var index uint64
 	err := c.call(ctx, fasthttp.MethodGet, key, query, nil, deadline, func(resp *fasthttp.Response) error {
@@ -80,12 +80,12 @@
 		return json.Unmarshal(resp.Body(), &pairs)
 	})
 	if err != nil {
-		return vetchtrail.Entry{Key: key, Index: index}, c.wrapError("read "+key, err)
+		return vetchtrail.StoreEntry{Key: key, ModifyIndex: index}, c.wrapError("read "+key, err)
 	}
 	if len(pairs) != 1 {
-		return vetchtrail.Entry{}, c.wrapError("read "+key, errors.Errorf("got %d entries instead of 1", len(pairs)))
+		return vetchtrail.StoreEntry{}, c.wrapError("read "+key, errors.Errorf("got %d entries instead of 1", len(pairs)))
 	}
-	return vetchtrail.Entry{Key: key, Value: pairs[0].Value, Index: pairs[0].ModifyIndex}, nil
+	return vetchtrail.StoreEntry{Key: key, Value: pairs[0].Value, ModifyIndex: pairs[0].ModifyIndex}, nil
 }
 
 // CompareAndSwap implements vetchtrail.Store.
@@ -129,7 +129,7 @@
 	case statusOK, statusNotFound:
 		return handle(resp)
 	case statusTooManyRequests:
-		return vetchtrail.ErrLimited
+		return vetchtrail.ErrRateLimited
 	}
 	return errors.Errorf("status %d: %.200s", resp.StatusCode(), resp.Body())
 }
--- a/connection/store/store_test.go
+++ b/connection/store/store_test.go
@@ -39,7 +39,7 @@
 	}{
 		"lost response": {kv.Faults{LoseAnswers: 1}, nil, true},
 		"outage":        {kv.Faults{Outage: true}, nil, false},
-		"rate limit":    {kv.Faults{Writes: -1}, vetchtrail.ErrLimited, false},
+		"rate limit":    {kv.Faults{Writes: -1}, vetchtrail.ErrRateLimited, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 func TestCompareAndSwap(t *testing.T) {
 	ctx := context.Background()
 	client, _ := serve(t)
-	watched := make(chan vetchtrail.Entry, 1)
+	watched := make(chan vetchtrail.StoreEntry, 1)
 	go func() {
 		e, _ := client.Wait(ctx, "k", 1, time.Now().Add(30*time.Second))
 		watched <- e
@@ -73,7 +73,7 @@
 	assert.Equal(t, string((<-watched).Value), "one")
 	e, err := client.Get(ctx, "k")
 	assert.NilError(t, err)
-	assert.NilError(t, client.CompareAndSwap(ctx, "k", []byte("three"), e.Index))
+	assert.NilError(t, client.CompareAndSwap(ctx, "k", []byte("three"), e.ModifyIndex))
 	_, err = client.Get(ctx, "none")
 	assert.Assert(t, errors.Is(err, vetchtrail.ErrNotFound))
 	assert.NilError(t, client.Delete(ctx, "k"))
--- a/contenthash.go
+++ b/contenthash.go
@@ -9,16 +9,16 @@
 	"github.com/go-faster/errors"
 )
 
-// Digest is the content hash of a request. Requests with the same hash are retries of one
+// ContentHash is the content hash of a request. Requests with the same hash are retries of one
 // request. It is the first half of a SHA-256 sum, so that nobody can construct a request
 // with the hash of another caller's request and have that one quarantined in its place.
-type Digest [sha256.Size / 2]byte
+type ContentHash [sha256.Size / 2]byte
 
-// Digest returns the content hash of the request: of its workspace, method, Host field, path
+// ContentHash returns the content hash of the request: of its workspace, method, Host field, path
 // with query, and body. Values that differ between retries, such as the request id and the
 // deadline, are not included. The hash is computed once and then cached.
-func (r *Request) Digest() Digest {
-	if r.contentHash != (Digest{}) {
+func (r *Request) ContentHash() ContentHash {
+	if r.contentHash != (ContentHash{}) {
 		return r.contentHash
 	}
 	h := sha256.New()
@@ -31,15 +31,17 @@
 	}
 	_, _ = h.Write(r.Body)
 	var sum [sha256.Size]byte
-	r.contentHash = Digest(h.Sum(sum[:0])[:len(Digest{})])
+	r.contentHash = ContentHash(h.Sum(sum[:0])[:len(ContentHash{})])
 	return r.contentHash
 }
 
-// Digested sets the content hash that another host has computed.
-func (r *Request) Digested(d Digest) { r.contentHash = d }
+// SetContentHash sets the content hash that another host has computed.
+func (r *Request) SetContentHash(d ContentHash) { r.contentHash = d }
 
-// KnownDigest returns the content hash if it has been computed before.
-func (r *Request) KnownDigest() (Digest, bool) { return r.contentHash, r.contentHash != Digest{} }
+// KnownContentHash returns the content hash if it has been computed before.
+func (r *Request) KnownContentHash() (ContentHash, bool) {
+	return r.contentHash, r.contentHash != ContentHash{}
+}
 
 func (r *Request) hostHeader() string {
 	for _, f := range r.Header {
@@ -51,11 +53,11 @@
 }
 
 // String returns the hash in hexadecimal.
-func (d Digest) String() string { return hex.EncodeToString(d[:]) }
+func (d ContentHash) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest parses the output of Digest.String.
-func ParseDigest(s string) (Digest, error) {
-	var d Digest
+// ParseContentHash parses the output of Digest.String.
+func ParseContentHash(s string) (ContentHash, error) {
+	var d ContentHash
 	if hex.DecodedLen(len(s)) != len(d) || len(s)%2 != 0 {
 		return d, errors.Errorf("vetchtrail.ParseDigest: %q is not %d hexadecimal digits", s, hex.EncodedLen(len(d)))
 	}
--- a/contenthash_test.go
+++ b/contenthash_test.go
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			changed := base()
 			tt.change(changed)
-			assert.Equal(t, base().Digest() == changed.Digest(), tt.same)
+			assert.Equal(t, base().ContentHash() == changed.ContentHash(), tt.same)
 		})
 	}
 }
@@ -43,15 +43,15 @@
 // TestParseContentHash checks that a hash survives formatting and parsing, and that other
 // texts, such as an operator's typing error, are rejected instead of naming another request.
 func TestParseContentHash(t *testing.T) {
-	want := (&Request{Path: "/a"}).Digest()
-	got, err := ParseDigest(want.String())
+	want := (&Request{Path: "/a"}).ContentHash()
+	got, err := ParseContentHash(want.String())
 	assert.NilError(t, err)
 	assert.Equal(t, got, want)
 	for name, text := range map[string]string{
 		"empty": "", "too short": want.String()[:30], "odd length": want.String()[:31], "not hexadecimal": strings.Repeat("x", 32),
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ParseDigest(text)
+			_, err := ParseContentHash(text)
 			assert.Assert(t, err != nil)
 		})
 	}
@@ -67,7 +67,7 @@
 			b.SetBytes(int64(size))
 			for b.Loop() {
 				r := Request{Method: "POST", Path: "/ask", Body: body}
-				r.Digest()
+				r.ContentHash()
 			}
 		})
 	}
--- a/decision.go
+++ b/decision.go
@@ -37,34 +37,34 @@
 // Decision is the result of a Policy for one request. The fields from Backlog to Left
 // describe the chosen endpoint; they are set only with RunHere.
 type Decision struct {
-	Kind       DecisionKind
-	Target     int // index in View.Endpoints or View.Remotes
-	Name       string
-	Reason     Reason
-	Cost       float64
-	Wait       time.Duration // predicted time to the first token; with WaitHere: predicted wait for capacity
-	Backlog    time.Duration // time until the endpoint has processed the prompts that it received before
-	Gap        time.Duration // interval between two events of its streams
-	Holds      int           // tokens of the prompt that it has probably cached
-	Age        time.Duration // age of its newest load report; negative: it has sent none
-	Running    int           // requests that it runs, by that report
-	Queued     int           // requests in its queue, by that report
-	Own        int           // requests in flight there from this host
-	Limited    bool          // it advertises a rate limit
-	Rate       float64       // its rate limit for all hosts together, in requests per second
-	Left       float64       // requests that the rate limit still allowed at once, as last reported
-	RetryAt    time.Time     // with Refuse: when a retry may succeed
-	Looked     int           // number of candidates considered
-	Candidates [MaxCandidates]Candidate
-	Kept       int // number of candidates recorded in Candidates
+	Kind          DecisionKind
+	Target        int // index in View.Endpoints or View.Remotes
+	Name          string
+	Reason        Reason
+	Cost          float64
+	Wait          time.Duration // predicted time to the first token; with WaitHere: predicted wait for capacity
+	Backlog       time.Duration // time until the endpoint has processed the prompts that it received before
+	EventInterval time.Duration // interval between two events of its streams
+	CachedTokens  int           // tokens of the prompt that it has probably cached
+	ReportAge     time.Duration // age of its newest load report; negative: it has sent none
+	Running       int           // requests that it runs, by that report
+	Queued        int           // requests in its queue, by that report
+	InFlight      int           // requests in flight there from this host
+	RateLimited   bool          // it advertises a rate limit
+	Rate          float64       // its rate limit for all hosts together, in requests per second
+	RateLeft      float64       // requests that the rate limit still allowed at once, as last reported
+	RetryAt       time.Time     // with Refuse: when a retry may succeed
+	Considered    int           // number of candidates considered
+	Candidates    [MaxCandidates]Candidate
+	Recorded      int // number of candidates recorded in Candidates
 }
 
-// Note counts a candidate, and records it for the log line while Candidates has space.
-func (d *Decision) Note(name string, cost float64, why Reason) {
-	d.Looked++
-	if d.Kept < MaxCandidates {
-		d.Candidates[d.Kept] = Candidate{Name: name, Cost: cost, Reason: why}
-		d.Kept++
+// AddCandidate counts a candidate, and records it for the log line while Candidates has space.
+func (d *Decision) AddCandidate(name string, cost float64, why Reason) {
+	d.Considered++
+	if d.Recorded < MaxCandidates {
+		d.Candidates[d.Recorded] = Candidate{Name: name, Cost: cost, Reason: why}
+		d.Recorded++
 	}
 }
 
@@ -77,64 +77,64 @@
 // View is a snapshot, made for one decision, of what a host knows about the candidates for
 // a request.
 type View struct {
-	Region    RegionID // of this host
-	Weights   Weights
-	Endpoints []EndpointView // those that this host calls itself
-	Remotes   []RemoteView   // remote data centres
-	Excluded  []string       // endpoints and data centres that were tried before
-	Events    float64        // expected number of events in the response; 0: not known, or not a stream
-	IdleRead  float64        // observed seconds that an idle endpoint takes to process a prompt token
-	KeptShare float64        // observed fraction of the shared prompt tokens that endpoints had cached
-	// UrgentPace is the interval between two events, in seconds, at which streams that are
+	Region         RegionID // of this host
+	Weights        Weights
+	Endpoints      []EndpointView // those that this host calls itself
+	Remotes        []RemoteView   // remote data centres
+	Excluded       []string       // endpoints and data centres that were tried before
+	ExpectedEvents float64        // expected number of events in the response; 0: not known, or not a stream
+	IdlePrefill    float64        // observed seconds that an idle endpoint takes to process a prompt token
+	CachedShare    float64        // observed fraction of the shared prompt tokens that endpoints had cached
+	// UrgentInterval is the interval between two events, in seconds, at which streams that are
 	// more urgent than this request would use up all of their time; 0: there are no such
 	// streams.
-	UrgentPace float64
-	// Borne is the observed ratio of the actual to the predicted time to the first event of
+	UrgentInterval float64
+	// PredictionRatio is the observed ratio of the actual to the predicted time to the first event of
 	// a stream; 0: not known.
-	Borne   float64
-	Line    float64 // estimated seconds that a request waits in this host's queue
-	Refused bool    // an endpoint in Endpoints refused the request because of its load
-	Waited  bool    // the request may not wait for capacity any longer
+	PredictionRatio float64
+	QueueWait       float64 // estimated seconds that a request waits in this host's queue
+	RefusedHere     bool    // an endpoint in Endpoints refused the request because of its load
+	WaitExhausted   bool    // the request may not wait for capacity any longer
 }
 
 // EndpointView is what a host knows about one endpoint.
 type EndpointView struct {
-	Name     string
-	Region   RegionID
-	Slots    int
-	Limit    int           // requests that this host may have in flight there now
-	Running  int           // requests that it runs, as last reported
-	Queued   int           // requests in its queue, as last reported
-	Own      int           // requests in flight from this host
-	OwnSince int           // change of Own since the report; may be negative
-	Age      time.Duration // age of the report; negative: there is none
-	Prefill  float64       // observed seconds to process a prompt token that is not cached
-	Service  float64       // observed seconds that a request occupies a slot
-	Warmth   float64       // warm-up share: the fraction of its full load that it may get, 0 to 1
-	Away     bool          // it can't be used now
-	Why      Reason        // with Away: the reason
-	Back     float64       // with Away: seconds until it can be used again; 0: not known
-	Failing  float64       // how far its failure rate exceeds that of its service, 0 to 1
-	Gap      float64       // observed seconds between two events of its streams; 0: not known
-	Backlog  float64       // predicted seconds until it has processed the prompts that it received before
-	Base     float64       // seconds to the first byte of a response, in addition to prompt processing
-	Kept     int           // tokens of the request's prompt that it has probably cached
-	Limited  bool          // it advertises a rate limit
-	Rate     float64       // its rate limit for all hosts together, in requests per second
-	Left     float64       // requests that the rate limit still allowed at once, as last reported
+	Name              string
+	Region            RegionID
+	Slots             int
+	InFlightLimit     int           // requests that this host may have in flight there now
+	Running           int           // requests that it runs, as last reported
+	Queued            int           // requests in its queue, as last reported
+	InFlight          int           // requests in flight from this host
+	InFlightChange    int           // change of Own since the report; may be negative
+	ReportAge         time.Duration // age of the report; negative: there is none
+	Prefill           float64       // observed seconds to process a prompt token that is not cached
+	ServiceTime       float64       // observed seconds that a request occupies a slot
+	WarmUpShare       float64       // warm-up share: the fraction of its full load that it may get, 0 to 1
+	Unavailable       bool          // it can't be used now
+	UnavailableReason Reason        // with Away: the reason
+	AvailableIn       float64       // with Away: seconds until it can be used again; 0: not known
+	ExcessFailureRate float64       // how far its failure rate exceeds that of its service, 0 to 1
+	EventInterval     float64       // observed seconds between two events of its streams; 0: not known
+	Backlog           float64       // predicted seconds until it has processed the prompts that it received before
+	BaseLatency       float64       // seconds to the first byte of a response, in addition to prompt processing
+	CachedTokens      int           // tokens of the request's prompt that it has probably cached
+	RateLimited       bool          // it advertises a rate limit
+	Rate              float64       // its rate limit for all hosts together, in requests per second
+	RateLeft          float64       // requests that the rate limit still allowed at once, as last reported
 }
 
 // RemoteView is what a host knows about a remote data centre.
 type RemoteView struct {
-	DataCentre string
-	Region     RegionID
-	Delay      time.Duration // one way
-	Wait       float64       // predicted seconds to the first token there
-	Free       int           // free slots of the service's endpoints
-	Slots      int           // all slots of the service's endpoints
-	Own        int           // requests in flight there from this host
-	Age        time.Duration // age of the data centre's digest
-	Reachable  bool
-	Warmth     float64 // warm-up share: the fraction of Free that may be used, 0 to 1
-	Gap        float64 // shortest interval between two events of a stream there, in seconds; 0: not known
+	DataCentre       string
+	Region           RegionID
+	Delay            time.Duration // one way
+	TimeToFirstToken float64       // predicted seconds to the first token there
+	FreeSlots        int           // free slots of the service's endpoints
+	Slots            int           // all slots of the service's endpoints
+	InFlight         int           // requests in flight there from this host
+	DigestAge        time.Duration // age of the data centre's digest
+	Reachable        bool
+	WarmUpShare      float64 // warm-up share: the fraction of Free that may be used, 0 to 1
+	EventInterval    float64 // shortest interval between two events of a stream there, in seconds; 0: not known
 }
--- a/errors.go
+++ b/errors.go
@@ -8,9 +8,9 @@
 
 // Errors of a Store.
 var (
-	ErrNotFound = errors.New("key not found")
-	ErrConflict = errors.New("key was changed by another writer")
-	ErrLimited  = errors.New("store's rate limit exceeded")
+	ErrNotFound    = errors.New("key not found")
+	ErrConflict    = errors.New("key was changed by another writer")
+	ErrRateLimited = errors.New("store's rate limit exceeded")
 )
 
 // PeerError is a failed call to another host, an endpoint or the store.
@@ -30,24 +30,24 @@
 
 // ChangeError is the reason why a change of the configuration is not valid.
 type ChangeError struct {
-	Edit int    // index of the invalid edit; the number of edits if only their combination is invalid
-	Item string // kind and name of the item
-	Text string // what is wrong with the item
+	EditIndex int    // index of the invalid edit; the number of edits if only their combination is invalid
+	Item      string // kind and name of the item
+	Text      string // what is wrong with the item
 }
 
 // Error returns the position of the edit, counted from 1, the item and what is wrong with it.
 func (e *ChangeError) Error() string {
-	return fmt.Sprintf("edit %d: %s: %s", e.Edit+1, e.Item, e.Text)
+	return fmt.Sprintf("edit %d: %s: %s", e.EditIndex+1, e.Item, e.Text)
 }
 
 // ConflictError reports that another change was accepted after the revision that the change was
 // written against.
 type ConflictError struct {
-	Expect uint64 // revision that the change was written against
-	Now    uint64 // current revision
+	Expect  uint64 // revision that the change was written against
+	Current uint64 // current revision
 }
 
 // Error returns both revisions.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("change was written against revision %d, but the current revision is %d: read it and try again", e.Expect, e.Now)
+	return fmt.Sprintf("change was written against revision %d, but the current revision is %d: read it and try again", e.Expect, e.Current)
 }
--- a/feed.go
+++ b/feed.go
@@ -20,22 +20,22 @@
 	Run(ctx context.Context, s Sink)
 }
 
-// Following decides which part a host takes in polling the platform. Calls to the platform
+// PollCoordinator decides which part a host takes in polling the platform. Calls to the platform
 // are rate-limited and billed, so few hosts poll it and the others fetch the listing from
 // them.
-type Following interface {
-	// Reads returns whether this host polls the platform's listing now.
-	Reads() bool
-	// Pace returns the interval between two polls.
-	Pace() time.Duration
-	// WatchesConfiguration returns whether this host watches the configuration, independently
+type PollCoordinator interface {
+	// ShouldPoll returns whether this host polls the platform's listing now.
+	ShouldPoll() bool
+	// PollInterval returns the interval between two polls.
+	PollInterval() time.Duration
+	// ShouldWatchConfiguration returns whether this host watches the configuration, independently
 	// of polling the listing.
-	WatchesConfiguration() bool
-	// Asking is called when a call to the platform begins, and Answered when it has ended; ok
+	ShouldWatchConfiguration() bool
+	// CallStarted is called when a call to the platform begins, and Answered when it has ended; ok
 	// reports whether the platform answered. Other hosts poll in place of a host that the
 	// platform rejects.
-	Asking(now time.Time)
-	Answered(ok bool)
+	CallStarted(now time.Time)
+	CallEnded(ok bool)
 	// Listing returns the newest listing that the host holds, read by itself or fetched from
 	// a peer; nil: none.
 	Listing() *Listing
@@ -43,26 +43,26 @@
 
 // Sink receives the data of a Feed. Its methods don't block.
 type Sink interface {
-	// Configured offers a configuration. A configuration that is older than the current one
+	// OfferConfiguration offers a configuration. A configuration that is older than the current one
 	// is ignored. If the configuration is not valid, Configured returns an error and the
 	// current one stays in force.
-	Configured(s Snapshot) error
-	// Listed replaces the listing.
-	Listed(l Listing)
+	OfferConfiguration(s Snapshot) error
+	// ReplaceListing replaces the listing.
+	ReplaceListing(l Listing)
 }
 
 // Listing is a snapshot of the platform's service discovery data.
 type Listing struct {
-	Revision uint64    // platform revision of the newest change that the listing contains
-	Seen     uint64    // platform revision up to which there was no further change
-	At       time.Time // when the platform was read
+	Revision          uint64    // platform revision of the newest change that the listing contains
+	ConfirmedRevision uint64    // platform revision up to which there was no further change
+	ReadAt            time.Time // when the platform was read
 	// Endpoints are sorted by name. Listings share the endpoints that did not change between
 	// them, so an endpoint must not be modified once a listing contains it.
 	Endpoints []*Endpoint
 	Hosts     []Host // registered hosts, including some that have ended lately
-	// Holds are the persisted quarantine entries, with times of the boot-time clock
+	// Quarantined are the persisted quarantine entries, with times of the boot-time clock
 	// (process/clock).
-	Holds []Hold
+	Quarantined []QuarantineEntry
 }
 
 // Endpoint returns the endpoint with a name; nil: it is not listed.
@@ -79,9 +79,9 @@
 	slices.SortFunc(endpoints, func(a, b *Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Registry keeps a host registered in the platform's list of hosts until ctx ends. While the
+// HostRegistry keeps a host registered in the platform's list of hosts until ctx ends. While the
 // host is not registered, Register waits for due to return true; then it writes the host's
 // entry and renews it.
-type Registry interface {
+type HostRegistry interface {
 	Register(ctx context.Context, h Host, due func() bool)
 }
--- a/host.go
+++ b/host.go
@@ -11,12 +11,12 @@
 	Name        string
 	Region      string
 	DataCentre  string
-	Callers     netip.AddrPort // address for callers
-	Peers       netip.AddrPort // address for other hosts and operators
+	CallerAddr  netip.AddrPort // address for callers
+	PeerAddr    netip.AddrPort // address for other hosts and operators
 	Incarnation uint64         // random for each start of the process
 	Revision    uint64         // newest configuration that the host holds
 	State       HostState
-	Heard       time.Time // when this host last saw its heartbeat counter increase
+	LastSeen    time.Time // when this host last saw its heartbeat counter increase
 	// Capacity is the number of requests per second that the host's network link and
 	// processor allow. It weighs the host against others; 0: not known.
 	Capacity uint32
--- a/mechanism.go
+++ b/mechanism.go
@@ -12,26 +12,26 @@
 
 // Mechanisms.
 const (
-	Affinity       Mechanism = iota // prefer endpoints that have cached the request's prompt
-	PromptMoves                     // let endpoints transfer KV caches from each other
-	FarMoves                        // allow such transfers also from endpoints that this host doesn't call
-	LastSent                        // transfer from the endpoint to which this host sent the session last
-	KeptElsewhere                   // assume that remote data centres have cached as much of a prompt as this one
-	PromptBacklog                   // count the prompts that an endpoint has not processed yet
-	Pace                            // refuse streams that would end too late, so that the caller retries
-	UrgentFirst                     // refuse less urgent streams earlier than more urgent ones
-	Shedding                        // refuse streams that would begin too late for their caller
-	Forwarding                      // forward requests to remote data centres
-	Waiting                         // let requests queue on this host for capacity
-	LastChance                      // try to forward a request that has waited in vain before refusing it
-	Retries                         // retry requests where that is safe
-	FailureCost                     // raise the cost of endpoints that fail more often than others
-	Ejection                        // stop using endpoints that fail several times in a row
-	Silence                         // stop using endpoints whose streams have all stalled
-	AdaptiveLimits                  // adapt the limit of requests in flight to an endpoint's responses
-	WarmUp                          // increase the share of load gradually for endpoints that return
-	HoldingBack                     // quarantine requests that make endpoints crash
-	RateLimits                      // keep to the rate limits that endpoints advertise
+	MechanismAffinity             Mechanism = iota // prefer endpoints that have cached the request's prompt
+	MechanismCacheTransfer                         // let endpoints transfer KV caches from each other
+	MechanismRemoteCacheTransfer                   // allow such transfers also from endpoints that this host doesn't call
+	MechanismTransferFromLastSent                  // transfer from the endpoint to which this host sent the session last
+	MechanismRemoteCacheEstimate                   // assume that remote data centres have cached as much of a prompt as this one
+	MechanismPromptBacklog                         // count the prompts that an endpoint has not processed yet
+	MechanismStreamPace                            // refuse streams that would end too late, so that the caller retries
+	MechanismUrgentFirst                           // refuse less urgent streams earlier than more urgent ones
+	MechanismShedding                              // refuse streams that would begin too late for their caller
+	MechanismForwarding                            // forward requests to remote data centres
+	MechanismQueueing                              // let requests queue on this host for capacity
+	MechanismForwardAfterWait                      // try to forward a request that has waited in vain before refusing it
+	MechanismRetries                               // retry requests where that is safe
+	MechanismFailureCost                           // raise the cost of endpoints that fail more often than others
+	MechanismEjection                              // stop using endpoints that fail several times in a row
+	MechanismSilence                               // stop using endpoints whose streams have all stalled
+	MechanismAdaptiveLimits                        // adapt the limit of requests in flight to an endpoint's responses
+	MechanismWarmUp                                // increase the share of load gradually for endpoints that return
+	MechanismQuarantine                            // quarantine requests that make endpoints crash
+	MechanismRateLimits                            // keep to the rate limits that endpoints advertise
 )
 
 var mechanismNames = [...]string{
--- a/observation.go
+++ b/observation.go
@@ -5,21 +5,21 @@
 // Observation is what one attempt showed about the endpoint that it ran on.
 type Observation struct {
 	Request string // id
-	// Born is the start time of the process instance that the attempt was sent to; zero: not
+	// StartedAt is the start time of the process instance that the attempt was sent to; zero: not
 	// known.
-	Born    time.Time
-	Outcome Outcome
-	Timing  Timing
-	Route   string
-	Tokens  int // of the prompt
-	// Predicted is the time to the first byte of the response that the decision expected;
+	StartedAt    time.Time
+	Outcome      Outcome
+	Timing       Timing
+	Route        string
+	PromptTokens int // of the prompt
+	// PredictedFirstByte is the time to the first byte of the response that the decision expected;
 	// 0: there was no prediction.
-	Predicted time.Duration
-	Cancel    bool // the caller disconnected, so the attempt shows nothing about the endpoint
+	PredictedFirstByte time.Duration
+	Cancelled          bool // the caller disconnected, so the attempt shows nothing about the endpoint
 }
 
-// Endpoints is the state of the endpoints that a host may call.
-type Endpoints interface {
+// EndpointTable is the state of the endpoints that a host may call.
+type EndpointTable interface {
 	// Fill appends the endpoints of a request's service to a view.
 	Fill(v *View, r *Request, now time.Time)
 	// Acquire reserves capacity for a request at an endpoint. It returns false if the endpoint
@@ -27,18 +27,18 @@
 	Acquire(name string, r *Request, now time.Time) bool
 	// Release frees the capacity and learns from the attempt.
 	Release(name string, o Observation, now time.Time)
-	// Known returns a listed endpoint by its name, whether or not it can be used now.
-	Known(name string) (Endpoint, bool)
-	// Bars returns why no new request may be sent to an endpoint, as it is leaving, paused or
+	// Find returns a listed endpoint by its name, whether or not it can be used now.
+	Find(name string) (Endpoint, bool)
+	// Blocked returns why no new request may be sent to an endpoint, as it is leaving, paused or
 	// not listed any more, and until when if that is known; an empty reason: it may be sent.
-	Bars(name string, now time.Time) (why Reason, until time.Time)
-	// Freed returns a channel that is closed when an endpoint of a service may have capacity
+	Blocked(name string, now time.Time) (why Reason, until time.Time)
+	// CapacityFreed returns a channel that is closed when an endpoint of a service may have capacity
 	// again.
-	Freed(service string) <-chan struct{}
+	CapacityFreed(service string) <-chan struct{}
 }
 
-// Hosts is the state of the other hosts.
-type Hosts interface {
+// HostTable is the state of the other hosts.
+type HostTable interface {
 	// Self returns this host.
 	Self() Host
 	// Find returns a host by its name.
@@ -48,6 +48,6 @@
 	Fill(v *View, service string, regionID func(region string) (RegionID, bool), now time.Time)
 	// Pick chooses a host of a data centre and counts a request in flight there.
 	Pick(dataCentre, service string, now time.Time) (Host, bool)
-	// Returned counts the end of a forwarded request and learns from its outcome.
-	Returned(dataCentre, service string, o Outcome, now time.Time)
+	// ForwardEnded counts the end of a forwarded request and learns from its outcome.
+	ForwardEnded(dataCentre, service string, o Outcome, now time.Time)
 }
--- a/outcome.go
+++ b/outcome.go
@@ -11,9 +11,9 @@
 // Kinds of outcome. NotRun is a guarantee: no byte of the request reached an endpoint, or the
 // endpoint refused it before starting. Whenever that is not certain, the outcome is Unknown.
 const (
-	Unknown  OutcomeKind = iota // it may or may not have run
-	NotRun                      // it has not run
-	Answered                    // it has run, and its response was sent to the caller
+	OutcomeUnknown  OutcomeKind = iota // it may or may not have run
+	OutcomeNotRun                      // it has not run
+	OutcomeAnswered                    // it has run, and its response was sent to the caller
 )
 
 var outcomeNames = [...]string{"unknown", "not-run", "answered"}
@@ -23,34 +23,34 @@
 
 // Outcome is the result of a request, or of one attempt at it.
 type Outcome struct {
-	Kind    OutcomeKind
-	Status  int    // HTTP status for the caller
-	Step    Step   // step at which it ended
-	Peer    string // host or endpoint where it ended
-	Reason  Reason
-	RetryAt time.Time // when a retry may succeed; zero: no retry is suggested
-	Err     error
-	Begun   bool // part of a response was sent to the caller
+	Kind            OutcomeKind
+	Status          int    // HTTP status for the caller
+	Step            Step   // step at which it ended
+	Peer            string // host or endpoint where it ended
+	Reason          Reason
+	RetryAt         time.Time // when a retry may succeed; zero: no retry is suggested
+	Err             error
+	ResponseStarted bool // part of a response was sent to the caller
 	// HostLost reports that the host to which the request was forwarded could not be reached or
 	// broke the connection. Peer is the name of that host.
-	HostLost bool
-	Events   int       // number of whole events of a stream that were forwarded
-	First    time.Time // when the first byte of the response arrived here; zero: none did
-	// Failure is an endpoint's error response that was not forwarded, because another attempt
+	HostLost  bool
+	Events    int       // number of whole events of a stream that were forwarded
+	FirstByte time.Time // when the first byte of the response arrived here; zero: none did
+	// DeferredFailure is an endpoint's error response that was not forwarded, because another attempt
 	// may succeed. If none does, it is sent to the caller.
-	Failure *KeptAnswer
-	Cold    time.Duration // remaining cold start that the endpoint stated; 0: none
+	DeferredFailure *BufferedResponse
+	ColdStart       time.Duration // remaining cold start that the endpoint stated; 0: none
 }
 
-// KeptAnswer is a whole response that is held in memory.
-type KeptAnswer struct {
+// BufferedResponse is a whole response that is held in memory.
+type BufferedResponse struct {
 	Status int
 	Header []HeaderField
 	Body   []byte
 }
 
 // Replay writes the response to a.
-func (k *KeptAnswer) Replay(a Answer) error {
+func (k *BufferedResponse) Replay(a ResponseWriter) error {
 	if err := a.Begin(k.Status, k.Header); err != nil {
 		return err
 	}
@@ -74,16 +74,16 @@
 
 // Steps of a request.
 const (
-	StepParse     Step = "parse"     // reading the caller's request
-	StepOnce      Step = "once"      // handling its at-most-once key
-	StepDecide    Step = "decide"    // deciding where it runs
-	StepQueue     Step = "queue"     // waiting for capacity
-	StepResidency Step = "residency" // checking which regions may process it
-	StepConnect   Step = "connect"   // connecting to an endpoint or a host
-	StepSend      Step = "send"      // sending the request to an endpoint
-	StepAnswer    Step = "answer"    // receiving the response
-	StepForward   Step = "forward"   // forwarding to another host
-	StepHold      Step = "hold"      // checking the quarantine
+	StepParse       Step = "parse"     // reading the caller's request
+	StepIdempotency Step = "once"      // handling its at-most-once key
+	StepDecide      Step = "decide"    // deciding where it runs
+	StepQueue       Step = "queue"     // waiting for capacity
+	StepResidency   Step = "residency" // checking which regions may process it
+	StepConnect     Step = "connect"   // connecting to an endpoint or a host
+	StepSend        Step = "send"      // sending the request to an endpoint
+	StepResponse    Step = "answer"    // receiving the response
+	StepForward     Step = "forward"   // forwarding to another host
+	StepQuarantine  Step = "hold"      // checking the quarantine
 )
 
 // Reason is why a candidate was not chosen, or why a request was refused or failed.
@@ -91,49 +91,49 @@
 
 // Reasons.
 const (
-	ReasonChosen       Reason = "chosen"           // not refused: the candidate was chosen
-	ReasonCost         Reason = "cost"             // another candidate has a lower cost
-	ReasonResidency    Reason = "residency"        // the request may not run in the region
-	ReasonDraining     Reason = "draining"         // the endpoint is draining, leaving or not listed any more
-	ReasonEjected      Reason = "ejected"          // the endpoint failed repeatedly
-	ReasonExcluded     Reason = "tried-before"     // an earlier attempt went there
-	ReasonFull         Reason = "full"             // there is no capacity now
-	ReasonDeadline     Reason = "deadline"         // the deadline has passed, or would pass
-	ReasonHops         Reason = "hops"             // the request was already forwarded once
-	ReasonNoEndpoint   Reason = "no-endpoint"      // no endpoint of the service is known
-	ReasonQueueFull    Reason = "queue-full"       // the service's queue is full
-	ReasonBudget       Reason = "retry-budget"     // unused
-	ReasonUnreachable  Reason = "unreachable"      // the endpoint, host or data centre can't be reached
-	ReasonRefused      Reason = "endpoint-refused" // the endpoint refused the request, or recent ones, before starting
-	ReasonBroken       Reason = "answer-broken"    // the response broke off or can't be verified
-	ReasonLost         Reason = "answer-lost"      // no complete response arrived
-	ReasonCallerGone   Reason = "caller-gone"      // the caller disconnected
-	ReasonBadRequest   Reason = "bad-request"
-	ReasonNoService    Reason = "unknown-service"
-	ReasonKey          Reason = "key"              // the at-most-once key is malformed or was used for another request
-	ReasonKeyExpired   Reason = "key-expired"      // the at-most-once key has expired
-	ReasonIssuerGone   Reason = "issuer-gone"      // the process that issued the at-most-once key can't be found
-	ReasonNotKept      Reason = "answer-not-kept"  // the request ran, but its response was not stored for a repeat
-	ReasonStarting     Reason = "starting"         // the host holds no configuration yet
-	ReasonLeaving      Reason = "leaving"          // the host is stopping
-	ReasonStale        Reason = "report-stale"     // the digest of the data centre is too old
-	ReasonStreamEnded  Reason = "stream-ended"     // unused
-	ReasonUnsupported  Reason = "unsupported"      // unused
-	ReasonTooLarge     Reason = "too-large"        // the request body is too large
-	ReasonOverCapacity Reason = "over-capacity"    // there is too little capacity to serve it in time
-	ReasonFailed       Reason = "endpoint-failed"  // the endpoint sent an error response
-	ReasonMisled       Reason = "other-process"    // another process has the endpoint's address
-	ReasonCold         Reason = "cold"             // the endpoint's cold start allows no further request now
-	ReasonLimited      Reason = "endpoint-limited" // the endpoint's rate limit allows no further request now
-	ReasonPaused       Reason = "endpoint-paused"  // the endpoint announced a pause to this host
-	ReasonSilent       Reason = "endpoint-silent"  // the streams of the endpoint have all stalled
-	ReasonNoRoute      Reason = "no-route"         // no route matches the request
-	ReasonSlow         Reason = "slow"             // a stream there would end too late
-	ReasonNoWorkspace  Reason = "unknown-workspace"
-	ReasonNoKey        Reason = "no-key"         // the request has no workspace key but needs one
-	ReasonBadKey       Reason = "bad-key"        // the text can't be a workspace key
-	ReasonUnknownKey   Reason = "unknown-key"    // no workspace has the key, or not any more
-	ReasonNoHome       Reason = "no-common-home" // no region is allowed by both the route and the workspace
-	ReasonQuota        Reason = "over-quota"     // the workspace has used up its quota
-	ReasonHeldBack     Reason = "held-back"      // the request is quarantined
+	ReasonChosen                Reason = "chosen"           // not refused: the candidate was chosen
+	ReasonCost                  Reason = "cost"             // another candidate has a lower cost
+	ReasonResidency             Reason = "residency"        // the request may not run in the region
+	ReasonDraining              Reason = "draining"         // the endpoint is draining, leaving or not listed any more
+	ReasonEjected               Reason = "ejected"          // the endpoint failed repeatedly
+	ReasonTriedBefore           Reason = "tried-before"     // an earlier attempt went there
+	ReasonFull                  Reason = "full"             // there is no capacity now
+	ReasonDeadline              Reason = "deadline"         // the deadline has passed, or would pass
+	ReasonHops                  Reason = "hops"             // the request was already forwarded once
+	ReasonNoEndpoint            Reason = "no-endpoint"      // no endpoint of the service is known
+	ReasonQueueFull             Reason = "queue-full"       // the service's queue is full
+	ReasonRetryBudget           Reason = "retry-budget"     // unused
+	ReasonUnreachable           Reason = "unreachable"      // the endpoint, host or data centre can't be reached
+	ReasonEndpointRefused       Reason = "endpoint-refused" // the endpoint refused the request, or recent ones, before starting
+	ReasonResponseBroken        Reason = "answer-broken"    // the response broke off or can't be verified
+	ReasonResponseLost          Reason = "answer-lost"      // no complete response arrived
+	ReasonCallerGone            Reason = "caller-gone"      // the caller disconnected
+	ReasonBadRequest            Reason = "bad-request"
+	ReasonUnknownService        Reason = "unknown-service"
+	ReasonIdempotencyKey        Reason = "key"              // the at-most-once key is malformed or was used for another request
+	ReasonIdempotencyKeyExpired Reason = "key-expired"      // the at-most-once key has expired
+	ReasonIssuerGone            Reason = "issuer-gone"      // the process that issued the at-most-once key can't be found
+	ReasonResponseNotStored     Reason = "answer-not-kept"  // the request ran, but its response was not stored for a repeat
+	ReasonStarting              Reason = "starting"         // the host holds no configuration yet
+	ReasonLeaving               Reason = "leaving"          // the host is stopping
+	ReasonReportStale           Reason = "report-stale"     // the digest of the data centre is too old
+	ReasonStreamEnded           Reason = "stream-ended"     // unused
+	ReasonUnsupported           Reason = "unsupported"      // unused
+	ReasonTooLarge              Reason = "too-large"        // the request body is too large
+	ReasonOverCapacity          Reason = "over-capacity"    // there is too little capacity to serve it in time
+	ReasonEndpointFailed        Reason = "endpoint-failed"  // the endpoint sent an error response
+	ReasonOtherProcess          Reason = "other-process"    // another process has the endpoint's address
+	ReasonColdStart             Reason = "cold"             // the endpoint's cold start allows no further request now
+	ReasonRateLimited           Reason = "endpoint-limited" // the endpoint's rate limit allows no further request now
+	ReasonPaused                Reason = "endpoint-paused"  // the endpoint announced a pause to this host
+	ReasonSilent                Reason = "endpoint-silent"  // the streams of the endpoint have all stalled
+	ReasonNoRoute               Reason = "no-route"         // no route matches the request
+	ReasonSlow                  Reason = "slow"             // a stream there would end too late
+	ReasonUnknownWorkspace      Reason = "unknown-workspace"
+	ReasonNoKey                 Reason = "no-key"         // the request has no workspace key but needs one
+	ReasonBadKey                Reason = "bad-key"        // the text can't be a workspace key
+	ReasonUnknownKey            Reason = "unknown-key"    // no workspace has the key, or not any more
+	ReasonNoCommonHome          Reason = "no-common-home" // no region is allowed by both the route and the workspace
+	ReasonOverQuota             Reason = "over-quota"     // the workspace has used up its quota
+	ReasonQuarantined           Reason = "held-back"      // the request is quarantined
 )
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -77,10 +77,10 @@
 type Hosted struct {
 	// Feed returns the feed of the platform's configuration and listings. f decides which
 	// of the platform's calls this host makes.
-	Feed     func(f vetchtrail.Following) vetchtrail.Feed
-	Registry vetchtrail.Registry   // registers this host with the platform
-	Holds    vetchtrail.HoldKeeper // persists quarantine entries on the platform
-	Dialect  vetchtrail.Dialect    // translates the platform's request and response headers
+	Feed     func(f vetchtrail.PollCoordinator) vetchtrail.Feed
+	Registry vetchtrail.HostRegistry    // registers this host with the platform
+	Holds    vetchtrail.QuarantineStore // persists quarantine entries on the platform
+	Dialect  vetchtrail.Dialect         // translates the platform's request and response headers
 	// Directory returns the directory server. homes returns the home regions of a host name
 	// that callers use; known is false while the host has no configuration.
 	Directory func(m *membership.Membership, homes func(name string) (regions []string, known bool)) Directory
@@ -132,7 +132,7 @@
 	d.log = c.Log.With("host", c.Settings.Host)
 	d.self = vetchtrail.Host{
 		Name: d.cfg.Host, Region: d.cfg.Region, DataCentre: d.cfg.DataCentre,
-		Callers: d.cfg.Listen.Callers, Peers: d.cfg.Listen.Peers,
+		CallerAddr: d.cfg.Listen.Callers, PeerAddr: d.cfg.Listen.Peers,
 		// The start time serves as the incarnation, so that each restart has a higher one.
 		Incarnation: uint64(time.Now().UnixNano()),
 		State:       vetchtrail.HostStarting,
@@ -373,7 +373,7 @@
 
 // pullFrom fetches and applies the configuration changes that host h has and this host lacks.
 func (d *Daemon) pullFrom(ctx context.Context, h vetchtrail.Host) error {
-	reply, err := d.peers.Changes(ctx, h.Peers, d.changes.Revision())
+	reply, err := d.peers.Changes(ctx, h.PeerAddr, d.changes.Revision())
 	if err != nil {
 		return err
 	}
--- a/process/daemon/hosted.go
+++ b/process/daemon/hosted.go
@@ -65,13 +65,13 @@
 // feedSink receives the configurations and listings of the platform's feed.
 type feedSink struct{ d *Daemon }
 
-// Configured implements vetchtrail.Sink.
-func (s feedSink) Configured(c vetchtrail.Snapshot) error {
+// OfferConfiguration implements vetchtrail.Sink.
+func (s feedSink) OfferConfiguration(c vetchtrail.Snapshot) error {
 	return s.d.changes.LearnSnapshot(&schema.Snapshot{Revision: c.Revision, Edits: schema.FromEdits(c.Edits)})
 }
 
-// Listed implements vetchtrail.Sink.
-func (s feedSink) Listed(l vetchtrail.Listing) { s.d.lists.Take(l) }
+// ReplaceListing implements vetchtrail.Sink.
+func (s feedSink) ReplaceListing(l vetchtrail.Listing) { s.d.lists.Take(l) }
 
 // configuration gives package lists access to the host's configuration, to compare it with
 // other hosts' and to apply the newer ones that it fetches from them.
--- a/process/daemon/hosted_test.go
+++ b/process/daemon/hosted_test.go
@@ -29,10 +29,10 @@
 		case <-ctx.Done():
 			return
 		case l := <-f.listings:
-			if err := s.Configured(vetchtrail.Snapshot{Revision: 5, Edits: hostedEdits()}); err != nil {
+			if err := s.OfferConfiguration(vetchtrail.Snapshot{Revision: 5, Edits: hostedEdits()}); err != nil {
 				panic(err)
 			}
-			s.Listed(l)
+			s.ReplaceListing(l)
 		}
 	}
 }
@@ -68,12 +68,12 @@
 	s.Platform.Kind, s.Platform.DataCentres = settings.PlatformHosted, map[string]string{"d": "r"}
 	s.Listen.Callers, s.Listen.Peers, s.Platform.Store = addr(last, 8080), addr(last, 7070), addr(last, 8500)
 	for _, p := range peers {
-		s.Seeds = append(s.Seeds, p.self.Peers)
+		s.Seeds = append(s.Seeds, p.self.PeerAddr)
 	}
 	d, err := New(Config{
 		Settings: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Hosted: &Hosted{
-			Feed: func(vetchtrail.Following) vetchtrail.Feed { return feed }, Registry: noRegistry{}, Dialect: dialect.Plain{},
+			Feed: func(vetchtrail.PollCoordinator) vetchtrail.Feed { return feed }, Registry: noRegistry{}, Dialect: dialect.Plain{},
 			Directory: func(*membership.Membership, func(string) ([]string, bool)) Directory { return noDirectory{} },
 		},
 	})
@@ -88,16 +88,16 @@
 	listed, silent := manualFeed{make(chan vetchtrail.Listing, 1)}, manualFeed{make(chan vetchtrail.Listing, 1)}
 	a := startHostedDaemon(t, "a", 11, listed)
 	b := startHostedDaemon(t, "b", 12, silent, a)
-	listed.listings <- vetchtrail.Listing{Revision: 40, Seen: 40, At: time.Now(), Endpoints: []*vetchtrail.Endpoint{
+	listed.listings <- vetchtrail.Listing{Revision: 40, ConfirmedRevision: 40, ReadAt: time.Now(), Endpoints: []*vetchtrail.Endpoint{
 		{Name: "e", Instance: "e", Service: "s", Region: "r", DataCentre: "d", Addr: addr(13, 80), Slots: 2},
 	}}
 	waitUntilReady(t, b)
 	assert.Equal(t, b.Revision(), uint64(5))
-	_, known := b.table.Known("e")
+	_, known := b.table.Find("e")
 	assert.Assert(t, known)
-	b.lists.Take(vetchtrail.Listing{Revision: 39, Seen: 39, At: time.Now()})
+	b.lists.Take(vetchtrail.Listing{Revision: 39, ConfirmedRevision: 39, ReadAt: time.Now()})
 	assert.Equal(t, b.lists.Listing().Revision, uint64(40))
-	b.lists.Take(vetchtrail.Listing{Revision: 41, Seen: 41, At: time.Now()})
+	b.lists.Take(vetchtrail.Listing{Revision: 41, ConfirmedRevision: 41, ReadAt: time.Now()})
 	assert.Equal(t, b.lists.Listing().Revision, uint64(41))
 }
 
@@ -110,7 +110,7 @@
 		t.Run(fmt.Sprint(endpoints, " endpoints"), func(t *testing.T) {
 			feed := manualFeed{make(chan vetchtrail.Listing, 1)}
 			d := startHostedDaemon(t, "a", 11, feed)
-			l := vetchtrail.Listing{Revision: 40, Seen: 40, At: time.Now()}
+			l := vetchtrail.Listing{Revision: 40, ConfirmedRevision: 40, ReadAt: time.Now()}
 			for n := range endpoints {
 				l.Endpoints = append(l.Endpoints, &vetchtrail.Endpoint{
 					Name: fmt.Sprintf("e%05d", n), Service: "s", Region: []string{"r", "q"}[n%2], DataCentre: "d", Addr: addr(13, 80), Slots: 2,
@@ -123,14 +123,14 @@
 			runtime.ReadMemStats(&before)
 			const updates = 20
 			for range updates {
-				l.Seen++
+				l.ConfirmedRevision++
 				d.lists.Take(l)
 			}
 			runtime.ReadMemStats(&after)
 			bytesPerUpdate := (after.TotalAlloc - before.TotalAlloc) / updates
 			t.Logf("%d bytes allocated", bytesPerUpdate)
 			assert.Assert(t, bytesPerUpdate < maxBytes, "%d bytes allocated", bytesPerUpdate)
-			l.Seen, l.Revision, l.Endpoints = l.Seen+1, l.Seen+1, l.Endpoints[1:]
+			l.ConfirmedRevision, l.Revision, l.Endpoints = l.ConfirmedRevision+1, l.ConfirmedRevision+1, l.Endpoints[1:]
 			d.lists.Take(l)
 			assert.Equal(t, len(d.table.Endpoints()), (endpoints-1)/2)
 		})
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -86,7 +86,7 @@
 	case errors.As(err, &invalid):
 		r.Result = schema.ProposeReply_INVALID
 	case errors.As(err, &conflict):
-		r.Result, r.Revision = schema.ProposeReply_CONFLICT, conflict.Now
+		r.Result, r.Revision = schema.ProposeReply_CONFLICT, conflict.Current
 	case errors.Is(err, changelog.ErrUnsettled):
 		r.Result = schema.ProposeReply_UNKNOWN
 	default:
@@ -119,8 +119,8 @@
 	out := &schema.StatusReply{Host: o.d.self.Name, Revision: o.d.changes.Revision(), StoreHeard: unixNanos(o.d.changes.StoreHeard())}
 	for _, h := range o.d.membership.Hosts(now) {
 		out.Hosts = append(out.Hosts, &schema.HostStatus{
-			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Callers: h.Callers.String(), Peers: h.Peers.String(),
-			Revision: h.Revision, State: h.State.String(), Heard: unixNanos(h.Heard),
+			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Callers: h.CallerAddr.String(), Peers: h.PeerAddr.String(),
+			Revision: h.Revision, State: h.State.String(), Heard: unixNanos(h.LastSeen),
 		})
 	}
 	for _, row := range o.d.table.Rows(now) {
@@ -140,13 +140,13 @@
 // endpointStatus returns the status of the endpoint in a row of the table.
 func endpointStatus(row load.Row) *schema.EndpointStatus {
 	state := "in-use"
-	if row.View.Away {
-		state = string(row.View.Why)
+	if row.View.Unavailable {
+		state = string(row.View.UnavailableReason)
 	}
 	return &schema.EndpointStatus{
 		Name: row.Name, Service: row.Service, Running: int32(row.Report.Running), Queued: int32(row.Report.Queued),
-		Own: int32(row.View.Own), Limit: int32(row.View.Limit), State: state, Reported: unixNanos(row.Report.At),
-		Limited: row.View.Limited, Rate: row.View.Rate, RateSince: unixNanos(row.LimitedSince),
+		Own: int32(row.View.InFlight), Limit: int32(row.View.InFlightLimit), State: state, Reported: unixNanos(row.Report.ReceivedAt),
+		Limited: row.View.RateLimited, Rate: row.View.Rate, RateSince: unixNanos(row.LimitedSince),
 		LeavingBy: string(row.LeavingBy), LeavingSince: unixNanos(row.LeavingSince), PausedUntil: unixNanos(row.PausedUntil),
 	}
 }
@@ -166,21 +166,21 @@
 		limit = maxDecisions
 	}
 	out := &schema.DecisionsReply{}
-	for _, r := range o.d.journal.Recent(limit, func(r *vetchtrail.Record) bool { return matchesQuery(q, r) }) {
+	for _, r := range o.d.journal.Recent(limit, func(r *vetchtrail.JournalRecord) bool { return matchesQuery(q, r) }) {
 		out.Records = append(out.Records, toDecisionRecord(r))
 	}
 	return out, nil
 }
 
 // matchesQuery reports whether a record matches all fields that are set in q.
-func matchesQuery(q *schema.DecisionsRequest, r *vetchtrail.Record) bool {
+func matchesQuery(q *schema.DecisionsRequest, r *vetchtrail.JournalRecord) bool {
 	return (q.GetRequest() == "" || q.GetRequest() == r.Request) &&
 		(q.GetService() == "" || q.GetService() == r.Service) &&
 		(q.GetOutcome() == "" || (r.Ended && q.GetOutcome() == r.Outcome.Kind.String()))
 }
 
 // toDecisionRecord translates a record, of a decision or of an outcome, for operators.
-func toDecisionRecord(r vetchtrail.Record) *schema.DecisionRecord {
+func toDecisionRecord(r vetchtrail.JournalRecord) *schema.DecisionRecord {
 	m := &schema.DecisionRecord{
 		Request: r.Request, Service: r.Service, Workspace: r.Workspace, Home: r.Home, Revision: r.Revision,
 		Hops: int32(r.Hops), Attempt: int32(r.Attempt), At: unixNanos(r.At),
@@ -190,8 +190,8 @@
 		return m
 	}
 	m.Decision, m.Target, m.Reason = r.Decision.Kind.String(), r.Decision.Name, string(r.Decision.Reason)
-	m.Cost, m.Looked = r.Decision.Cost, int32(r.Decision.Looked)
-	for _, c := range r.Decision.Candidates[:r.Decision.Kept] {
+	m.Cost, m.Looked = r.Decision.Cost, int32(r.Decision.Considered)
+	for _, c := range r.Decision.Candidates[:r.Decision.Recorded] {
 		m.Candidates = append(m.Candidates, &schema.Candidate{Name: c.Name, Cost: c.Cost, Reason: string(c.Reason)})
 	}
 	return m
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -15,7 +15,7 @@
 	d.quarantines = quarantines.New(quarantines.Config{
 		Self: d.self, Regions: func() []string { return d.changes.Rules().RegionNames() }, Hosts: liveHosts{d.membership}, Peers: d.peers,
 		Refuses: d.endpoints.Refuses, Leaving: d.endpointLeaving, Keeper: d.quarantineKeeper(), Clock: clock.Boot,
-		Off: off.Has(vetchtrail.HoldingBack), Log: d.log,
+		Off: off.Has(vetchtrail.MechanismQuarantine), Log: d.log,
 	})
 }
 
@@ -35,7 +35,7 @@
 
 // quarantineKeeper returns where quarantine entries are persisted, so that they outlast a
 // restart of all hosts.
-func (d *Daemon) quarantineKeeper() vetchtrail.HoldKeeper {
+func (d *Daemon) quarantineKeeper() vetchtrail.QuarantineStore {
 	if d.hosted != nil {
 		return d.hosted.Holds
 	}
--- a/process/daemon/ratelimits.go
+++ b/process/daemon/ratelimits.go
@@ -10,7 +10,7 @@
 // newRateLimits creates the host's part in keeping the rate limits that endpoints advertise.
 func (d *Daemon) newRateLimits(off vetchtrail.Mechanisms) {
 	d.rateLimits = ratelimits.New(ratelimits.Config{
-		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, Off: off.Has(vetchtrail.RateLimits), Log: d.log,
+		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, Off: off.Has(vetchtrail.MechanismRateLimits), Log: d.log,
 	})
 }
 
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -62,7 +62,7 @@
 			var all []*Daemon
 			for i := range hosts {
 				feed := manualFeed{make(chan vetchtrail.Listing, 1)}
-				feed.listings <- vetchtrail.Listing{Revision: 40, Seen: 40, At: time.Now(), Endpoints: []*vetchtrail.Endpoint{&endpoint}}
+				feed.listings <- vetchtrail.Listing{Revision: 40, ConfirmedRevision: 40, ReadAt: time.Now(), Endpoints: []*vetchtrail.Endpoint{&endpoint}}
 				all = append(all, startHostedDaemon(t, string(rune('a'+i)), byte(21+i), feed, all...))
 			}
 			for _, d := range all {
--- a/process/daemon/tls_test.go
+++ b/process/daemon/tls_test.go
@@ -92,8 +92,8 @@
 func TestMutualTLS(t *testing.T) {
 	trusted, untrusted := newAuthority(t, t.TempDir()), newAuthority(t, t.TempDir())
 	a := startDaemon(t, "a", 1, trusted)
-	b := startDaemon(t, "b", 2, trusted, a.self.Peers)
-	c := startDaemon(t, "c", 3, untrusted, a.self.Peers)
+	b := startDaemon(t, "b", 2, trusted, a.self.PeerAddr)
+	c := startDaemon(t, "c", 3, untrusted, a.self.PeerAddr)
 	deadline := time.Now().Add(30 * time.Second)
 	for len(a.membership.Hosts(time.Now())) < 2 || len(b.membership.Hosts(time.Now())) < 2 {
 		assert.Assert(t, time.Now().Before(deadline), "hosts with the same authority do not learn of each other")
@@ -103,7 +103,7 @@
 	assert.Equal(t, len(a.membership.Hosts(time.Now())), 2)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	op, err := operator.Dial(ctx, operator.Config{Addr: a.self.Peers})
+	op, err := operator.Dial(ctx, operator.Config{Addr: a.self.PeerAddr})
 	assert.NilError(t, err)
 	_, err = op.Status(ctx, &schema.StatusRequest{})
 	assert.Assert(t, err != nil, "an operator without a certificate got an answer")
--- a/process/journal/journal.go
+++ b/process/journal/journal.go
@@ -36,9 +36,9 @@
 
 	// The slices grow on demand, as most hosts of a fleet receive few requests.
 	mu     sync.Mutex
-	queued []vetchtrail.Record // waiting to be written
-	recent []vetchtrail.Record // a ring buffer once it has maxRecent records
-	count  int                 // records that were ever added to recent
+	queued []vetchtrail.JournalRecord // waiting to be written
+	recent []vetchtrail.JournalRecord // a ring buffer once it has maxRecent records
+	count  int                        // records that were ever added to recent
 }
 
 // New returns an empty journal. Run writes its records to the log.
@@ -48,7 +48,7 @@
 
 // Note queues a record for the log and, unless it describes a lost attempt, adds it to the recent
 // ones. It doesn't block: if the queue is full, the record is not logged.
-func (j *Journal) Note(r vetchtrail.Record) {
+func (j *Journal) Note(r vetchtrail.JournalRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !r.Lost {
@@ -66,7 +66,7 @@
 }
 
 // addRecent keeps a record for operators. The caller must hold mu.
-func (j *Journal) addRecent(r vetchtrail.Record) {
+func (j *Journal) addRecent(r vetchtrail.JournalRecord) {
 	if len(j.recent) < maxRecent {
 		j.recent = append(j.recent, r)
 	} else {
@@ -79,10 +79,10 @@
 func (j *Journal) Dropped() uint64 { return j.dropped.Load() }
 
 // Recent returns up to most of the recent records that match, newest first.
-func (j *Journal) Recent(most int, match func(*vetchtrail.Record) bool) []vetchtrail.Record {
+func (j *Journal) Recent(most int, match func(*vetchtrail.JournalRecord) bool) []vetchtrail.JournalRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	var out []vetchtrail.Record
+	var out []vetchtrail.JournalRecord
 	for i := j.count - 1; i >= max(0, j.count-maxRecent) && len(out) < most; i-- {
 		if r := &j.recent[i%maxRecent]; match(r) {
 			out = append(out, *r)
@@ -116,27 +116,27 @@
 }
 
 // write writes a record to the log as a line of its kind: lost attempt, outcome or decision.
-func (j *Journal) write(r *vetchtrail.Record) {
+func (j *Journal) write(r *vetchtrail.JournalRecord) {
 	if r.Lost {
 		j.log.Info(MsgLost, "request", r.Request, "service", r.Service, "route", r.Route, "workspace", r.Workspace, "peer", r.Outcome.Peer,
-			"step", string(r.Outcome.Step), "reason", string(r.Outcome.Reason), "attempt", r.Attempt, "hops", r.Hops, "prompt", r.Prompt,
-			"events", r.Outcome.Events, "took", r.Took, "first", timeToFirst(r), "digest", r.Digest.String(), "error", errorText(r.Outcome.Err))
+			"step", string(r.Outcome.Step), "reason", string(r.Outcome.Reason), "attempt", r.Attempt, "hops", r.Hops, "prompt", r.PromptTokens,
+			"events", r.Outcome.Events, "took", r.Took, "first", timeToFirst(r), "digest", r.ContentHash.String(), "error", errorText(r.Outcome.Err))
 		return
 	}
 	if r.Ended {
 		j.log.Info(MsgOutcome, "request", r.Request, "service", r.Service, "route", r.Route, "workspace", r.Workspace, "outcome", r.Outcome.Kind.String(),
 			"step", string(r.Outcome.Step), "peer", r.Outcome.Peer, "reason", string(r.Outcome.Reason),
-			"hops", r.Hops, "events", r.Outcome.Events, "took", r.Took, "first", timeToFirst(r), "status", r.Outcome.Status, "begun", r.Outcome.Begun, "host_lost", r.Outcome.HostLost, "error", errorText(r.Outcome.Err))
+			"hops", r.Hops, "events", r.Outcome.Events, "took", r.Took, "first", timeToFirst(r), "status", r.Outcome.Status, "begun", r.Outcome.ResponseStarted, "host_lost", r.Outcome.HostLost, "error", errorText(r.Outcome.Err))
 		return
 	}
-	j.log.Info(MsgDecision, "request", r.Request, "service", r.Service, "route", r.Route, "prompt", r.Prompt, "workspace", r.Workspace, "home", r.Home,
+	j.log.Info(MsgDecision, "request", r.Request, "service", r.Service, "route", r.Route, "prompt", r.PromptTokens, "workspace", r.Workspace, "home", r.Home,
 		"decision", r.Decision.Kind.String(), "target", r.Decision.Name, "reason", string(r.Decision.Reason),
 		"cost", r.Decision.Cost, "wait", r.Decision.Wait,
-		"backlog", r.Decision.Backlog, "holds", r.Decision.Holds, "gap", r.Decision.Gap, "report_age", r.Decision.Age,
-		"running", r.Decision.Running, "queued", r.Decision.Queued, "own", r.Decision.Own, "limited", r.Decision.Limited, "rate", r.Decision.Rate, "rate_left", r.Decision.Left, "looked", r.Decision.Looked,
+		"backlog", r.Decision.Backlog, "holds", r.Decision.CachedTokens, "gap", r.Decision.EventInterval, "report_age", r.Decision.ReportAge,
+		"running", r.Decision.Running, "queued", r.Decision.Queued, "own", r.Decision.InFlight, "limited", r.Decision.RateLimited, "rate", r.Decision.Rate, "rate_left", r.Decision.RateLeft, "looked", r.Decision.Considered,
 		"candidates", loggedCandidates(&r.Decision), "revision", r.Revision, "hops", r.Hops, "attempt", r.Attempt,
-		"goal", timeUntil(r.Goal, r.At), "left", timeUntil(r.Deadline, r.At), "fresh", r.Fresh,
-		"charge", r.Charge, "quota_here", r.Quota.Left, "quota_region", r.Quota.Region, "quota_age", r.Quota.Age)
+		"goal", timeUntil(r.Goal, r.At), "left", timeUntil(r.Deadline, r.At), "fresh", r.CallerCanRetry,
+		"charge", r.Cost, "quota_here", r.Quota.HostLeft, "quota_region", r.Quota.RegionLeft, "quota_age", r.Quota.ReportAge)
 }
 
 // errorText returns the text of an error; empty for nil.
@@ -157,11 +157,11 @@
 
 // timeToFirst returns the time from r.At, a request's arrival or an attempt's start, to the first
 // byte of the answer. It is 0 if there was no answer or the request ran elsewhere.
-func timeToFirst(r *vetchtrail.Record) time.Duration {
-	if r.Outcome.First.IsZero() {
+func timeToFirst(r *vetchtrail.JournalRecord) time.Duration {
+	if r.Outcome.FirstByte.IsZero() {
 		return 0
 	}
-	return r.Outcome.First.Sub(r.At)
+	return r.Outcome.FirstByte.Sub(r.At)
 }
 
 // loggedCandidate is a candidate that was not chosen, as it is written to the log.
@@ -173,8 +173,8 @@
 
 // loggedCandidates returns the candidates that a decision kept for the log.
 func loggedCandidates(d *vetchtrail.Decision) []loggedCandidate {
-	out := make([]loggedCandidate, 0, d.Kept)
-	for _, c := range d.Candidates[:d.Kept] {
+	out := make([]loggedCandidate, 0, d.Recorded)
+	for _, c := range d.Candidates[:d.Recorded] {
 		out = append(out, loggedCandidate{Name: c.Name, Cost: c.Cost, Reason: string(c.Reason)})
 	}
 	return out
--- a/process/lists/fetch.go
+++ b/process/lists/fetch.go
@@ -46,7 +46,7 @@
 		}
 		wait(ctx, fetchInterval)
 		now := time.Now()
-		if now.Sub(l.current.Load().At) < l.Pace() && l.Reads() {
+		if now.Sub(l.current.Load().ReadAt) < l.PollInterval() && l.ShouldPoll() {
 			continue
 		}
 		l.fetchFromPeers(ctx)
@@ -77,7 +77,7 @@
 			return // the remaining hosts fetch the same listing from the busy ones
 		}
 		l.recordPeer(h.Name, rejected, err != nil, time.Now())
-		if err == nil && !rejected && age < l.Pace()+peerAgeSlack {
+		if err == nil && !rejected && age < l.PollInterval()+peerAgeSlack {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 func (l *Lists) seeds() []vetchtrail.Host {
 	var out []vetchtrail.Host
 	for _, s := range l.cfg.Seeds {
-		if s != l.cfg.Self.Peers {
+		if s != l.cfg.Self.PeerAddr {
 			out = append(out, seedHost(s))
 		}
 	}
@@ -138,7 +138,7 @@
 
 // seedHost returns a host of which only the address is known, with that as its name.
 func seedHost(addr netip.AddrPort) vetchtrail.Host {
-	return vetchtrail.Host{Name: addr.String(), Peers: addr}
+	return vetchtrail.Host{Name: addr.String(), PeerAddr: addr}
 }
 
 // fetchFrom fetches a newer listing and configuration from a host. It returns the age of that
@@ -146,7 +146,7 @@
 // as rejected.
 func (l *Lists) fetchFrom(ctx context.Context, h vetchtrail.Host) (age time.Duration, rejected bool, err error) {
 	current := l.current.Load()
-	reply, err := l.query(ctx, h.Peers, current.Revision)
+	reply, err := l.query(ctx, h.PeerAddr, current.Revision)
 	if err != nil {
 		return 0, false, err
 	}
@@ -164,12 +164,12 @@
 // probe queries how new a host's listing and configuration are. The query claims the highest
 // revision, so the reply has no listing and is a few bytes long.
 func (l *Lists) probe(ctx context.Context, h vetchtrail.Host) (*schema.Listing, error) {
-	return l.cfg.Peers.List(ctx, h.Peers, &schema.ListRequest{Revision: math.MaxUint64})
+	return l.cfg.Peers.List(ctx, h.PeerAddr, &schema.ListRequest{Revision: math.MaxUint64})
 }
 
 // pullConfiguration brings this host's configuration up to that of another host.
 func (l *Lists) pullConfiguration(ctx context.Context, h vetchtrail.Host) error {
-	reply, err := l.cfg.Peers.Changes(ctx, h.Peers, l.cfg.Configuration.Revision())
+	reply, err := l.cfg.Peers.Changes(ctx, h.PeerAddr, l.cfg.Configuration.Revision())
 	if err != nil {
 		return err
 	}
@@ -186,14 +186,14 @@
 			return nil // replaced while the query was in flight
 		}
 		unchanged := *current
-		unchanged.Seen, unchanged.At = reply.GetSeen(), time.Now().Add(-time.Duration(reply.GetAge()))
+		unchanged.ConfirmedRevision, unchanged.ReadAt = reply.GetSeen(), time.Now().Add(-time.Duration(reply.GetAge()))
 		l.Take(unchanged)
 		return nil
 	}
 	fetched, err := l.decodeReply(reply, current)
 	if errors.Is(err, ErrBaseMismatch) {
 		l.cfg.Log.Warn("difference of lists not taken, asking for them whole", "peer", h.Name, "error", err)
-		if reply, err = l.query(ctx, h.Peers, 0); err != nil {
+		if reply, err = l.query(ctx, h.PeerAddr, 0); err != nil {
 			return err
 		}
 		fetched, err = l.decodeReply(reply, nil)
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	l.cfg.Log.Info("lists borrowed", "peer", h.Name, "store_revision", fetched.Seen, "age", time.Since(fetched.At), "since", reply.GetSince(),
+	l.cfg.Log.Info("lists borrowed", "peer", h.Name, "store_revision", fetched.ConfirmedRevision, "age", time.Since(fetched.ReadAt), "since", reply.GetSince(),
 		"endpoints", len(reply.GetEndpoints()), "gone", len(reply.GetGone()))
 	l.Take(fetched)
 	return nil
--- a/process/lists/lists.go
+++ b/process/lists/lists.go
@@ -129,7 +129,7 @@
 func (l *Lists) Take(next vetchtrail.Listing) {
 	l.mu.Lock()
 	current := l.current.Load()
-	if current == nil || next.Seen >= current.Seen {
+	if current == nil || next.ConfirmedRevision >= current.ConfirmedRevision {
 		l.replace(current, &next)
 	}
 	l.mu.Unlock()
@@ -167,11 +167,11 @@
 // threshold below that, other hosts would poll too whenever nothing changes.
 const slowCallThreshold = 1300 * time.Millisecond
 
-// Asking implements vetchtrail.Following: it records the start of a call to the platform.
-func (l *Lists) Asking(now time.Time) { l.platform.callStarted.Store(&now) }
+// CallStarted implements vetchtrail.Following: it records the start of a call to the platform.
+func (l *Lists) CallStarted(now time.Time) { l.platform.callStarted.Store(&now) }
 
-// Answered implements vetchtrail.Following: it records the end of a call to the platform.
-func (l *Lists) Answered(ok bool) {
+// CallEnded implements vetchtrail.Following: it records the end of a call to the platform.
+func (l *Lists) CallEnded(ok bool) {
 	l.platform.callStarted.Store(nil)
 	l.platform.lastCallFailed.Store(!ok)
 }
@@ -194,7 +194,7 @@
 // host is one.
 func (l *Lists) isSeed() bool {
 	for _, s := range l.cfg.Seeds {
-		if s == l.cfg.Self.Peers {
+		if s == l.cfg.Self.PeerAddr {
 			return true
 		}
 	}
--- a/process/lists/poll.go
+++ b/process/lists/poll.go
@@ -77,10 +77,10 @@
 // pollState returns this host's poll state.
 func (l *Lists) pollState(now time.Time) pollState {
 	s := pollState{
-		seed: l.isSeed(), uptime: now.Sub(l.startedAt), jitter: l.jitter(), pollInterval: l.Pace(), sinceTakeover: -1,
+		seed: l.isSeed(), uptime: now.Sub(l.startedAt), jitter: l.jitter(), pollInterval: l.PollInterval(), sinceTakeover: -1,
 	}
 	if current := l.current.Load(); current != nil {
-		s.hasListing, s.listingAge = true, now.Sub(current.At)
+		s.hasListing, s.listingAge = true, now.Sub(current.ReadAt)
 		if polled := l.lastPeerPoll.Load(); polled != nil {
 			s.listingAge = min(s.listingAge, now.Sub(*polled))
 		}
@@ -112,10 +112,10 @@
 	return now.Before(l.rejectedUntil[host])
 }
 
-// Reads implements vetchtrail.Following: it reports whether this host is to poll the platform
+// ShouldPoll implements vetchtrail.Following: it reports whether this host is to poll the platform
 // now. If that makes a settled host poll that is not first in its region, Reads starts a
 // takeover.
-func (l *Lists) Reads() bool {
+func (l *Lists) ShouldPoll() bool {
 	now := time.Now()
 	s := l.pollState(now)
 	if !s.shouldPoll() {
@@ -128,15 +128,15 @@
 	return true
 }
 
-// WatchesConfiguration implements vetchtrail.Following: the second host of the region waits
+// ShouldWatchConfiguration implements vetchtrail.Following: the second host of the region waits
 // for new configurations too, so that none is late if the host that polls is lost.
-func (l *Lists) WatchesConfiguration() bool {
+func (l *Lists) ShouldWatchConfiguration() bool {
 	now := time.Now()
 	rank, _ := l.cfg.Hosts.Rank(pollTask, now)
 	return rank == 1 && now.Sub(l.startedAt) >= settleTime
 }
 
-// Pace implements vetchtrail.Following: it returns the interval between two polls.
-func (l *Lists) Pace() time.Duration {
+// PollInterval implements vetchtrail.Following: it returns the interval between two polls.
+func (l *Lists) PollInterval() time.Duration {
 	return time.Duration(pollFraction * float64(l.cfg.KnownWithin))
 }
--- a/process/lists/query.go
+++ b/process/lists/query.go
@@ -36,7 +36,7 @@
 		return first, err
 	}
 	l.notePeerPoll(first, time.Now())
-	queried := map[netip.AddrPort]bool{to: true, l.cfg.Self.Peers: true}
+	queried := map[netip.AddrPort]bool{to: true, l.cfg.Self.PeerAddr: true}
 	next := l.parseReferrals(first)
 	for len(next) > 0 && len(queried) < maxQueriedPeers {
 		at := next[0]
@@ -76,7 +76,7 @@
 // queryOne queries one host. If the reply would be longer than maxShortReply, it queries again
 // with more time.
 func (l *Lists) queryOne(ctx context.Context, to netip.AddrPort, revision uint64) (*schema.Listing, error) {
-	q := &schema.ListRequest{Revision: revision, From: l.cfg.Self.Peers.String(), Most: maxShortReply}
+	q := &schema.ListRequest{Revision: revision, From: l.cfg.Self.PeerAddr.String(), Most: maxShortReply}
 	short, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	reply, err := l.cfg.Peers.List(short, to, q)
--- a/process/lists/refresh.go
+++ b/process/lists/refresh.go
@@ -68,7 +68,7 @@
 // pollsPlatform reports whether this host is to poll the platform and has a recent listing.
 func (l *Lists) pollsPlatform(now time.Time) bool {
 	current := l.current.Load()
-	return current != nil && now.Sub(current.At) < l.Pace()+takeoverSlack && l.Reads()
+	return current != nil && now.Sub(current.ReadAt) < l.PollInterval()+takeoverSlack && l.ShouldPoll()
 }
 
 // checkPeer queries a host for its configuration's revision and pulls a newer one. It reports
@@ -84,5 +84,5 @@
 			return false, err
 		}
 	}
-	return reply.GetSeen() > 0 && time.Duration(reply.GetAge()) < l.Pace()+takeoverSlack, nil
+	return reply.GetSeen() > 0 && time.Duration(reply.GetAge()) < l.PollInterval()+takeoverSlack, nil
 }
--- a/process/lists/region_test.go
+++ b/process/lists/region_test.go
@@ -144,13 +144,13 @@
 func (h *simHost) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		if h.r.isDisconnected(h.rank) || !h.Reads() {
+		if h.r.isDisconnected(h.rank) || !h.ShouldPoll() {
 			wait(ctx, 200*time.Millisecond)
 			continue
 		}
-		h.Asking(began)
+		h.CallStarted(began)
 		revision, err := h.r.callPlatform(h.rank)
-		h.Answered(err == nil)
+		h.CallEnded(err == nil)
 		if err != nil {
 			wait(ctx, time.Second)
 			continue
@@ -158,8 +158,8 @@
 		h.r.mu.Lock()
 		endpoints := h.r.endpoints
 		h.r.mu.Unlock()
-		h.Take(vetchtrail.Listing{Revision: revision, Seen: revision, At: time.Now(), Endpoints: endpoints})
-		wait(ctx, time.Until(began.Add(h.Pace())))
+		h.Take(vetchtrail.Listing{Revision: revision, ConfirmedRevision: revision, ReadAt: time.Now(), Endpoints: endpoints})
+		wait(ctx, time.Until(began.Add(h.PollInterval())))
 	}
 }
 
@@ -187,7 +187,7 @@
 	r := &simRegion{rnd: rand.New(rand.NewPCG(seed, 1)), revision: 1, rejecting: map[int]rejection{}, disconnected: map[int]bool{}, linkFreeAt: map[int]time.Time{}, linkMbps: linkMbps}
 	for i := range hosts {
 		h := &simHost{r: r, rank: i}
-		self := vetchtrail.Host{Name: fmt.Sprint("h", i), Peers: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(i+1))}
+		self := vetchtrail.Host{Name: fmt.Sprint("h", i), PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(i+1))}
 		h.Lists = New(Config{
 			Self: self, Seeds: []netip.AddrPort{netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 1)},
 			KnownWithin: 5 * time.Second, Link: linkMbps, Hosts: h, Peers: h, Configuration: h, Taken: h.onUpdate, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -308,7 +308,7 @@
 				}
 				for i, up := range c.up {
 					if up >= 0 {
-						r.hosts[i].Take(vetchtrail.Listing{Revision: 1, Seen: 1, At: time.Now()})
+						r.hosts[i].Take(vetchtrail.Listing{Revision: 1, ConfirmedRevision: 1, ReadAt: time.Now()})
 						time.AfterFunc(up, func() {
 							r.mu.Lock()
 							defer r.mu.Unlock()
@@ -320,7 +320,7 @@
 				starting := r.hosts[3]
 				starting.cfg.Seeds = nil
 				for _, h := range r.hosts[:3] {
-					starting.cfg.Seeds = append(starting.cfg.Seeds, h.cfg.Self.Peers)
+					starting.cfg.Seeds = append(starting.cfg.Seeds, h.cfg.Self.PeerAddr)
 				}
 				began := time.Now()
 				go starting.Run(ctx)
@@ -361,10 +361,10 @@
 				}
 				for _, h := range r.hosts[:3] {
 					r.disconnected[h.rank] = c.disconnected
-					h.Take(vetchtrail.Listing{Revision: 9, Seen: 9, At: at})
+					h.Take(vetchtrail.Listing{Revision: 9, ConfirmedRevision: 9, ReadAt: at})
 				}
 				last := r.hosts[3]
-				last.Take(vetchtrail.Listing{Revision: 1, Seen: 1, At: at})
+				last.Take(vetchtrail.Listing{Revision: 1, ConfirmedRevision: 1, ReadAt: at})
 				assert.Equal(t, last.Refresh(t.Context()), c.upToDate)
 				assert.Equal(t, r.fullListings, 0, "a listing was fetched by a check of the configuration")
 			})
--- a/process/lists/serve.go
+++ b/process/lists/serve.go
@@ -31,7 +31,7 @@
 	if current == nil {
 		return &schema.Listing{}
 	}
-	short := &schema.Listing{Seen: current.Seen, Age: int64(now.Sub(current.At))}
+	short := &schema.Listing{Seen: current.ConfirmedRevision, Age: int64(now.Sub(current.ReadAt))}
 	if current.Revision <= q.GetRevision() {
 		return short
 	}
--- a/process/lists/serve_test.go
+++ b/process/lists/serve_test.go
@@ -29,7 +29,7 @@
 func testListing(revision uint64, endpoints []*vetchtrail.Endpoint) vetchtrail.Listing {
 	out := slices.Clone(endpoints)
 	vetchtrail.SortEndpoints(out)
-	return vetchtrail.Listing{Revision: revision, Seen: revision, At: time.Now(), Endpoints: out}
+	return vetchtrail.Listing{Revision: revision, ConfirmedRevision: revision, ReadAt: time.Now(), Endpoints: out}
 }
 
 // TestOneChangeServed checks that each host of a region fetches only the endpoint that changed,
@@ -251,7 +251,7 @@
 // the fetching host keeps those it has. It guards against a diff that leaves a host with no hosts
 // or with old ones.
 func TestHostsServed(t *testing.T) {
-	first, second := []vetchtrail.Host{{Name: "a", Peers: testAddr(1)}}, []vetchtrail.Host{{Name: "b", Peers: testAddr(2)}}
+	first, second := []vetchtrail.Host{{Name: "a", PeerAddr: testAddr(1)}}, []vetchtrail.Host{{Name: "b", PeerAddr: testAddr(2)}}
 	cases := map[string]struct {
 		next []vetchtrail.Host
 		kept bool
@@ -296,10 +296,10 @@
 		t.Run(name, func(t *testing.T) {
 			l := newSimRegion(1, 1).hosts[0].Lists
 			in := testListing(1, []*vetchtrail.Endpoint{testEndpoint(1)})
-			in.At = time.Now().Add(-time.Minute)
+			in.ReadAt = time.Now().Add(-time.Minute)
 			l.Take(in)
 			l.notePeerPoll(c.reply, time.Now())
-			assert.Equal(t, l.pollState(time.Now()).listingAge > l.Pace()+takeoverSlack, c.old)
+			assert.Equal(t, l.pollState(time.Now()).listingAge > l.PollInterval()+takeoverSlack, c.old)
 		})
 	}
 }
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -44,9 +44,9 @@
 	return s.leavingBy(now) != ""
 }
 
-// Bars implements vetchtrail.Endpoints. It is checked just before a request is sent, as the endpoint may have
+// Blocked implements vetchtrail.Endpoints. It is checked just before a request is sent, as the endpoint may have
 // announced that it is leaving or paused after it was chosen.
-func (t *Table) Bars(name string, now time.Time) (why vetchtrail.Reason, until time.Time) {
+func (t *Table) Blocked(name string, now time.Time) (why vetchtrail.Reason, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.endpoints[name]
@@ -105,13 +105,13 @@
 }
 
 // HearNotice records an announcement that an endpoint's answer contained, and returns the part that is new.
-func (t *Table) HearNotice(name string, born time.Time, n vetchtrail.Notice) NoticeNews {
-	return t.HearNoticeShort(Short(name), born, n, n.Heard)
+func (t *Table) HearNotice(name string, born time.Time, n vetchtrail.Availability) NoticeNews {
+	return t.HearNoticeShort(Short(name), born, n, n.ReceivedAt)
 }
 
 // HearNoticeShort records an announcement that this or another host received. The endpoint is given by the hash
 // of its name (Short). The announcement is valid only for the process instance that started at born.
-func (t *Table) HearNoticeShort(short uint32, born time.Time, n vetchtrail.Notice, now time.Time) NoticeNews {
+func (t *Table) HearNoticeShort(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) NoticeNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var news NoticeNews
@@ -132,16 +132,16 @@
 
 // record adds an announcement, and returns what is new. Of two announcements the one that is valid for longer
 // counts.
-func (a *announcements) record(n vetchtrail.Notice, now time.Time) NoticeNews {
-	news := NoticeNews{Leaves: n.Leaving && !n.Heard.Before(a.leavingUntil), Paused: n.Until.After(a.pausedUntil)}
+func (a *announcements) record(n vetchtrail.Availability, now time.Time) NoticeNews {
+	news := NoticeNews{Leaves: n.Leaving && !n.ReceivedAt.Before(a.leavingUntil), Paused: n.PausedUntil.After(a.pausedUntil)}
 	if news.Leaves {
-		a.firstAnnouncedAt, a.learnedAt = n.Heard, now
+		a.firstAnnouncedAt, a.learnedAt = n.ReceivedAt, now
 	}
 	if n.Leaving {
-		a.leavingUntil = vetchtrail.Later(a.leavingUntil, n.Heard.Add(leavingValidFor))
+		a.leavingUntil = vetchtrail.Later(a.leavingUntil, n.ReceivedAt.Add(leavingValidFor))
 	}
-	a.pausedUntil = vetchtrail.Later(a.pausedUntil, n.Until)
-	a.requestSentAt, a.receivedAt = vetchtrail.Later(a.requestSentAt, n.Asked), vetchtrail.Later(a.receivedAt, n.Heard)
+	a.pausedUntil = vetchtrail.Later(a.pausedUntil, n.PausedUntil)
+	a.requestSentAt, a.receivedAt = vetchtrail.Later(a.requestSentAt, n.RequestedAt), vetchtrail.Later(a.receivedAt, n.ReceivedAt)
 	return news
 }
 
@@ -155,8 +155,8 @@
 	return a
 }
 
-// Noticed implements vetchtrail.Observer.
-func (t *Table) Noticed(e vetchtrail.Endpoint, n vetchtrail.Notice, _ error) {
+// AvailabilityReported implements vetchtrail.Observer.
+func (t *Table) AvailabilityReported(e vetchtrail.Endpoint, n vetchtrail.Availability, _ error) {
 	t.HearNotice(e.Name, e.Born, n)
 }
 
@@ -181,8 +181,8 @@
 	return time.Unix(0, k.startedAt)
 }
 
-// Unknown implements vetchtrail.Observer. The table has no use for unknown fields.
-func (t *Table) Unknown(vetchtrail.Endpoint, string) {}
+// UnknownField implements vetchtrail.Observer. The table has no use for unknown fields.
+func (t *Table) UnknownField(vetchtrail.Endpoint, string) {}
 
 // unlistedInstance holds the announcements of a process instance that is not listed now. Its entry may have
 // expired while the platform's store was unavailable, or the listing is an older copy, or doesn't have it yet.
@@ -195,7 +195,7 @@
 func (a *announcements) expiresAt() time.Time { return vetchtrail.Later(a.leavingUntil, a.pausedUntil) }
 
 // recordUnlisted records an announcement of a process instance that is not listed. The caller holds the lock.
-func (t *Table) recordUnlisted(key instanceKey, n vetchtrail.Notice, now time.Time) NoticeNews {
+func (t *Table) recordUnlisted(key instanceKey, n vetchtrail.Availability, now time.Time) NoticeNews {
 	u := t.unlisted[key]
 	news := u.record(n, now)
 	if news.Leaves {
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -59,15 +59,15 @@
 // instance.
 func (m *availabilityModel) answer(t *rapid.T) {
 	instance := rapid.IntRange(0, len(m.startedAt)-1).Draw(t, "instance")
-	n := vetchtrail.Notice{
-		Leaving: rapid.IntRange(0, 3).Draw(t, "leaving") == 0, Heard: m.now, Asked: m.startedAt[instance].Add(time.Millisecond),
+	n := vetchtrail.Availability{
+		Leaving: rapid.IntRange(0, 3).Draw(t, "leaving") == 0, ReceivedAt: m.now, RequestedAt: m.startedAt[instance].Add(time.Millisecond),
 	}
 	if pause := rapid.IntRange(-5, 20).Draw(t, "pause"); pause > 0 {
-		n.Until = n.Heard.Add(time.Duration(pause) * time.Second)
-		m.pausedUntil[instance] = vetchtrail.Later(m.pausedUntil[instance], n.Until)
+		n.PausedUntil = n.ReceivedAt.Add(time.Duration(pause) * time.Second)
+		m.pausedUntil[instance] = vetchtrail.Later(m.pausedUntil[instance], n.PausedUntil)
 	}
-	m.table.Noticed(m.endpoint(instance), n, nil)
-	m.note(instance, n.Leaving, n.Heard)
+	m.table.AvailabilityReported(m.endpoint(instance), n, nil)
+	m.note(instance, n.Leaving, n.ReceivedAt)
 }
 
 // released is the end of a request that the endpoint answered, or refused without announcing a pause.
@@ -75,11 +75,11 @@
 	if m.listed < 0 {
 		return
 	}
-	o := vetchtrail.Outcome{Kind: vetchtrail.Answered, Step: vetchtrail.StepAnswer, Status: 200}
+	o := vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Step: vetchtrail.StepResponse, Status: 200}
 	if rapid.Bool().Draw(t, "refused") {
-		o = vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonRefused, RetryAt: m.now.Add(100 * time.Millisecond)}
+		o = vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonEndpointRefused, RetryAt: m.now.Add(100 * time.Millisecond)}
 	}
-	m.table.Release("e000", vetchtrail.Observation{Born: m.startedAt[m.listed], Outcome: o}, m.now)
+	m.table.Release("e000", vetchtrail.Observation{StartedAt: m.startedAt[m.listed], Outcome: o}, m.now)
 }
 
 // reported is another host's message that an instance announced that it is leaving, some time after the
@@ -90,7 +90,7 @@
 	if instance+1 < len(m.startedAt) {
 		announcedAt = vetchtrail.Earlier(announcedAt, m.startedAt[instance+1].Add(-time.Millisecond)) // the instance has ended by then
 	}
-	m.table.HearNoticeShort(Short("e000"), m.startedAt[instance], vetchtrail.Notice{Leaving: true, Asked: announcedAt, Heard: announcedAt}, m.now)
+	m.table.HearNoticeShort(Short("e000"), m.startedAt[instance], vetchtrail.Availability{Leaving: true, RequestedAt: announcedAt, ReceivedAt: announcedAt}, m.now)
 	m.note(instance, true, announcedAt)
 }
 
@@ -105,7 +105,7 @@
 func (m *availabilityModel) report(t *rapid.T) {
 	leaving := rapid.Bool().Draw(t, "leaving")
 	until := m.now.Add(time.Second)
-	if m.table.Report("e000", vetchtrail.LoadReport{At: m.now, Leaving: leaving}, until) && leaving {
+	if m.table.Report("e000", vetchtrail.LoadReport{ReceivedAt: m.now, Leaving: leaving}, until) && leaving {
 		m.othersUntil = vetchtrail.Later(m.othersUntil, until)
 	}
 }
@@ -123,7 +123,7 @@
 		return
 	}
 	m.table.Release("e000", vetchtrail.Observation{
-		Born: m.startedAt[m.listed], Outcome: vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonMisled},
+		StartedAt: m.startedAt[m.listed], Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonOtherProcess},
 	}, m.now)
 	m.othersUntil = vetchtrail.Later(m.othersUntil, m.now.Add(otherProcessBackOff))
 }
@@ -143,7 +143,7 @@
 	if m.listed < 0 {
 		return
 	}
-	why, until := m.table.Bars("e000", m.now)
+	why, until := m.table.Blocked("e000", m.now)
 	leaving, paused := m.now.Before(m.leavingUntil[m.listed]), m.now.Before(m.pausedUntil[m.listed])
 	switch {
 	case leaving:
@@ -156,7 +156,7 @@
 	}
 	if leaving || paused {
 		assert.Assert(t, why != "", "instance %d wants no requests", m.listed)
-		assert.Assert(t, viewOf(m.table, m.now).Away)
+		assert.Assert(t, viewOf(m.table, m.now).Unavailable)
 		assert.Assert(t, !m.table.Acquire("e000", &vetchtrail.Request{ID: "a", Service: "s"}, m.now))
 	}
 }
@@ -182,14 +182,14 @@
 	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
 	tab.Configure([]Placed{{Endpoint: e}})
 	announce := func(at time.Time) NoticeNews {
-		return tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: at, Heard: at})
+		return tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	}
-	usable := func(at time.Time) bool { why, _ := tab.Bars("e000", at); return why == "" }
+	usable := func(at time.Time) bool { why, _ := tab.Blocked("e000", at); return why == "" }
 	assert.Assert(t, announce(now).Leaves)
 	assert.Assert(t, !announce(now.Add(time.Minute)).Leaves, "reported as news again")
 	assert.Assert(t, !announce(now.Add(time.Second)).Leaves, "an older announcement that arrives late is news")
 	tab.Release("e000", vetchtrail.Observation{
-		Outcome: vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonMisled},
+		Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonOtherProcess},
 	}, now.Add(time.Minute))
 	assert.Assert(t, !usable(now.Add(time.Minute+leavingValidFor-1)), "a shorter back-off shortens it")
 	again := now.Add(time.Minute + leavingValidFor)
@@ -205,7 +205,7 @@
 	tab := New()
 	for n := range maxUnlisted + 10 {
 		at := now.Add(time.Duration(n) * time.Millisecond)
-		tab.HearNotice(fmt.Sprint("e", n), time.Time{}, vetchtrail.Notice{Leaving: true, Asked: at, Heard: at})
+		tab.HearNotice(fmt.Sprint("e", n), time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	}
 	assert.Equal(t, len(tab.unlisted), maxUnlisted)
 	last := fmt.Sprint("e", maxUnlisted+9)
@@ -213,9 +213,9 @@
 		{Endpoint: vetchtrail.Endpoint{Name: last, Service: "s", Slots: 4}},
 		{Endpoint: vetchtrail.Endpoint{Name: "e0", Service: "s", Slots: 4}},
 	})
-	why, _ := tab.Bars(last, now.Add(time.Minute))
+	why, _ := tab.Blocked(last, now.Add(time.Minute))
 	assert.Equal(t, why, vetchtrail.ReasonDraining)
-	why, _ = tab.Bars("e0", now.Add(time.Minute))
+	why, _ = tab.Blocked("e0", now.Add(time.Minute))
 	assert.Equal(t, why, vetchtrail.Reason(""), "the announcement that expires first is dropped for the last")
 	assert.Equal(t, len(tab.unlisted), maxUnlisted-1)
 }
@@ -234,11 +234,11 @@
 				assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{ID: fmt.Sprint(n), Service: "s"}, now))
 			}
 			if c.announced {
-				tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+				tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 			}
 			for n := range failuresToEject {
 				tab.Release("e000", vetchtrail.Observation{
-					Request: fmt.Sprint(n), Outcome: vetchtrail.Outcome{Kind: vetchtrail.Unknown, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonLost},
+					Request: fmt.Sprint(n), Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonResponseLost},
 				}, now)
 			}
 			assert.Equal(t, now.Before(tab.endpoints["e000"].ejectedUntil), c.ejected)
@@ -259,17 +259,17 @@
 		"nothing": {func(*Table) {}, "", Row{}},
 		"its answers, after the list of hosts": {func(tab *Table) {
 			tab.Leave("e000", later)
-			tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+			tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 		}, ByAnswers, Row{LeavingSince: now}},
 		"the list of hosts": {func(tab *Table) { tab.Leave("e000", later) }, ByPlatform, Row{}},
-		"a load report":     {func(tab *Table) { tab.Report("e000", vetchtrail.LoadReport{At: now, Leaving: true}, later) }, ByReport, Row{}},
+		"a load report":     {func(tab *Table) { tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now, Leaving: true}, later) }, ByReport, Row{}},
 		"the listing": {func(tab *Table) {
 			drained := e
 			drained.Draining = true
 			tab.Configure([]Placed{{Endpoint: drained}})
 		}, ByList, Row{}},
 		"paused": {func(tab *Table) {
-			tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Until: later, Asked: now, Heard: now})
+			tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{PausedUntil: later, RequestedAt: now, ReceivedAt: now})
 		}, "", Row{PausedUntil: later}},
 	}
 	for name, c := range cases {
@@ -303,9 +303,9 @@
 		t.Run(name, func(t *testing.T) {
 			tab := New()
 			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}}})
-			tab.HearNotice("e000", time.Time{}, vetchtrail.Notice{Leaving: true, Until: now.Add(time.Hour), Asked: now, Heard: now})
-			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{At: now.Add(2 * time.Minute), Started: c.started}, time.Time{}))
-			why, _ := tab.Bars("e000", now.Add(2*time.Minute))
+			tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, PausedUntil: now.Add(time.Hour), RequestedAt: now, ReceivedAt: now})
+			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(2 * time.Minute), StartedAt: c.started}, time.Time{}))
+			why, _ := tab.Blocked("e000", now.Add(2*time.Minute))
 			assert.Equal(t, why, c.want)
 			assert.Assert(t, allReports(tab)[0].Said, "other hosts don't learn of its start")
 		})
@@ -321,7 +321,7 @@
 			n := 0
 			for name := range t.endpoints {
 				if n++; share > 0 && n%share == 0 {
-					t.HearNotice(name, time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+					t.HearNotice(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 				}
 			}
 			r, v := &vetchtrail.Request{Service: "s"}, vetchtrail.View{}
--- a/process/load/event_interval.go
+++ b/process/load/event_interval.go
@@ -55,7 +55,7 @@
 // silent reports whether the endpoint runs streams of this host and nothing has arrived on any of them for long.
 // A new request there would wait too. The caller holds the lock.
 func (t *Table) silent(s *endpointState, now time.Time) bool {
-	if len(s.startedStreams) == 0 || t.switchedOff.Has(vetchtrail.Silence) {
+	if len(s.startedStreams) == 0 || t.switchedOff.Has(vetchtrail.MechanismSilence) {
 		return false
 	}
 	patience := max(minSilence, time.Duration(silentIntervals*s.eventInterval.mean*float64(time.Second)))
@@ -74,7 +74,7 @@
 // follows the mean of this host's streams at the endpoint. The longer that has no new observation, the more it
 // follows the fit over the service's endpoints, at the number of running requests that this one last reported.
 func (s *endpointState) expectedEventInterval(svc *serviceStats, now time.Time) float64 {
-	if !svc.eventIntervalFit.known() || !s.hasReport || now.Sub(s.report.At) > maxIntervalReportAge {
+	if !svc.eventIntervalFit.known() || !s.hasReport || now.Sub(s.report.ReceivedAt) > maxIntervalReportAge {
 		return s.eventInterval.decayedMean(now)
 	}
 	base, slope := svc.eventIntervalFit.line()
@@ -86,14 +86,14 @@
 	return trust*s.eventInterval.mean + (1-trust)*usual
 }
 
-// Paced implements vetchtrail.Observer.
-func (t *Table) Paced(e vetchtrail.Endpoint, interval time.Duration, now time.Time) {
+// EventReceived implements vetchtrail.Observer.
+func (t *Table) EventReceived(e vetchtrail.Endpoint, interval time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.instance(e.Name, e.Born); ok {
 		s.eventInterval.observe(interval, now)
 		s.lastSeen = now
-		if s.hasReport && now.Sub(s.report.At) < maxIntervalReportAge {
+		if s.hasReport && now.Sub(s.report.ReceivedAt) < maxIntervalReportAge {
 			t.serviceStats[s.Service].eventIntervalFit.observe(float64(s.report.Running), interval.Seconds())
 		}
 	}
--- a/process/load/in_flight.go
+++ b/process/load/in_flight.go
@@ -15,7 +15,7 @@
 // currentLimit is how many requests this host may have in flight at the endpoint now: its limit, reduced to its
 // warm-up share.
 func (t *Table) currentLimit(s *endpointState) int {
-	if t.switchedOff.Has(vetchtrail.WarmUp) {
+	if t.switchedOff.Has(vetchtrail.MechanismWarmUp) {
 		return max(1, int(s.limit))
 	}
 	return max(1, int(s.limit*s.warmUp))
@@ -66,8 +66,8 @@
 	return true
 }
 
-// Freed returns a channel that is closed when a service may have capacity again.
-func (t *Table) Freed(service string) <-chan struct{} {
+// CapacityFreed returns a channel that is closed when a service may have capacity again.
+func (t *Table) CapacityFreed(service string) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c, ok := t.freed[service]
--- a/process/load/instance_test.go
+++ b/process/load/instance_test.go
@@ -33,19 +33,19 @@
 			r := &vetchtrail.Request{ID: "a", Service: "s"}
 			assert.Assert(t, tab.Acquire("e000", r, now))
 			tab.Leave("e000", now.Add(time.Hour))
-			tab.Report("e000", vetchtrail.LoadReport{At: now, Running: 9}, now)
+			tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now, Running: 9}, now)
 			configure(tab, c.next)
-			why, _ := tab.Bars("e000", now)
+			why, _ := tab.Blocked("e000", now)
 			assert.Equal(t, why == "", !c.kept, "only the first instance was leaving")
 			assert.Equal(t, viewOf(tab, now).Running == 9, c.kept)
 			if !c.kept {
 				assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{ID: "b", Service: "s"}, now))
 			}
 			o := answered(now)
-			o.Request, o.Born = "a", first
+			o.Request, o.StartedAt = "a", first
 			tab.Release("e000", o, now)
-			assert.Equal(t, viewOf(tab, now).Own, c.late)
-			tab.Started(vetchtrail.Endpoint{Name: "e000", Born: first}, r, now)
+			assert.Equal(t, viewOf(tab, now).InFlight, c.late)
+			tab.ResponseStarted(vetchtrail.Endpoint{Name: "e000", Born: first}, r, now)
 			assert.Equal(t, len(tab.endpoints["e000"].startedStreams) > 0, false)
 		})
 	}
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -245,8 +245,8 @@
 	t.switchedOff = switchedOff
 }
 
-// Known returns a configured endpoint, whether or not it is in use.
-func (t *Table) Known(name string) (vetchtrail.Endpoint, bool) {
+// Find returns a configured endpoint, whether or not it is in use.
+func (t *Table) Find(name string) (vetchtrail.Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.endpoints[name]
@@ -275,8 +275,8 @@
 	states := t.services[r.Service]
 	if svc, ok := t.serviceStats[r.Service]; ok {
 		svc.recordStreamRequest(r, now)
-		v.IdleRead, v.KeptShare, v.Borne = svc.promptStats.idleTokenTime, svc.promptStats.cachedShare.value, svc.predictionRatio.median
-		v.Events, v.UrgentPace = svc.expectedEvents(r.Route), svc.urgentEventInterval(r, now)
+		v.IdlePrefill, v.CachedShare, v.PredictionRatio = svc.promptStats.idleTokenTime, svc.promptStats.cachedShare.value, svc.predictionRatio.median
+		v.ExpectedEvents, v.UrgentInterval = svc.expectedEvents(r.Route), svc.urgentEventInterval(r, now)
 		svc.othersQueued = meanOthersQueued(states, now)
 	}
 	session, sticky := r.Session()
@@ -286,11 +286,11 @@
 	}
 	for i, s := range states {
 		e := s.view(t, now)
-		if !t.switchedOff.Has(vetchtrail.PromptBacklog) {
+		if !t.switchedOff.Has(vetchtrail.MechanismPromptBacklog) {
 			e.Backlog = e.Prefill * s.backlog(r.Priority, t.serviceStats[r.Service], now)
 		}
-		if sticky && !t.switchedOff.Has(vetchtrail.Affinity) {
-			e.Kept = t.cachedTokens(s, r, session, i == home, now)
+		if sticky && !t.switchedOff.Has(vetchtrail.MechanismAffinity) {
+			e.CachedTokens = t.cachedTokens(s, r, session, i == home, now)
 		}
 		v.Endpoints = append(v.Endpoints, e)
 	}
@@ -301,34 +301,34 @@
 	svc := t.serviceStats[s.Service]
 	trust := math.Exp(-now.Sub(s.observedAt).Seconds() / observationDecay.Seconds())
 	v := vetchtrail.EndpointView{
-		Name: s.Name, Region: s.region, Slots: s.Slots, Limit: t.currentLimit(s), Own: s.inFlight,
-		Running: s.report.Running, Queued: s.report.Queued, Age: -1,
-		Prefill: svc.tokenTime.value * significantSlowdown(1+trust*(s.tokenSlowdown.value-1), s.tokenSlowdown.count),
-		Service: svc.serviceTime.value * significantSlowdown(1+trust*(s.serviceTime.value/svc.serviceTime.value-1), s.serviceTime.count),
-		Warmth:  s.warmUp, Failing: s.excessErrorShare(svc, now), Gap: s.expectedEventInterval(svc, now), Limited: s.rateLimit.Named, Rate: s.rateLimit.Rate, Left: s.rateLeft,
+		Name: s.Name, Region: s.region, Slots: s.Slots, InFlightLimit: t.currentLimit(s), InFlight: s.inFlight,
+		Running: s.report.Running, Queued: s.report.Queued, ReportAge: -1,
+		Prefill:     svc.tokenTime.value * significantSlowdown(1+trust*(s.tokenSlowdown.value-1), s.tokenSlowdown.count),
+		ServiceTime: svc.serviceTime.value * significantSlowdown(1+trust*(s.serviceTime.value/svc.serviceTime.value-1), s.serviceTime.count),
+		WarmUpShare: s.warmUp, ExcessFailureRate: s.excessErrorShare(svc, now), EventInterval: s.expectedEventInterval(svc, now), RateLimited: s.rateLimit.Advertised, Rate: s.rateLimit.Rate, RateLeft: s.rateLeft,
 	}
 	if svc.prefillFit.known() {
-		v.Base, v.Prefill = svc.prefillFit.line()
+		v.BaseLatency, v.Prefill = svc.prefillFit.line()
 	}
 	if s.hasReport {
-		v.Age = now.Sub(s.report.At)
-		v.OwnSince = s.inFlight - s.inFlightAt(s.report.At)
+		v.ReportAge = now.Sub(s.report.ReceivedAt)
+		v.InFlightChange = s.inFlight - s.inFlightAt(s.report.ReceivedAt)
 	}
 	switch {
 	case s.isLeaving(now):
-		v.Away, v.Why = true, vetchtrail.ReasonDraining
+		v.Unavailable, v.UnavailableReason = true, vetchtrail.ReasonDraining
 	case now.Before(s.availability.pausedUntil):
-		v.Away, v.Why, v.Back = true, vetchtrail.ReasonPaused, s.availability.pausedUntil.Sub(now).Seconds()
+		v.Unavailable, v.UnavailableReason, v.AvailableIn = true, vetchtrail.ReasonPaused, s.availability.pausedUntil.Sub(now).Seconds()
 	case now.Before(s.ejectedUntil):
-		v.Away, v.Why = true, vetchtrail.ReasonEjected
+		v.Unavailable, v.UnavailableReason = true, vetchtrail.ReasonEjected
 	case now.Before(s.backOffUntil):
-		v.Away, v.Why, v.Back = true, s.backOffReason, s.backOffUntil.Sub(now).Seconds()
+		v.Unavailable, v.UnavailableReason, v.AvailableIn = true, s.backOffReason, s.backOffUntil.Sub(now).Seconds()
 	case t.silent(s, now):
-		v.Away, v.Why = true, vetchtrail.ReasonSilent
-	case s.rateLimit.Named && now.Before(s.rateExhaustedUntil):
-		v.Away, v.Why, v.Back = true, vetchtrail.ReasonLimited, s.rateExhaustedUntil.Sub(now).Seconds()
+		v.Unavailable, v.UnavailableReason = true, vetchtrail.ReasonSilent
+	case s.rateLimit.Advertised && now.Before(s.rateExhaustedUntil):
+		v.Unavailable, v.UnavailableReason, v.AvailableIn = true, vetchtrail.ReasonRateLimited, s.rateExhaustedUntil.Sub(now).Seconds()
 	case !s.coldStart.allows(now):
-		v.Away, v.Why, v.Back = true, vetchtrail.ReasonCold, s.coldStart.wait(now).Seconds()
+		v.Unavailable, v.UnavailableReason, v.AvailableIn = true, vetchtrail.ReasonColdStart, s.coldStart.wait(now).Seconds()
 	}
 	return v
 }
--- a/process/load/load_test.go
+++ b/process/load/load_test.go
@@ -44,8 +44,8 @@
 // answered observes a request that was sent at a time and answered well.
 func answered(at time.Time) vetchtrail.Observation {
 	return vetchtrail.Observation{
-		Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered},
-		Timing:  vetchtrail.Timing{Sent: at, First: at.Add(10 * time.Millisecond), Done: at.Add(100 * time.Millisecond)}, Tokens: 10,
+		Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered},
+		Timing:  vetchtrail.Timing{Sent: at, FirstByte: at.Add(10 * time.Millisecond), Done: at.Add(100 * time.Millisecond)}, PromptTokens: 10,
 	}
 }
 
@@ -57,11 +57,11 @@
 		lower   bool
 	}{
 		"an answer":         {answered(now), false},
-		"a lost answer":     {failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost), false},
-		"a broken answer":   {failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonBroken), false},
-		"no answer in time": {failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonDeadline), true},
-		"a refusal":         {failure(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), true},
-		"no connection":     {failure(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), false},
+		"a lost answer":     {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost), false},
+		"a broken answer":   {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseBroken), false},
+		"no answer in time": {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonDeadline), true},
+		"a refusal":         {failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), true},
+		"no connection":     {failure(vetchtrail.OutcomeNotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 // TestOutOfUse guards against two faults: an endpoint stays in use though it fails in a row, refuses or is
 // leaving; or it is out of use after too few failures, for a failure of this host, or after the cause is over.
 func TestOutOfUse(t *testing.T) {
-	lost := failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost)
+	lost := failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost)
 	cases := map[string]struct {
 		do   func(t *Table)
 		at   time.Duration
@@ -89,20 +89,20 @@
 		"ejection over":              {func(t *Table) { release(t, lost, 3) }, minEjection, false, ""},
 		"an answer between failures": {func(t *Table) { release(t, lost, 2); release(t, answered(now), 1); release(t, lost, 2) }, 0, false, ""},
 		"its refusal": {func(t *Table) {
-			release(t, failure(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), 1)
-		}, 0, true, vetchtrail.ReasonRefused},
+			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), 1)
+		}, 0, true, vetchtrail.ReasonEndpointRefused},
 		"the time after its refusal over": {func(t *Table) {
-			release(t, failure(vetchtrail.NotRun, vetchtrail.StepAnswer, vetchtrail.ReasonRefused), 1)
+			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), 1)
 		}, time.Second, false, ""},
 		"refuses connections": {func(t *Table) {
-			release(t, failure(vetchtrail.NotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), 1)
+			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), 1)
 		}, 0, true, vetchtrail.ReasonUnreachable},
 		"reachable again by its report":       {func(t *Table) { t.Down("e000", now); report(t, false) }, 0, false, ""},
 		"report says it is leaving":           {func(t *Table) { report(t, true) }, 0, true, vetchtrail.ReasonDraining},
 		"later report says it is not leaving": {func(t *Table) { report(t, true); reportAt(t, now.Add(2), false) }, 0, false, ""},
 		"platform says it is leaving":         {func(t *Table) { t.Leave("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
 		"not sent by this host": {func(t *Table) {
-			release(t, failure(vetchtrail.NotRun, vetchtrail.StepResidency, vetchtrail.ReasonResidency), 5)
+			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResidency, vetchtrail.ReasonResidency), 5)
 		}, 0, false, ""},
 	}
 	for name, c := range cases {
@@ -110,8 +110,8 @@
 			tab := table(12)
 			c.do(tab)
 			v := viewOf(tab, now.Add(c.at))
-			assert.Equal(t, v.Away, c.away)
-			assert.Equal(t, v.Why, c.why)
+			assert.Equal(t, v.Unavailable, c.away)
+			assert.Equal(t, v.UnavailableReason, c.why)
 			assert.Equal(t, tab.Acquire("e000", &vetchtrail.Request{}, now.Add(c.at)), !c.away)
 		})
 	}
@@ -129,14 +129,14 @@
 func report(t *Table, leaving bool) { reportAt(t, now.Add(1), leaving) }
 
 func reportAt(t *Table, at time.Time, leaving bool) {
-	t.Report("e000", vetchtrail.LoadReport{At: at, Leaving: leaving}, now.Add(time.Hour))
+	t.Report("e000", vetchtrail.LoadReport{ReceivedAt: at, Leaving: leaving}, now.Add(time.Hour))
 }
 
 // TestEjectionIsBounded guards against a fault that all endpoints share, as in a network, which would eject all
 // of them.
 func TestEjectionIsBounded(t *testing.T) {
 	tab := table(12)
-	lost := failure(vetchtrail.Unknown, vetchtrail.StepAnswer, vetchtrail.ReasonLost)
+	lost := failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost)
 	for i := range 12 {
 		for range failuresToEject {
 			tab.Release(fmt.Sprintf("e%03d", i), lost, now)
@@ -146,7 +146,7 @@
 	tab.Fill(&v, &vetchtrail.Request{Service: "s"}, now)
 	ejected := 0
 	for _, e := range v.Endpoints {
-		if e.Away {
+		if e.Unavailable {
 			ejected++
 		}
 	}
@@ -161,13 +161,13 @@
 	later := now.Add(time.Minute)
 	last := 0
 	for range 10 {
-		limit := viewOf(tab, later).Limit
+		limit := viewOf(tab, later).InFlightLimit
 		assert.Assert(t, limit >= last, "%d after %d", limit, last)
 		last = limit
 		assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{}, later))
 		tab.Release("e000", answered(later), later)
 	}
-	assert.Equal(t, viewOf(tab, later).Warmth, 1.0)
+	assert.Equal(t, viewOf(tab, later).WarmUpShare, 1.0)
 	assert.Assert(t, last >= 4)
 }
 
@@ -178,11 +178,11 @@
 	for i := range 3 {
 		tab.Acquire("e000", &vetchtrail.Request{}, now.Add(time.Duration(i)*time.Second))
 	}
-	tab.Report("e000", vetchtrail.LoadReport{At: now.Add(1500 * time.Millisecond), Running: 5}, now)
+	tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(1500 * time.Millisecond), Running: 5}, now)
 	v := viewOf(tab, now.Add(3*time.Second))
-	assert.Equal(t, v.Own, 3)
-	assert.Equal(t, v.OwnSince, 1)
-	assert.Assert(t, !tab.Report("e000", vetchtrail.LoadReport{At: now.Add(time.Second), Running: 9}, now), "an older report")
+	assert.Equal(t, v.InFlight, 3)
+	assert.Equal(t, v.InFlightChange, 1)
+	assert.Assert(t, !tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(time.Second), Running: 9}, now), "an older report")
 }
 
 // BenchmarkFill measures a decision's view by the number of endpoints, and the memory for them.
@@ -211,17 +211,17 @@
 		done := sent.Add(time.Duration(15+i%20) * time.Millisecond)
 		assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{}, sent))
 		tab.Release("e000", vetchtrail.Observation{
-			Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered}, Timing: vetchtrail.Timing{Sent: sent, First: done, Done: done},
+			Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}, Timing: vetchtrail.Timing{Sent: sent, FirstByte: done, Done: done},
 		}, done)
 	}
-	assert.Assert(t, viewOf(tab, now.Add(time.Minute)).Limit >= 4)
+	assert.Assert(t, viewOf(tab, now.Add(time.Minute)).InFlightLimit >= 4)
 }
 
 // TestErrorsInRow guards against an endpoint that stays in use though all of its answers are errors, and
 // against an ejection where the service's other endpoints have as many errors.
 func TestErrorsInRow(t *testing.T) {
-	failed := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 500}}
-	answer := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 200}}
+	failed := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 500}}
+	answer := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200}}
 	cases := map[string]struct {
 		usual   float64                  // error share of the others
 		row     int                      // error answers
@@ -243,7 +243,7 @@
 			}
 			end := func(o vetchtrail.Observation) {
 				assert.Assert(t, tab.Acquire("a", request("x", 1, 0), now))
-				o.Request, o.Timing = "x", vetchtrail.Timing{Sent: now, First: now, Done: now.Add(time.Second)}
+				o.Request, o.Timing = "x", vetchtrail.Timing{Sent: now, FirstByte: now, Done: now.Add(time.Second)}
 				tab.Release("a", o, now)
 			}
 			for i := range c.row {
@@ -254,7 +254,7 @@
 				}
 				end(failed)
 			}
-			assert.Equal(t, views(tab, request("y", 1, 0))["a"].Away, c.ejected)
+			assert.Equal(t, views(tab, request("y", 1, 0))["a"].Unavailable, c.ejected)
 		})
 	}
 }
--- a/process/load/mechanisms_test.go
+++ b/process/load/mechanisms_test.go
@@ -20,51 +20,51 @@
 	source := func(tab *Table, target string) byte {
 		r := request("r", session, 0)
 		tab.Acquire(target, r, now)
-		if !r.PromptFrom.IsValid() {
+		if !r.TransferFrom.IsValid() {
 			return 0
 		}
-		return r.PromptFrom.Addr().As4()[3]
+		return r.TransferFrom.Addr().As4()[3]
 	}
-	lost := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonLost}}
+	lost := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseLost}}
 	cases := map[string]struct {
 		off   vetchtrail.Mechanism
 		shows func(tab *Table) bool // its effect
 	}{
-		"affinity":     {vetchtrail.Affinity, func(tab *Table) bool { return views(tab, request("x", session, 0))[at].Kept > 0 }},
-		"prompt moves": {vetchtrail.PromptMoves, func(tab *Table) bool { return source(tab, other) > 0 }},
-		"far moves":    {vetchtrail.FarMoves, func(tab *Table) bool { return source(tab, at) == 9 }},
-		"last sent": {vetchtrail.LastSent, func(tab *Table) bool {
+		"affinity":     {vetchtrail.MechanismAffinity, func(tab *Table) bool { return views(tab, request("x", session, 0))[at].CachedTokens > 0 }},
+		"prompt moves": {vetchtrail.MechanismCacheTransfer, func(tab *Table) bool { return source(tab, other) > 0 }},
+		"far moves":    {vetchtrail.MechanismRemoteCacheTransfer, func(tab *Table) bool { return source(tab, at) == 9 }},
+		"last sent": {vetchtrail.MechanismTransferFromLastSent, func(tab *Table) bool {
 			tab.Acquire(third, request("before", session, 0), now)
 			return source(tab, other) == third[0]-'a'+1
 		}},
-		"backlog": {vetchtrail.PromptBacklog, func(tab *Table) bool {
+		"backlog": {vetchtrail.MechanismPromptBacklog, func(tab *Table) bool {
 			tab.Acquire("a", request("x", session, 0), now)
 			return views(tab, request("y", session, 0))["a"].Backlog > 0
 		}},
-		"silence": {vetchtrail.Silence, func(tab *Table) bool {
+		"silence": {vetchtrail.MechanismSilence, func(tab *Table) bool {
 			r := request("x", session, 0)
 			r.Stream = true
 			tab.Acquire("a", r, now)
-			tab.Started(vetchtrail.Endpoint{Name: "a"}, r, now)
+			tab.ResponseStarted(vetchtrail.Endpoint{Name: "a"}, r, now)
 			return tab.Silent(vetchtrail.Endpoint{Name: "a"}, now.Add(time.Minute))
 		}},
-		"ejection": {vetchtrail.Ejection, func(tab *Table) bool {
+		"ejection": {vetchtrail.MechanismEjection, func(tab *Table) bool {
 			for range failuresToEject {
 				tab.Acquire("a", request("x", session, 0), now)
 				tab.Release("a", lost, now)
 			}
-			return views(tab, request("x", session, 0))["a"].Away
+			return views(tab, request("x", session, 0))["a"].Unavailable
 		}},
-		"adaptive limits": {vetchtrail.AdaptiveLimits, func(tab *Table) bool {
-			before := views(tab, request("x", session, 0))["a"].Limit
+		"adaptive limits": {vetchtrail.MechanismAdaptiveLimits, func(tab *Table) bool {
+			before := views(tab, request("x", session, 0))["a"].InFlightLimit
 			tab.Acquire("a", request("x", session, 0), now)
-			tab.Release("a", vetchtrail.Observation{Outcome: vetchtrail.Outcome{Reason: vetchtrail.ReasonRefused, RetryAt: now}}, now)
-			return views(tab, request("x", session, 0))["a"].Limit < before
+			tab.Release("a", vetchtrail.Observation{Outcome: vetchtrail.Outcome{Reason: vetchtrail.ReasonEndpointRefused, RetryAt: now}}, now)
+			return views(tab, request("x", session, 0))["a"].InFlightLimit < before
 		}},
-		"warm up": {vetchtrail.WarmUp, func(tab *Table) bool {
-			before := views(tab, request("x", session, 0))["a"].Limit
+		"warm up": {vetchtrail.MechanismWarmUp, func(tab *Table) bool {
+			before := views(tab, request("x", session, 0))["a"].InFlightLimit
 			tab.Down("a", now)
-			return views(tab, request("x", session, 0))["a"].Limit < before
+			return views(tab, request("x", session, 0))["a"].InFlightLimit < before
 		}},
 	}
 	for name, c := range cases {
--- a/process/load/prediction_ratio_test.go
+++ b/process/load/prediction_ratio_test.go
@@ -32,13 +32,13 @@
 				first := time.Duration(c.ratios[i%len(c.ratios)] * float64(time.Second))
 				tab.Acquire("a", request("x", 1, 0), now)
 				tab.Release("a", vetchtrail.Observation{
-					Request: "x", Predicted: c.predicted, Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 200, Events: c.events},
-					Timing: vetchtrail.Timing{Sent: now, First: now.Add(first), Done: now.Add(first + time.Second)},
+					Request: "x", PredictedFirstByte: c.predicted, Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200, Events: c.events},
+					Timing: vetchtrail.Timing{Sent: now, FirstByte: now.Add(first), Done: now.Add(first + time.Second)},
 				}, now)
 			}
 			var v vetchtrail.View
 			tab.Fill(&v, request("y", 1, 0), now)
-			assert.Assert(t, v.Borne >= c.least && v.Borne <= c.most, "%v", v.Borne)
+			assert.Assert(t, v.PredictionRatio >= c.least && v.PredictionRatio <= c.most, "%v", v.PredictionRatio)
 		})
 	}
 }
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -97,7 +97,7 @@
 	switch {
 	case isHome || s.sessionUses.cached(session.ID, now):
 		return shared
-	case s.MoveToken > 0 && !t.switchedOff.Has(vetchtrail.PromptMoves):
+	case s.MoveToken > 0 && !t.switchedOff.Has(vetchtrail.MechanismCacheTransfer):
 		return int(transferSaving * float64(shared))
 	}
 	return 0
@@ -106,7 +106,7 @@
 // recordPrompt records the prompt that a request makes the endpoint read, and sets r.PromptFrom to the endpoint
 // from which it can transfer the part that it hasn't cached.
 func (t *Table) recordPrompt(s *endpointState, r *vetchtrail.Request, now time.Time) {
-	r.PromptFrom = netip.AddrPort{}
+	r.TransferFrom = netip.AddrPort{}
 	tokens := r.PromptTokens()
 	if tokens == 0 {
 		return
@@ -116,10 +116,10 @@
 		home := sessionHome(all, session.ID, now)
 		atHome := home >= 0 && all[home] == s
 		if !s.sessionUses.cached(session.ID, now) {
-			r.PromptFrom = t.transferSource(s, r, session.ID, now)
+			r.TransferFrom = t.transferSource(s, r, session.ID, now)
 		}
 		own := r.Prompt[len(r.Prompt)-1].Tokens
-		if atHome || r.PromptFrom.IsValid() || s.sessionUses.cached(session.ID, now) {
+		if atHome || r.TransferFrom.IsValid() || s.sessionUses.cached(session.ID, now) {
 			tokens = own
 		}
 		t.serviceStats[s.Service].promptStats.observeCached(tokens, own, r.PromptTokens())
@@ -142,20 +142,20 @@
 // else its home among the remote ones. A home that was too busy for the session never read the prompt. Its
 // address is returned all the same: the transfer then finds nothing, and s reads the prompt again.
 func (t *Table) transferSource(s *endpointState, r *vetchtrail.Request, session uint64, now time.Time) netip.AddrPort {
-	if s.MoveToken == 0 || t.switchedOff.Has(vetchtrail.PromptMoves) {
+	if s.MoveToken == 0 || t.switchedOff.Has(vetchtrail.MechanismCacheTransfer) {
 		return netip.AddrPort{}
 	}
 	local := t.services[s.Service]
-	if last := lastSent(local, s, session, now); last != nil && !t.switchedOff.Has(vetchtrail.LastSent) {
+	if last := lastSent(local, s, session, now); last != nil && !t.switchedOff.Has(vetchtrail.MechanismTransferFromLastSent) {
 		return last.Addr
 	}
 	if home := sessionHome(local, session, now); home >= 0 && local[home] != s {
 		return local[home].Addr
 	}
-	if t.switchedOff.Has(vetchtrail.FarMoves) {
+	if t.switchedOff.Has(vetchtrail.MechanismRemoteCacheTransfer) {
 		return netip.AddrPort{}
 	}
-	if home, ok := remoteHome(t.remote[s.Service], session); ok && r.Allowed.Has(home.region) {
+	if home, ok := remoteHome(t.remote[s.Service], session); ok && r.AllowedRegions.Has(home.region) {
 		return home.addr
 	}
 	return netip.AddrPort{}
@@ -213,7 +213,7 @@
 func (s *endpointState) othersUnreadTokens(svc *serviceStats, now time.Time) float64 {
 	othersQueued := svc.othersQueued
 	if s.hasReport {
-		trust := math.Exp(-now.Sub(s.report.At).Seconds() / queuedDecay.Seconds())
+		trust := math.Exp(-now.Sub(s.report.ReceivedAt).Seconds() / queuedDecay.Seconds())
 		othersQueued += trust * (float64(s.reportedOthersQueued()) - svc.othersQueued)
 	}
 	return othersQueued * svc.unreadTokens.value
@@ -223,7 +223,7 @@
 func (s *endpointState) reportedOthersQueued() int {
 	own := 0
 	for _, u := range s.unreadPrompts {
-		if !u.sentAt.After(s.report.At) {
+		if !u.sentAt.After(s.report.ReceivedAt) {
 			own++
 		}
 	}
@@ -234,7 +234,7 @@
 func meanOthersQueued(states []*endpointState, now time.Time) float64 {
 	sum, n := 0, 0
 	for _, s := range states {
-		if s.hasReport && now.Sub(s.report.At) < maxQueuedReportAge {
+		if s.hasReport && now.Sub(s.report.ReceivedAt) < maxQueuedReportAge {
 			sum += s.reportedOthersQueued()
 			n++
 		}
@@ -245,9 +245,9 @@
 	return float64(sum) / float64(n)
 }
 
-// Started implements vetchtrail.Observer. The first byte of an answer shows that the endpoint has read the
+// ResponseStarted implements vetchtrail.Observer. The first byte of an answer shows that the endpoint has read the
 // prompt.
-func (t *Table) Started(e vetchtrail.Endpoint, r *vetchtrail.Request, now time.Time) {
+func (t *Table) ResponseStarted(e vetchtrail.Endpoint, r *vetchtrail.Request, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.instance(e.Name, e.Born)
@@ -272,8 +272,8 @@
 	t.wake(s.Service)
 }
 
-// Told implements vetchtrail.Observer. A load report that an answer contains counts like a fetched one.
-func (t *Table) Told(e vetchtrail.Endpoint, l vetchtrail.LoadReport) {
+// LoadReported implements vetchtrail.Observer. A load report that an answer contains counts like a fetched one.
+func (t *Table) LoadReported(e vetchtrail.Endpoint, l vetchtrail.LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.instance(e.Name, e.Born); ok {
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -34,7 +34,7 @@
 // request is a request whose prompt shares 4500 tokens with others of its session, and has 6000 of its own.
 func request(id string, session uint64, priority int8) *vetchtrail.Request {
 	return &vetchtrail.Request{
-		ID: id, Service: "s", Allowed: vetchtrail.AllRegions, Priority: priority,
+		ID: id, Service: "s", AllowedRegions: vetchtrail.AllRegions, Priority: priority,
 		Prompt: []vetchtrail.PromptPart{{ID: 1, Tokens: 500}, {ID: session, Tokens: 4000}, {ID: 77, Tokens: 6000}},
 	}
 }
@@ -53,7 +53,7 @@
 // homeName is the name of a session's home among the local endpoints.
 func homeName(t *Table, session uint64) string {
 	for name, e := range views(t, request("x", session, 0)) {
-		if e.Kept == 4500 {
+		if e.CachedTokens == 4500 {
 			return name
 		}
 	}
@@ -92,9 +92,9 @@
 				assert.Assert(t, tab.Acquire(c.lastSent, request("before", session, 0), now))
 			}
 			r := request("r", session, 0)
-			r.Allowed = c.allowed
+			r.AllowedRegions = c.allowed
 			assert.Assert(t, tab.Acquire(c.target, r, now))
-			assert.Equal(t, r.PromptFrom, c.want)
+			assert.Equal(t, r.TransferFrom, c.want)
 		})
 	}
 }
@@ -128,17 +128,17 @@
 		"one of its priority": {func(t *Table) { t.Acquire("a", request("x", 3, 0), now) }, 0, true},
 		"one more urgent":     {func(t *Table) { t.Acquire("a", request("x", 3, 1), now) }, 0, true},
 		"one less urgent":     {func(t *Table) { t.Acquire("a", request("x", 3, -1), now) }, 0, false},
-		"its answer began":    {func(t *Table) { t.Acquire("a", request("x", 3, 0), now); t.Started(e, request("x", 3, 0), now) }, 0, false},
+		"its answer began":    {func(t *Table) { t.Acquire("a", request("x", 3, 0), now); t.ResponseStarted(e, request("x", 3, 0), now) }, 0, false},
 		"it has ended": {func(t *Table) {
 			t.Acquire("a", request("x", 3, 0), now)
 			t.Release("a", vetchtrail.Observation{Request: "x"}, now)
 		}, 0, false},
-		"others' by its report": {func(t *Table) { t.Told(e, vetchtrail.LoadReport{At: now, Queued: 4}) }, 0, true},
+		"others' by its report": {func(t *Table) { t.LoadReported(e, vetchtrail.LoadReport{ReceivedAt: now, Queued: 4}) }, 0, true},
 		"others' by the mean, without a report": {func(t *Table) {
-			t.Told(vetchtrail.Endpoint{Name: "b"}, vetchtrail.LoadReport{At: now, Queued: 4})
+			t.LoadReported(vetchtrail.Endpoint{Name: "b"}, vetchtrail.LoadReport{ReceivedAt: now, Queued: 4})
 		}, 0, true},
 		"others' by an old report": {func(t *Table) {
-			t.Told(e, vetchtrail.LoadReport{At: now.Add(-time.Minute), Queued: 4})
+			t.LoadReported(e, vetchtrail.LoadReport{ReceivedAt: now.Add(-time.Minute), Queued: 4})
 		}, 0, false},
 	}
 	for name, c := range cases {
@@ -169,8 +169,8 @@
 		for i := range 5 {
 			r := request(string(rune('p'+i)), 4, 0)
 			read += tab.endpoints["a"].unreadPrompts[r.ID].tokens
-			tab.Started(vetchtrail.Endpoint{Name: "a"}, r, at.Add(time.Duration(float64(read)*token*float64(time.Second))))
-			tab.Release("a", vetchtrail.Observation{Request: r.ID, Outcome: vetchtrail.Outcome{Kind: vetchtrail.Answered}}, at.Add(9*time.Second))
+			tab.ResponseStarted(vetchtrail.Endpoint{Name: "a"}, r, at.Add(time.Duration(float64(read)*token*float64(time.Second))))
+			tab.Release("a", vetchtrail.Observation{Request: r.ID, Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}}, at.Add(9*time.Second))
 		}
 	}
 	_, got := tab.serviceStats["s"].prefillFit.line()
@@ -186,7 +186,7 @@
 	tab.serviceStats["s"].unreadTokens.observe(5000)
 	idle := tab.Summaries(now)[0].Wait
 	for name := range tab.endpoints {
-		tab.Told(vetchtrail.Endpoint{Name: name}, vetchtrail.LoadReport{At: now, Queued: 10})
+		tab.LoadReported(vetchtrail.Endpoint{Name: name}, vetchtrail.LoadReport{ReceivedAt: now, Queued: 10})
 	}
 	busy := tab.Summaries(now)[0].Wait
 	assert.Assert(t, busy > idle+200*time.Millisecond, "%s idle, %s busy", idle, busy)
@@ -252,23 +252,23 @@
 	observed, other := vetchtrail.Endpoint{Name: "a"}, vetchtrail.Endpoint{Name: "b"}
 	for running := range 40 {
 		at := now.Add(time.Duration(running) * time.Millisecond)
-		tab.Told(observed, vetchtrail.LoadReport{At: at, Running: running})
-		tab.Paced(observed, time.Duration((0.02+perRequest*float64(running))*float64(time.Second)), at)
+		tab.LoadReported(observed, vetchtrail.LoadReport{ReceivedAt: at, Running: running})
+		tab.EventReceived(observed, time.Duration((0.02+perRequest*float64(running))*float64(time.Second)), at)
 	}
 	cases := map[string]struct {
 		report vetchtrail.LoadReport
 		least  float64
 		most   float64
 	}{
-		"few run":       {vetchtrail.LoadReport{At: now, Running: 2}, 0.02, 0.035},
-		"many run":      {vetchtrail.LoadReport{At: now, Running: 50}, 0.15, 0.19},
-		"an old report": {vetchtrail.LoadReport{At: now.Add(-time.Minute), Running: 50}, 0, 0},
+		"few run":       {vetchtrail.LoadReport{ReceivedAt: now, Running: 2}, 0.02, 0.035},
+		"many run":      {vetchtrail.LoadReport{ReceivedAt: now, Running: 50}, 0.15, 0.19},
+		"an old report": {vetchtrail.LoadReport{ReceivedAt: now.Add(-time.Minute), Running: 50}, 0, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab.endpoints["b"].hasReport = false
-			tab.Told(other, c.report)
-			got := views(tab, request("r", 4, 0))["b"].Gap
+			tab.LoadReported(other, c.report)
+			got := views(tab, request("r", 4, 0))["b"].EventInterval
 			assert.Assert(t, got >= c.least && got <= c.most, "%g", got)
 		})
 	}
@@ -287,18 +287,18 @@
 		silent bool
 	}{
 		"nothing runs":     {func(*Table) {}, false},
-		"a stream stopped": {func(t *Table) { t.Acquire("a", stream, now); t.Started(e, stream, now) }, true},
+		"a stream stopped": {func(t *Table) { t.Acquire("a", stream, now); t.ResponseStarted(e, stream, now) }, true},
 		"an event arrived": {func(t *Table) {
 			t.Acquire("a", stream, now)
-			t.Started(e, stream, now)
-			t.Paced(e, time.Second, long)
+			t.ResponseStarted(e, stream, now)
+			t.EventReceived(e, time.Second, long)
 		}, false},
 		"it has ended": {func(t *Table) {
 			t.Acquire("a", stream, now)
-			t.Started(e, stream, now)
+			t.ResponseStarted(e, stream, now)
 			t.Release("a", vetchtrail.Observation{Request: "x"}, now)
 		}, false},
-		"it is fetched again": {func(t *Table) { t.Started(e, stream, now) }, false},
+		"it is fetched again": {func(t *Table) { t.ResponseStarted(e, stream, now) }, false},
 		"no first byte yet":   {func(t *Table) { t.Acquire("a", stream, now) }, false},
 	}
 	for name, c := range cases {
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -45,10 +45,10 @@
 func (s *endpointState) recordRateLimit(t *Table, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	was = s.rateLimit
 	s.rateLimit = was.Update(news)
-	if s.rateLimit.Named && !was.Named {
-		s.rateLimitedSince = news.Heard
+	if s.rateLimit.Advertised && !was.Advertised {
+		s.rateLimitedSince = news.ReceivedAt
 	}
-	if was.Named && !s.rateLimit.Named {
+	if was.Advertised && !s.rateLimit.Advertised {
 		// The endpoint was overloaded until now. As after an ejection, its warm-up share grows with its answers.
 		s.rateExhaustedUntil, s.warmUp = time.Time{}, math.Min(s.warmUp, initialWarmUp)
 		t.wake(s.Service)
@@ -64,7 +64,7 @@
 	if startedAt.IsZero() || !old.Born.Before(startedAt) {
 		return
 	}
-	if old.rateLimit.Asked.After(startedAt) {
+	if old.rateLimit.RequestedAt.After(startedAt) {
 		s.rateLimit, s.rateLimitedSince = old.rateLimit, old.rateLimitedSince
 	}
 	if old.availability.requestSentAt.After(startedAt) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Limited implements vetchtrail.Observer.
-func (t *Table) Limited(e vetchtrail.Endpoint, news vetchtrail.RateLimit, err error) {
+// RateLimitReported implements vetchtrail.Observer.
+func (t *Table) RateLimitReported(e vetchtrail.Endpoint, news vetchtrail.RateLimit, err error) {
 	if err == nil {
 		t.HearLimit(e.Name, e.Born, news)
 	}
@@ -94,7 +94,7 @@
 func (t *Table) Rationed(name string, rateLeft float64, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s, ok := t.endpoints[name]; ok && s.rateLimit.Named {
+	if s, ok := t.endpoints[name]; ok && s.rateLimit.Advertised {
 		s.rateLeft, s.rateExhaustedUntil = rateLeft, until
 	}
 }
@@ -102,7 +102,7 @@
 // concurrency is how many requests of all hosts the endpoint can run at once: the number of its slots, or less if
 // its rate limit leaves some of them idle on average.
 func (s *endpointState) concurrency(svc *serviceStats) int {
-	if !s.rateLimit.Named {
+	if !s.rateLimit.Advertised {
 		return s.Slots
 	}
 	return min(s.Slots, int(math.Ceil(s.rateLimit.Rate*svc.serviceTime.value)))
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -13,7 +13,7 @@
 // rate: it advertises none.
 func advertised(rate float64, asked, heard float64) vetchtrail.RateLimit {
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	return vetchtrail.RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: at(asked), Heard: at(heard)}
+	return vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(asked), ReceivedAt: at(heard)}
 }
 
 // rateLimitedTable has one endpoint, which advertises a rate limit of 2 requests a second.
@@ -22,7 +22,7 @@
 	tab := New()
 	tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: startedAt}}})
 	_, is, ok := tab.HearLimit("e000", startedAt, advertised(2, 1, 2))
-	assert.Assert(t, ok && is.Named)
+	assert.Assert(t, ok && is.Advertised)
 	return tab
 }
 
@@ -32,22 +32,22 @@
 func TestRateLimitInView(t *testing.T) {
 	tab := rateLimitedTable(t, now)
 	v := viewOf(tab, now)
-	assert.Assert(t, !v.Away && v.Limited && v.Rate == 2)
+	assert.Assert(t, !v.Unavailable && v.RateLimited && v.Rate == 2)
 	tab.Rationed("e000", 0, now.Add(600*time.Millisecond))
 	v = viewOf(tab, now)
-	assert.Assert(t, v.Away && v.Why == vetchtrail.ReasonLimited && v.Back == 0.6, "%+v", v)
-	assert.Assert(t, !viewOf(tab, now.Add(time.Second)).Away)
-	freed := tab.Freed("s")
-	tab.Limited(vetchtrail.Endpoint{Name: "e000", Born: now}, advertised(-1, 3, 4), nil)
+	assert.Assert(t, v.Unavailable && v.UnavailableReason == vetchtrail.ReasonRateLimited && v.AvailableIn == 0.6, "%+v", v)
+	assert.Assert(t, !viewOf(tab, now.Add(time.Second)).Unavailable)
+	freed := tab.CapacityFreed("s")
+	tab.RateLimitReported(vetchtrail.Endpoint{Name: "e000", Born: now}, advertised(-1, 3, 4), nil)
 	v = viewOf(tab, now)
-	assert.Assert(t, !v.Away && !v.Limited && v.Warmth == initialWarmUp, "%+v", v)
+	assert.Assert(t, !v.Unavailable && !v.RateLimited && v.WarmUpShare == initialWarmUp, "%+v", v)
 	select {
 	case <-freed:
 	default:
 		t.Fatal("requests that wait for capacity are not woken")
 	}
 	tab.Rationed("e000", 0, now.Add(time.Hour))
-	assert.Assert(t, !viewOf(tab, now).Away, "an endpoint without a rate limit can't use it up")
+	assert.Assert(t, !viewOf(tab, now).Unavailable, "an endpoint without a rate limit can't use it up")
 }
 
 // TestRateLimitPerInstance guards against a rate limit that is valid beyond its process instance: it ends with
@@ -75,9 +75,9 @@
 			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: second}}})
 			tab.HearLimit("e000", c.instance, c.last)
 			l, startedAt := tab.Limit("e000")
-			assert.Equal(t, l.Named, c.advertises, "%+v", l)
+			assert.Equal(t, l.Advertised, c.advertises, "%+v", l)
 			assert.Assert(t, startedAt.Equal(second))
-			assert.Assert(t, !viewOf(tab, second).Away)
+			assert.Assert(t, !viewOf(tab, second).Unavailable)
 			assert.Equal(t, len(tab.Limits()) > 0, c.advertises, "reported to other hosts")
 		})
 	}
@@ -112,15 +112,15 @@
 	tab.HearLimit(at, time.Time{}, advertised(2, 0, 0))
 	tab.Rationed(at, 0, now.Add(time.Second))
 	v := views(tab, request("x", 7, 0))
-	assert.Assert(t, v[at].Away && v[at].Why == vetchtrail.ReasonLimited)
+	assert.Assert(t, v[at].Unavailable && v[at].UnavailableReason == vetchtrail.ReasonRateLimited)
 	for name, e := range v {
 		if name == at {
 			continue
 		}
-		assert.Assert(t, !e.Away && e.Kept > 0, "%s: %+v", name, e)
+		assert.Assert(t, !e.Unavailable && e.CachedTokens > 0, "%s: %+v", name, e)
 		r := request("at "+name, 7, 0)
 		assert.Assert(t, tab.Acquire(name, r, now))
-		assert.Equal(t, r.PromptFrom, tab.endpoints[at].Addr)
+		assert.Equal(t, r.TransferFrom, tab.endpoints[at].Addr)
 		break
 	}
 }
--- a/process/load/release.go
+++ b/process/load/release.go
@@ -12,7 +12,7 @@
 func (t *Table) Release(name string, o vetchtrail.Observation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.instance(name, o.Born)
+	s, ok := t.instance(name, o.StartedAt)
 	if !ok {
 		return
 	}
@@ -20,28 +20,28 @@
 	delete(s.unreadPrompts, o.Request)
 	delete(s.startedStreams, o.Request)
 	t.wake(s.Service)
-	if o.Outcome.Cold > 0 {
-		s.coldStart.configure(now.Add(o.Outcome.Cold), s.ColdRate)
+	if o.Outcome.ColdStart > 0 {
+		s.coldStart.configure(now.Add(o.Outcome.ColdStart), s.ColdRate)
 	}
 	switch {
-	case o.Cancel:
-	case o.Outcome.Reason == vetchtrail.ReasonFailed, o.Outcome.Status >= minErrorStatus && o.Outcome.Kind == vetchtrail.Answered:
+	case o.Cancelled:
+	case o.Outcome.Reason == vetchtrail.ReasonEndpointFailed, o.Outcome.Status >= minErrorStatus && o.Outcome.Kind == vetchtrail.OutcomeAnswered:
 		s.observeErrorShare(1, t.serviceStats[s.Service], now)
 		t.recordError(s, now)
-	case o.Outcome.Kind == vetchtrail.Answered:
+	case o.Outcome.Kind == vetchtrail.OutcomeAnswered:
 		s.observeErrorShare(0, t.serviceStats[s.Service], now)
 		t.serviceStats[s.Service].observeEvents(o.Route, o.Outcome.Events)
 		t.recordAnswer(s, o, now)
-	case o.Outcome.Reason == vetchtrail.ReasonMisled:
+	case o.Outcome.Reason == vetchtrail.ReasonOtherProcess:
 		s.availability.otherProcessUntil = now.Add(otherProcessBackOff)
-	case o.Outcome.Reason == vetchtrail.ReasonRefused:
+	case o.Outcome.Reason == vetchtrail.ReasonEndpointRefused:
 		t.cutLimit(s)
-		s.backOff(vetchtrail.ReasonRefused, vetchtrail.Earlier(o.Outcome.RetryAt, now.Add(maxRefusalBackOff)))
+		s.backOff(vetchtrail.ReasonEndpointRefused, vetchtrail.Earlier(o.Outcome.RetryAt, now.Add(maxRefusalBackOff)))
 	case o.Outcome.Step == vetchtrail.StepConnect:
 		s.backOff(vetchtrail.ReasonUnreachable, now.Add(min(minConnectBackOff<<min(s.connectFailuresInRow, maxConnectBackOffDoublings), maxConnectBackOff)))
 		s.connectFailuresInRow++
 		s.warmUp = initialWarmUp
-	case o.Outcome.Kind == vetchtrail.NotRun: // this host did not send it
+	case o.Outcome.Kind == vetchtrail.OutcomeNotRun: // this host did not send it
 	default:
 		if o.Outcome.Reason == vetchtrail.ReasonDeadline {
 			t.cutLimit(s)
@@ -57,21 +57,21 @@
 	svc := t.serviceStats[s.Service]
 	s.failuresInRow, s.ejections, s.connectFailuresInRow, s.errorsInRow = 0, 0, 0, 0
 	s.warmUp = math.Min(1, s.warmUp+warmUpStep)
-	first := o.Timing.First.Sub(o.Timing.Sent).Seconds()
+	first := o.Timing.FirstByte.Sub(o.Timing.Sent).Seconds()
 	whole := o.Timing.Done.Sub(o.Timing.Sent).Seconds()
 	if whole <= 0 {
 		return
 	}
 	if o.Outcome.Events > 0 {
-		svc.predictionRatio.observe(o.Predicted.Seconds(), first)
+		svc.predictionRatio.observe(o.PredictedFirstByte.Seconds(), first)
 	}
 	s.observedAt = now
 	s.serviceTime.observe(whole)
 	svc.serviceTime.observe(whole)
-	if o.Tokens > 0 && s.inFlight < s.Slots {
-		s.observeTokenTime(first/float64(o.Tokens), svc)
+	if o.PromptTokens > 0 && s.inFlight < s.Slots {
+		s.observeTokenTime(first/float64(o.PromptTokens), svc)
 	}
-	if !t.switchedOff.Has(vetchtrail.AdaptiveLimits) {
+	if !t.switchedOff.Has(vetchtrail.MechanismAdaptiveLimits) {
 		s.adaptLimit(first)
 	}
 }
@@ -98,7 +98,7 @@
 func (t *Table) recordError(s *endpointState, now time.Time) {
 	s.errorsInRow++
 	usual := min(max(t.usualErrorShare(s), minUsualErrorShare), maxUsualErrorShare)
-	if math.Pow(usual, float64(s.errorsInRow)) < maxErrorRunProbability && !t.switchedOff.Has(vetchtrail.Ejection) {
+	if math.Pow(usual, float64(s.errorsInRow)) < maxErrorRunProbability && !t.switchedOff.Has(vetchtrail.MechanismEjection) {
 		t.eject(s, now)
 	}
 }
@@ -150,7 +150,7 @@
 
 // cutLimit lowers the limit after a refusal or a timeout.
 func (t *Table) cutLimit(s *endpointState) {
-	if !t.switchedOff.Has(vetchtrail.AdaptiveLimits) {
+	if !t.switchedOff.Has(vetchtrail.MechanismAdaptiveLimits) {
 		s.limit = math.Max(1, s.limit*limitCutFactor)
 	}
 }
@@ -165,7 +165,7 @@
 // row. The limit stays: a lost answer shows nothing about the endpoint's capacity.
 func (t *Table) recordFailure(s *endpointState, now time.Time) {
 	s.failuresInRow++
-	if s.failuresInRow < failuresToEject || t.switchedOff.Has(vetchtrail.Ejection) {
+	if s.failuresInRow < failuresToEject || t.switchedOff.Has(vetchtrail.MechanismEjection) {
 		return
 	}
 	t.eject(s, now)
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -33,7 +33,7 @@
 // acceptReport records a report if it is newer than the known one, and reports whether it was. The caller holds
 // the lock.
 func (t *Table) acceptReport(s *endpointState, r vetchtrail.LoadReport, fetchedHere bool, leavingUntil time.Time) bool {
-	if s.hasReport && !r.At.After(s.report.At) {
+	if s.hasReport && !r.ReceivedAt.After(s.report.ReceivedAt) {
 		return false
 	}
 	s.report, s.hasReport, s.fetchedHere = r, true, fetchedHere
@@ -42,7 +42,7 @@
 		s.backOffUntil = time.Time{} // it can be reached again
 	}
 	s.recordReportedLeaving(r.Leaving, leavingUntil)
-	if r.Started.After(s.availability.receivedAt) && !s.availability.expiresAt().IsZero() {
+	if r.StartedAt.After(s.availability.receivedAt) && !s.availability.expiresAt().IsZero() {
 		s.availability.announcements = announcements{} // they came from an earlier process instance
 	}
 	t.wake(s.Service)
@@ -62,7 +62,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
-		return s.report.At
+		return s.report.ReceivedAt
 	}
 	return time.Time{}
 }
--- a/process/load/report_log_test.go
+++ b/process/load/report_log_test.go
@@ -20,7 +20,7 @@
 // however old.
 func TestHeardAfter(t *testing.T) {
 	report := func(tab *Table, name string, age time.Duration, leaving bool) {
-		tab.Report(name, vetchtrail.LoadReport{At: now.Add(-age), Leaving: leaving}, now.Add(time.Hour))
+		tab.Report(name, vetchtrail.LoadReport{ReceivedAt: now.Add(-age), Leaving: leaving}, now.Add(time.Hour))
 	}
 	cases := map[string]struct {
 		first, then func(tab *Table)
@@ -35,7 +35,7 @@
 		"another instance": {func(tab *Table) { report(tab, "e001", 0, false) }, func(tab *Table) {
 			report(tab, "e002", 0, false)
 			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e002", Service: "s", Slots: 4, Born: now}}})
-			tab.HearNotice("e002", now, vetchtrail.Notice{})
+			tab.HearNotice("e002", now, vetchtrail.Availability{})
 			report(tab, "e002", time.Second, false)
 			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e002", Service: "s", Slots: 4, Born: now.Add(time.Second)}}})
 		}, []string{"e001"}, nil},
--- a/process/load/stream_stats.go
+++ b/process/load/stream_stats.go
@@ -36,7 +36,7 @@
 	}
 	st := svc.streamsOf(r.Route)
 	st.priority, st.lastRequested = r.Priority, now
-	if r.Fresh {
+	if r.CallerCanRetry {
 		st.firstAttemptSeconds = r.Deadline.Sub(now).Seconds()
 	}
 }
--- a/process/load/stream_stats_test.go
+++ b/process/load/stream_stats_test.go
@@ -14,7 +14,7 @@
 func TestUrgentEventInterval(t *testing.T) {
 	stream := func(route string, priority int8, left time.Duration) *vetchtrail.Request {
 		r := request(route, 3, priority)
-		r.Route, r.Stream, r.Fresh, r.Deadline = route, true, true, now.Add(left)
+		r.Route, r.Stream, r.CallerCanRetry, r.Deadline = route, true, true, now.Add(left)
 		return r
 	}
 	cases := map[string]struct {
@@ -42,7 +42,7 @@
 				}
 			}
 			tab.Fill(&v, c.placed, now.Add(c.after))
-			assert.Equal(t, v.UrgentPace, c.want)
+			assert.Equal(t, v.UrgentInterval, c.want)
 		})
 	}
 }
--- a/process/load/summary.go
+++ b/process/load/summary.go
@@ -31,7 +31,7 @@
 		if now.Before(s.availability.pausedUntil) {
 			row.PausedUntil = s.availability.pausedUntil
 		}
-		if s.rateLimit.Named {
+		if s.rateLimit.Advertised {
 			row.LimitedSince = s.rateLimitedSince
 		}
 		out = append(out, row)
@@ -66,20 +66,20 @@
 	svc.othersQueued = meanOthersQueued(states, now)
 	for _, s := range states {
 		v := s.view(t, now)
-		if v.Away {
+		if v.Unavailable {
 			continue
 		}
-		inFlight := max(v.Own, v.Running+v.Queued+v.OwnSince)
+		inFlight := max(v.InFlight, v.Running+v.Queued+v.InFlightChange)
 		sum.Slots += s.concurrency(svc)
 		sum.Free += max(0, s.concurrency(svc)-inFlight)
 		inUse++
 		unread += s.backlog(lowestPriority, svc, now)
-		wait := v.Service * 0.1
+		wait := v.ServiceTime * 0.1
 		if inFlight >= v.Slots {
-			wait += float64(inFlight-v.Slots+1) * v.Service / float64(v.Slots)
+			wait += float64(inFlight-v.Slots+1) * v.ServiceTime / float64(v.Slots)
 		}
 		bestWait = math.Min(bestWait, wait)
-		if interval := time.Duration(v.Gap * float64(time.Second)); sum.Gap == 0 || interval < sum.Gap {
+		if interval := time.Duration(v.EventInterval * float64(time.Second)); sum.Gap == 0 || interval < sum.Gap {
 			sum.Gap = interval
 		}
 	}
--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -57,12 +57,12 @@
 	found := map[string]int{}
 	for _, h := range m.listedHosts {
 		d, known := m.remotes[h.DataCentre]
-		if (known && len(d.digest.GetServices()) > 0) || h.DataCentre == m.self.DataCentre || !h.Peers.IsValid() {
+		if (known && len(d.digest.GetServices()) > 0) || h.DataCentre == m.self.DataCentre || !h.PeerAddr.IsValid() {
 			continue
 		}
 		found[h.DataCentre]++
 		if m.rng.IntN(found[h.DataCentre]) == 0 { // each host is picked with the same probability
-			out[h.DataCentre] = h.Peers
+			out[h.DataCentre] = h.PeerAddr
 		}
 	}
 	return out
@@ -193,7 +193,7 @@
 		return nil
 	}
 	h := hostFromEntry(entries[m.rng.IntN(len(entries))])
-	return []swapTarget{{dataCentre, h.Peers}}
+	return []swapTarget{{dataCentre, h.PeerAddr}}
 }
 
 // localDigest makes the digest of this data centre, with its members.
