--- a/process/membership/gossip_peers.go
+++ b/process/membership/gossip_peers.go
@@ -24,7 +24,7 @@
 	m.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	out := make([]netip.AddrPort, 0, Fanout+1)
 	for _, b := range peers[:min(Fanout, len(peers))] {
-		out = append(out, b.Peers)
+		out = append(out, b.PeerAddr)
 	}
 	return out
 }
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -57,7 +57,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, b := range m.members {
-		if b.Peers == addr {
+		if b.PeerAddr == addr {
 			b.resetSent()
 		}
 	}
@@ -75,11 +75,11 @@
 	var live []*member
 	for name, b := range m.members {
 		switch {
-		case now.Sub(b.Heard) > forgetAfter:
+		case now.Sub(b.LastSeen) > forgetAfter:
 			delete(m.members, name)
 			delete(m.namesByShortID, b.shortID)
 		case b.state(now) == vetchtrail.HostDead:
-			probes = append(probes, b.Peers)
+			probes = append(probes, b.PeerAddr)
 		default:
 			live = append(live, b)
 		}
@@ -100,14 +100,14 @@
 	for _, s := range m.seeds {
 		unknown[s] = true
 	}
-	delete(unknown, m.self.Peers)
+	delete(unknown, m.self.PeerAddr)
 	for _, b := range m.members {
-		delete(unknown, b.Peers)
+		delete(unknown, b.PeerAddr)
 	}
 	for _, d := range m.remotes {
 		hosts := d.allHosts()
 		for i := range hosts {
-			delete(unknown, hosts[i].Peers)
+			delete(unknown, hosts[i].PeerAddr)
 		}
 	}
 	return slices.DeleteFunc(slices.Clone(m.seeds), func(s netip.AddrPort) bool { return !unknown[s] })
@@ -120,7 +120,7 @@
 	defer m.mu.Unlock()
 
 	for _, b := range m.members {
-		if b.Peers == to {
+		if b.PeerAddr == to {
 			h := m.newHeartbeat(b, now)
 			// Only here: the reply to this heartbeat brings the members. Requested
 			// in a reply, they would come only with the next exchange.
@@ -176,7 +176,7 @@
 func fullEntry(h vetchtrail.Host, counter uint64) *schema.Member {
 	return &schema.Member{
 		Name: h.Name, Incarnation: h.Incarnation, Counter: counter, State: uint32(h.State),
-		Revision: h.Revision, Callers: h.Callers.String(), Peers: h.Peers.String(), Capacity: h.Capacity,
+		Revision: h.Revision, Callers: h.CallerAddr.String(), Peers: h.PeerAddr.String(), Capacity: h.Capacity,
 	}
 }
 
@@ -217,7 +217,7 @@
 		}
 		out = append(out, &schema.Load{
 			Endpoint: r.Short, Running: uint32(r.Report.Running), Queued: uint32(r.Report.Queued),
-			AgeMillis: millis(now.Sub(r.Report.At)), Leaving: r.Report.Leaving, UpMillis: uptimeMillis(r, now),
+			AgeMillis: millis(now.Sub(r.Report.ReceivedAt)), Leaving: r.Report.Leaving, UpMillis: uptimeMillis(r, now),
 		})
 	}
 	return out
@@ -228,10 +228,10 @@
 // as a restart ends the announcement. For all endpoints it would cost more bytes
 // than the loads.
 func uptimeMillis(r load.Heard, now time.Time) uint32 {
-	if !r.Said || r.Report.Started.IsZero() {
+	if !r.Said || r.Report.StartedAt.IsZero() {
 		return 0
 	}
-	return uint32(min(max(1, now.Sub(r.Report.Started).Milliseconds()), math.MaxUint32))
+	return uint32(min(max(1, now.Sub(r.Report.StartedAt).Milliseconds()), math.MaxUint32))
 }
 
 // rateLimitsFor returns the rate limits of endpoints that a host was not sent yet: new,
@@ -241,8 +241,8 @@
 	var out []*schema.EndpointRate
 	for _, l := range m.cfg.Load.Limits() {
 		sent, known := to.sentState.rateLimits[l.Endpoint]
-		same := sent.Limit.Named == l.Limit.Named && sent.Limit.Rate == l.Limit.Rate && sent.Born.Equal(l.Born)
-		if (known && same) || (!known && !l.Limit.Named) {
+		same := sent.Limit.Advertised == l.Limit.Advertised && sent.Limit.Rate == l.Limit.Rate && sent.Born.Equal(l.Born)
+		if (known && same) || (!known && !l.Limit.Advertised) {
 			continue
 		}
 		to.sentState.rateLimits[l.Endpoint] = l
@@ -339,11 +339,11 @@
 // loadReportOf reads a load report that was received at the time now.
 func loadReportOf(l *schema.Load, now time.Time) vetchtrail.LoadReport {
 	r := vetchtrail.LoadReport{
-		At:      now.Add(-time.Duration(l.GetAgeMillis()) * time.Millisecond),
-		Running: int(l.GetRunning()), Queued: int(l.GetQueued()), Leaving: l.GetLeaving(),
+		ReceivedAt: now.Add(-time.Duration(l.GetAgeMillis()) * time.Millisecond),
+		Running:    int(l.GetRunning()), Queued: int(l.GetQueued()), Leaving: l.GetLeaving(),
 	}
 	if up := l.GetUpMillis(); up > 0 {
-		r.Started = now.Add(-time.Duration(up) * time.Millisecond)
+		r.StartedAt = now.Add(-time.Duration(up) * time.Millisecond)
 	}
 	return r
 }
@@ -395,7 +395,7 @@
 // update takes what both short and full entries hold. The entry is newer than the
 // one before.
 func (b *member) update(entry *schema.Member, now time.Time) {
-	b.Heard = now
+	b.LastSeen = now
 	b.Revision = entry.GetRevision()
 	b.counter = entry.GetCounter()
 	b.reported = vetchtrail.HostState(entry.GetState())
--- a/process/membership/hosts.go
+++ b/process/membership/hosts.go
@@ -72,7 +72,7 @@
 	m.listedHosts, m.haveListing = hosts, true
 	m.seeds = slices.Clone(m.cfg.Seeds)
 	for _, h := range hosts {
-		m.seeds = append(m.seeds, h.Peers)
+		m.seeds = append(m.seeds, h.PeerAddr)
 	}
 }
 
--- a/process/membership/hosts_test.go
+++ b/process/membership/hosts_test.go
@@ -29,7 +29,7 @@
 	a.cfg.WholeRegion = true
 	assert.Equal(t, a.swapDelay(now), discoveryInterval, "no listing yet")
 	host := func(name, dataCentre string, last byte) vetchtrail.Host {
-		return vetchtrail.Host{Name: name, DataCentre: dataCentre, Peers: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, last}), 1)}
+		return vetchtrail.Host{Name: name, DataCentre: dataCentre, PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, last}), 1)}
 	}
 	a.SetListed([]vetchtrail.Host{host("a", "dc", 1), host("b", "dc", 2), host("x", "other", 9), host("y", "other", 10), host("z", "third", 11)})
 	targets := func() map[string]bool {
--- a/process/membership/introductions.go
+++ b/process/membership/introductions.go
@@ -54,9 +54,9 @@
 // forgets the others. The caller holds the lock.
 func (m *Membership) pendingIntroduced() []netip.AddrPort {
 	for _, b := range m.members {
-		delete(m.introduced, b.Peers)
+		delete(m.introduced, b.PeerAddr)
 	}
-	delete(m.introduced, m.self.Peers)
+	delete(m.introduced, m.self.PeerAddr)
 	out := make([]netip.AddrPort, 0, len(m.introduced))
 	for addr := range m.introduced {
 		out = append(out, addr)
--- a/process/membership/leaving_spread_test.go
+++ b/process/membership/leaving_spread_test.go
@@ -42,7 +42,7 @@
 				for ; announced < c.leave*(n+1)/ticks; announced++ {
 					e := s.endpoints[announced].Name
 					pending[e] = s.now
-					s.hosts[rnd.IntN(c.hosts)].cfg.Load.HearNotice(e, time.Time{}, vetchtrail.Notice{Leaving: true, Asked: s.now, Heard: s.now})
+					s.hosts[rnd.IntN(c.hosts)].cfg.Load.HearNotice(e, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: s.now, ReceivedAt: s.now})
 				}
 				s.tick()
 				for e, at := range pending {
@@ -87,10 +87,10 @@
 		m.cfg.Load.Configure(placed)
 		m.cfg.Notices = &leavingRecorder{table: m.cfg.Load}
 		if n > 0 {
-			m.seeds = []netip.AddrPort{s.hosts[0].self.Peers}
+			m.seeds = []netip.AddrPort{s.hosts[0].self.PeerAddr}
 		}
 		s.hosts = append(s.hosts, m)
-		s.byAddr[m.self.Peers] = m
+		s.byAddr[m.self.PeerAddr] = m
 	}
 	return s
 }
@@ -105,7 +105,7 @@
 		for _, addr := range m.heartbeatTargets(s.now) {
 			to := s.byAddr[addr]
 			if s.pairs != nil {
-				s.pairs[[2]netip.AddrPort{m.self.Peers, addr}] = true
+				s.pairs[[2]netip.AddrPort{m.self.PeerAddr, addr}] = true
 			}
 			request := m.heartbeatTo(addr, s.now)
 			to.merge(request, s.now)
@@ -125,7 +125,7 @@
 // allKnowLeaving reports whether all hosts know that an endpoint is leaving.
 func (s *simulation) allKnowLeaving(name string) bool {
 	for _, m := range s.hosts {
-		if why, _ := m.cfg.Load.Bars(name, s.now); why == "" {
+		if why, _ := m.cfg.Load.Blocked(name, s.now); why == "" {
 			return false
 		}
 	}
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -46,14 +46,14 @@
 		recorders[x].at, recorders[y].at = second(n), second(n)
 		exchange(x, y, second(n))
 	}
-	usable := func(m *Membership, n int) bool { why, _ := m.cfg.Load.Bars("e", second(n)); return why == "" }
+	usable := func(m *Membership, n int) bool { why, _ := m.cfg.Load.Blocked("e", second(n)); return why == "" }
 	exchangeAt(a, b, 0)
 	exchangeAt(a, b, 1)
 	assert.Equal(t, recorders[b].received, 0)
-	a.cfg.Load.HearNotice("e", startedAt, vetchtrail.Notice{Leaving: true, Asked: second(1), Heard: second(2)})
+	a.cfg.Load.HearNotice("e", startedAt, vetchtrail.Availability{Leaving: true, RequestedAt: second(1), ReceivedAt: second(2)})
 	assert.Assert(t, usable(b, 2))
-	a.heartbeatTo(b.self.Peers, second(3)) // not delivered
-	a.sendInFull(b.self.Peers)
+	a.heartbeatTo(b.self.PeerAddr, second(3)) // not delivered
+	a.sendInFull(b.self.PeerAddr)
 	exchangeAt(a, b, 4)
 	assert.Assert(t, !usable(b, 4), "not sent again after a lost heartbeat")
 	exchangeAt(a, b, 5)
@@ -74,7 +74,7 @@
 	a.cfg.WholeRegion = true
 	a.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
 	at := time.Now()
-	a.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: at, Heard: at})
+	a.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	cases := map[string]struct {
 		region   string
 		received int
@@ -102,14 +102,14 @@
 	a, b := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
 	for _, m := range []*Membership{a, b} {
 		m.cfg.Load.Configure(listed)
-		m.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+		m.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 	}
 	exchange(a, b, second(1))
 	exchange(a, b, second(2))
-	a.cfg.Load.Report("e", vetchtrail.LoadReport{At: second(3), Started: second(3)}, time.Time{})
-	why, _ := b.cfg.Load.Bars("e", second(3))
+	a.cfg.Load.Report("e", vetchtrail.LoadReport{ReceivedAt: second(3), StartedAt: second(3)}, time.Time{})
+	why, _ := b.cfg.Load.Blocked("e", second(3))
 	assert.Equal(t, why, vetchtrail.ReasonDraining)
 	exchange(a, b, second(4))
-	why, _ = b.cfg.Load.Bars("e", second(4))
+	why, _ = b.cfg.Load.Blocked("e", second(4))
 	assert.Equal(t, why, vetchtrail.Reason(""))
 }
--- a/process/membership/loads_test.go
+++ b/process/membership/loads_test.go
@@ -25,15 +25,15 @@
 	a.cfg.Load.Configure(placed)
 	exchange(a, b, now)
 	for n := range 100 {
-		a.cfg.Load.Told(placed[n].Endpoint, vetchtrail.LoadReport{At: now, Running: n})
+		a.cfg.Load.LoadReported(placed[n].Endpoint, vetchtrail.LoadReport{ReceivedAt: now, Running: n})
 	}
-	assert.Equal(t, len(a.heartbeatTo(b.self.Peers, now).GetLoads()), 100)
-	assert.Equal(t, len(a.heartbeatTo(b.self.Peers, now).GetLoads()), 0)
-	a.cfg.Load.Told(placed[7].Endpoint, vetchtrail.LoadReport{At: now.Add(time.Second), Running: 1})
-	h := a.heartbeatTo(b.self.Peers, now.Add(time.Second))
+	assert.Equal(t, len(a.heartbeatTo(b.self.PeerAddr, now).GetLoads()), 100)
+	assert.Equal(t, len(a.heartbeatTo(b.self.PeerAddr, now).GetLoads()), 0)
+	a.cfg.Load.LoadReported(placed[7].Endpoint, vetchtrail.LoadReport{ReceivedAt: now.Add(time.Second), Running: 1})
+	h := a.heartbeatTo(b.self.PeerAddr, now.Add(time.Second))
 	assert.Equal(t, len(h.GetLoads()), 1)
 	assert.Equal(t, h.GetLoads()[0].GetEndpoint(), load.Short("e7"))
-	a.sendInFull(b.self.Peers)
-	assert.Equal(t, len(a.heartbeatTo(b.self.Peers, now.Add(time.Second)).GetLoads()), 100, "not all sent again after a lost heartbeat")
-	assert.Assert(t, proto.Size(a.heartbeatTo(b.self.Peers, now.Add(time.Second))) < 100)
+	a.sendInFull(b.self.PeerAddr)
+	assert.Equal(t, len(a.heartbeatTo(b.self.PeerAddr, now.Add(time.Second)).GetLoads()), 100, "not all sent again after a lost heartbeat")
+	assert.Assert(t, proto.Size(a.heartbeatTo(b.self.PeerAddr, now.Add(time.Second))) < 100)
 }
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -173,7 +173,7 @@
 func (m *Membership) selfNow() vetchtrail.Host {
 	h := m.self
 	h.Revision = m.cfg.Revision()
-	h.Heard = time.Now()
+	h.LastSeen = time.Now()
 	return h
 }
 
@@ -217,7 +217,7 @@
 // state is the state that a member reported, or suspect or dead if its
 // heartbeats stopped.
 func (b *member) state(now time.Time) vetchtrail.HostState {
-	switch silent := now.Sub(b.Heard); {
+	switch silent := now.Sub(b.LastSeen); {
 	case silent > deadAfter:
 		return vetchtrail.HostDead
 	case silent > suspectAfter:
@@ -252,7 +252,7 @@
 // hostOf returns the host that an entry of the data centre's digest describes.
 func (d *remote) hostOf(entry *schema.Member) vetchtrail.Host {
 	h := hostFromEntry(entry)
-	h.Region, h.DataCentre, h.Heard = d.digest.GetRegion(), d.digest.GetDataCentre(), d.digestTime
+	h.Region, h.DataCentre, h.LastSeen = d.digest.GetRegion(), d.digest.GetDataCentre(), d.digestTime
 	return h
 }
 
@@ -262,7 +262,7 @@
 	callers, _ := netip.ParseAddrPort(entry.GetCallers())
 	peers, _ := netip.ParseAddrPort(entry.GetPeers())
 	return vetchtrail.Host{
-		Name: entry.GetName(), Callers: callers, Peers: peers, Incarnation: entry.GetIncarnation(),
+		Name: entry.GetName(), CallerAddr: callers, PeerAddr: peers, Incarnation: entry.GetIncarnation(),
 		Revision: entry.GetRevision(), State: vetchtrail.HostState(entry.GetState()), Capacity: entry.GetCapacity(),
 	}
 }
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -28,7 +28,7 @@
 	}
 	return New(Config{
 		Self: vetchtrail.Host{
-			Name: name, Region: "region-of-" + dataCentre, DataCentre: dataCentre, Callers: addr(8080), Peers: addr(7070),
+			Name: name, Region: "region-of-" + dataCentre, DataCentre: dataCentre, CallerAddr: addr(8080), PeerAddr: addr(7070),
 			Incarnation: 100, State: vetchtrail.HostReady,
 		},
 		Load: load.New(), Revision: func() uint64 { return 5 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Seed: uint64(last),
@@ -37,8 +37,8 @@
 
 // exchange has each of two hosts send the other a heartbeat.
 func exchange(a, b *Membership, at time.Time) {
-	b.merge(a.heartbeatTo(b.self.Peers, at), at)
-	a.merge(b.heartbeatTo(a.self.Peers, at), at)
+	b.merge(a.heartbeatTo(b.self.PeerAddr, at), at)
+	a.merge(b.heartbeatTo(a.self.PeerAddr, at), at)
 }
 
 // stateOfC returns the state of host c as another host sees it, dead if it is not known.
@@ -69,7 +69,7 @@
 	assert.Equal(t, stateOfC(a, now.Add(time.Second+deadAfter+1)), vetchtrail.HostDead)
 	// An old heartbeat does not bring it back, a new incarnation does.
 	later := now.Add(time.Minute / 2)
-	b.merge(a.heartbeatTo(b.self.Peers, later), later)
+	b.merge(a.heartbeatTo(b.self.PeerAddr, later), later)
 	assert.Equal(t, stateOfC(a, later), vetchtrail.HostDead)
 	c2 := newMembership("c", "dc", 3)
 	c2.self.Incarnation = 101
@@ -131,17 +131,17 @@
 	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(-20*time.Millisecond), now)
 	assert.Equal(t, view(now).Reachable, true)
 	assert.Equal(t, view(now).Delay, 10*time.Millisecond)
-	assert.Equal(t, view(now).Free, 10)
+	assert.Equal(t, view(now).FreeSlots, 10)
 	tooOld := now.Add(reachableFor + 1)
 	assert.Equal(t, view(tooOld).Reachable, false)
 	back := now.Add(time.Minute)
 	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(back)}, back, back)
-	assert.Equal(t, view(back).Warmth, warmUpStart)
+	assert.Equal(t, view(back).WarmUpShare, warmUpStart)
 	for range 9 {
-		a.Returned("other", "s", vetchtrail.Outcome{Kind: vetchtrail.Answered}, back)
+		a.ForwardEnded("other", "s", vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}, back)
 	}
-	assert.Equal(t, view(back).Warmth, 1.0)
-	a.Returned("other", "s", vetchtrail.Outcome{Kind: vetchtrail.NotRun, Peer: "x", Reason: vetchtrail.ReasonUnreachable, HostLost: true}, back)
+	assert.Equal(t, view(back).WarmUpShare, 1.0)
+	a.ForwardEnded("other", "s", vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Peer: "x", Reason: vetchtrail.ReasonUnreachable, HostLost: true}, back)
 	assert.Equal(t, view(back).Reachable, false)
 	assert.Equal(t, view(back.Add(avoidTime)).Reachable, true)
 }
@@ -152,10 +152,10 @@
 // last host. A lost endpoint behind a host must take neither.
 func TestLostHostAvoided(t *testing.T) {
 	hostLost := func(name string) vetchtrail.Outcome {
-		return vetchtrail.Outcome{Peer: name, Step: vetchtrail.StepForward, Reason: vetchtrail.ReasonLost, HostLost: true}
+		return vetchtrail.Outcome{Peer: name, Step: vetchtrail.StepForward, Reason: vetchtrail.ReasonResponseLost, HostLost: true}
 	}
-	endpointLost := vetchtrail.Outcome{Peer: "e", Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonLost}
-	endpointDown := vetchtrail.Outcome{Kind: vetchtrail.NotRun, Peer: "e", Step: vetchtrail.StepConnect, Reason: vetchtrail.ReasonUnreachable}
+	endpointLost := vetchtrail.Outcome{Peer: "e", Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonResponseLost}
+	endpointDown := vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Peer: "e", Step: vetchtrail.StepConnect, Reason: vetchtrail.ReasonUnreachable}
 	cases := map[string]struct {
 		returned []vetchtrail.Outcome
 		after    time.Duration
@@ -175,7 +175,7 @@
 			exchange(x, y, now)
 			a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 			for _, o := range c.returned {
-				a.Returned("other", "s", o, now)
+				a.ForwardEnded("other", "s", o, now)
 			}
 			at := now.Add(c.after)
 			picked := map[string]bool{}
@@ -190,7 +190,7 @@
 			var v vetchtrail.View
 			a.Fill(&v, "s", func(string) (vetchtrail.RegionID, bool) { return 2, true }, at)
 			assert.Equal(t, v.Remotes[0].Reachable, c.picked != "")
-			assert.Equal(t, v.Remotes[0].Warmth < 1, len(c.returned) == 2)
+			assert.Equal(t, v.Remotes[0].WarmUpShare < 1, len(c.returned) == 2)
 		})
 	}
 }
@@ -217,12 +217,12 @@
 					rt.Skip("same host")
 				}
 				all[a].counter++
-				h := all[a].heartbeatTo(all[b].self.Peers, at)
+				h := all[a].heartbeatTo(all[b].self.PeerAddr, at)
 				if rapid.Bool().Draw(rt, "lost") {
 					return
 				}
 				all[b].merge(h, at)
-				all[a].merge(all[b].heartbeatTo(all[a].self.Peers, at), at)
+				all[a].merge(all[b].heartbeatTo(all[a].self.PeerAddr, at), at)
 			},
 			"restart": func(*rapid.T) {
 				i := pick()
@@ -284,7 +284,7 @@
 		x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "model", Slots: 8}}})
 		for k := range hosts - 1 {
 			y := newMembership(fmt.Sprintf("other-%02d-host-%03d", i, k+2), fmt.Sprintf("other-%02d", i), byte(k+2))
-			x.merge(y.heartbeatTo(x.self.Peers, now), now)
+			x.merge(y.heartbeatTo(x.self.PeerAddr, now), now)
 		}
 		a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 	}
@@ -306,7 +306,7 @@
 			for b.Loop() {
 				at = at.Add(time.Millisecond)
 				refreshAll(from, at)
-				wire, _ := proto.Marshal(from.heartbeatTo(to.self.Peers, at))
+				wire, _ := proto.Marshal(from.heartbeatTo(to.self.PeerAddr, at))
 				var h schema.Heartbeat
 				_ = proto.Unmarshal(wire, &h)
 				to.merge(&h, at)
@@ -323,14 +323,14 @@
 	m.counter++
 	for _, x := range m.members {
 		x.counter++
-		x.Heard = at
+		x.LastSeen = at
 	}
 	for _, d := range m.remotes {
 		d.digest.Newest++ // so that it is relayed
 		d.digestTime = at
 	}
 	for _, row := range m.cfg.Load.Endpoints() {
-		m.cfg.Load.Report(row.Name, vetchtrail.LoadReport{At: at, Running: 5, Queued: 2}, at)
+		m.cfg.Load.Report(row.Name, vetchtrail.LoadReport{ReceivedAt: at, Running: 5, Queued: 2}, at)
 	}
 }
 
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -70,7 +70,7 @@
 	swapWithSeed(first, now)
 	assert.Equal(t, len(first.heartbeatTargets(now)), 0, "no other host is known yet")
 	swapWithSeed(second, now.Add(time.Second))
-	assert.DeepEqual(t, fmt.Sprint(second.heartbeatTargets(now)), fmt.Sprintf("[%s]", first.self.Peers))
+	assert.DeepEqual(t, fmt.Sprint(second.heartbeatTargets(now)), fmt.Sprintf("[%s]", first.self.PeerAddr))
 	exchange(second, first, now.Add(time.Second))
 	assert.Equal(t, len(second.pendingIntroduced()), 0, "the introduced host is known now")
 	second.mu.Lock()
@@ -113,7 +113,7 @@
 			m := newMembership("a", "dc", 1)
 			m.cfg.WholeRegion = c.wholeRegion
 			m.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
-			r := vetchtrail.LoadReport{At: now.Add(-c.age), Running: 3}
+			r := vetchtrail.LoadReport{ReceivedAt: now.Add(-c.age), Running: 3}
 			if c.fetched {
 				m.cfg.Load.Report("e", r, time.Time{})
 			} else {
--- a/process/membership/rate_limits_test.go
+++ b/process/membership/rate_limits_test.go
@@ -41,11 +41,11 @@
 	}
 	advertise := func(rate float64, second int) { // to a; 0 lifts the limit
 		at := now.Add(time.Duration(second) * time.Second)
-		a.cfg.Load.HearLimit("e", startedAt, vetchtrail.RateLimit{Named: rate > 0, Rate: rate, Asked: at, Heard: at.Add(100 * time.Millisecond)})
+		a.cfg.Load.HearLimit("e", startedAt, vetchtrail.RateLimit{Advertised: rate > 0, Rate: rate, RequestedAt: at, ReceivedAt: at.Add(100 * time.Millisecond)})
 	}
 	known := func() (rate float64, limited bool) { // to b
 		limit, _ := b.cfg.Load.Limit("e")
-		return limit.Rate, limit.Named
+		return limit.Rate, limit.Advertised
 	}
 	exchangeAt := func(second int) {
 		l.at = now.Add(time.Duration(second) * time.Second)
@@ -65,8 +65,8 @@
 	rate, _ = known()
 	assert.Equal(t, rate, 5.0)
 	advertise(0, 7)
-	a.heartbeatTo(b.self.Peers, now.Add(8*time.Second)) // not delivered
-	a.sendInFull(b.self.Peers)
+	a.heartbeatTo(b.self.PeerAddr, now.Add(8*time.Second)) // not delivered
+	a.sendInFull(b.self.PeerAddr)
 	_, limited = known()
 	assert.Assert(t, limited)
 	advertise(3, 9)
--- a/process/membership/relay_test.go
+++ b/process/membership/relay_test.go
@@ -33,7 +33,7 @@
 	other := newMembership("x", "other", 250)
 	for n := range hosts - 1 {
 		y := newMembership(fmt.Sprintf("y%03d", n), "other", byte(n))
-		other.merge(y.heartbeatTo(other.self.Peers, s.now), s.now)
+		other.merge(y.heartbeatTo(other.self.PeerAddr, s.now), s.now)
 	}
 	other.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "far", Service: "s", Slots: 4}}})
 	for n := range int((settleTime + observedTime) / Tick) {
@@ -134,11 +134,11 @@
 			a, b, x := newMembership("a", "dc", 1), newMembership("b", "dc", 2), newMembership("x", "other", 9)
 			x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "far", Service: "s", Slots: 4}}})
 			for n := range c.hosts - 1 {
-				x.merge(newMembership(fmt.Sprint("y", n), "other", byte(n+10)).heartbeatTo(x.self.Peers, now), now)
+				x.merge(newMembership(fmt.Sprint("y", n), "other", byte(n+10)).heartbeatTo(x.self.PeerAddr, now), now)
 			}
 			exchange(a, b, now)
 			a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
-			b.merge(a.heartbeatTo(b.self.Peers, now), now)
+			b.merge(a.heartbeatTo(b.self.PeerAddr, now), now)
 			_, picked := b.Pick("other", "s", now)
 			assert.Equal(t, picked, c.reaches)
 			assert.Equal(t, b.DataCentres(now)[0].Reachable, c.reaches)
--- a/process/membership/remote.go
+++ b/process/membership/remote.go
@@ -83,9 +83,9 @@
 		}
 		v.Remotes = append(v.Remotes, vetchtrail.RemoteView{
 			DataCentre: name, Region: region, Delay: d.delay,
-			Wait: float64(summary.GetWaitMillis()) / 1e3, Free: int(summary.GetFree()), Slots: int(summary.GetSlots()), Own: d.inFlight[service],
-			Age: now.Sub(d.digestTime), Reachable: now.Sub(d.digestTime) < reachableFor && len(m.forwardTargets(d, now)) > 0, Warmth: d.warmUpShare,
-			Gap: float64(summary.GetGapMillis()) / 1e3,
+			TimeToFirstToken: float64(summary.GetWaitMillis()) / 1e3, FreeSlots: int(summary.GetFree()), Slots: int(summary.GetSlots()), InFlight: d.inFlight[service],
+			DigestAge: now.Sub(d.digestTime), Reachable: now.Sub(d.digestTime) < reachableFor && len(m.forwardTargets(d, now)) > 0, WarmUpShare: d.warmUpShare,
+			EventInterval: float64(summary.GetGapMillis()) / 1e3,
 		})
 	}
 }
@@ -125,10 +125,10 @@
 	})
 }
 
-// Returned implements vetchtrail.Hosts. Only the loss of the host that the request was
+// ForwardEnded implements vetchtrail.Hosts. Only the loss of the host that the request was
 // forwarded to counts against the data centre. A lost endpoint behind that host must
 // not take the whole data centre out of use.
-func (m *Membership) Returned(dataCentre, service string, o vetchtrail.Outcome, now time.Time) {
+func (m *Membership) ForwardEnded(dataCentre, service string, o vetchtrail.Outcome, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d, ok := m.remotes[dataCentre]
@@ -137,7 +137,7 @@
 	}
 	d.inFlight[service]--
 	switch {
-	case o.Kind == vetchtrail.Answered:
+	case o.Kind == vetchtrail.OutcomeAnswered:
 		d.warmUpShare = min(1, d.warmUpShare+warmUpStep)
 	case o.HostLost:
 		m.avoidHost(d, o.Peer, now)
--- a/process/notices/notices.go
+++ b/process/notices/notices.go
@@ -17,10 +17,10 @@
 // Table records announcements of endpoints. *load.Table implements it.
 type Table interface {
 	// HearNotice records the announcement of an endpoint's answer, and returns what of it is new.
-	HearNotice(name string, born time.Time, n vetchtrail.Notice) load.NoticeNews
+	HearNotice(name string, born time.Time, n vetchtrail.Availability) load.NoticeNews
 	// HearNoticeShort does the same for an announcement that another host received. It names the endpoint by
 	// load.Short.
-	HearNoticeShort(short uint32, born time.Time, n vetchtrail.Notice, now time.Time) load.NoticeNews
+	HearNoticeShort(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) load.NoticeNews
 }
 
 // Config configures Notices.
@@ -46,11 +46,11 @@
 	return &Notices{Observer: c.Observer, cfg: c, unknownFields: map[string]bool{}}
 }
 
-// Noticed implements vetchtrail.Observer.
-func (n *Notices) Noticed(e vetchtrail.Endpoint, notice vetchtrail.Notice, err error) {
+// AvailabilityReported implements vetchtrail.Observer.
+func (n *Notices) AvailabilityReported(e vetchtrail.Endpoint, notice vetchtrail.Availability, err error) {
 	if err != nil {
 		countNotice("misread")
-		if n.logLimiter.May(e.Name, notice.Heard) {
+		if n.logLimiter.May(e.Name, notice.ReceivedAt) {
 			n.cfg.Log.Warn("endpoint's availability can't be parsed", "endpoint", e.Name, "error", err)
 		}
 	}
@@ -61,8 +61,8 @@
 	}
 	if news.Paused {
 		countNotice("paused")
-		if n.logLimiter.May(e.Name, notice.Heard) {
-			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", notice.Until.Sub(notice.Heard))
+		if n.logLimiter.May(e.Name, notice.ReceivedAt) {
+			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", notice.PausedUntil.Sub(notice.ReceivedAt))
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	}
 	countNotice("leaving, told by a host")
 	if news.Endpoint != "" {
-		n.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(notice.Heard))
+		n.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(notice.ReceivedAt))
 	}
 }
 
@@ -88,8 +88,8 @@
 	maxFieldNameBytes = 64
 )
 
-// Unknown implements vetchtrail.Observer. It logs each unknown field once, and counts it by its name.
-func (n *Notices) Unknown(e vetchtrail.Endpoint, field string) {
+// UnknownField implements vetchtrail.Observer. It logs each unknown field once, and counts it by its name.
+func (n *Notices) UnknownField(e vetchtrail.Endpoint, field string) {
 	field = field[:min(len(field), maxFieldNameBytes)]
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/process/notices/notices_test.go
+++ b/process/notices/notices_test.go
@@ -19,24 +19,24 @@
 func TestLogLines(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	e := vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: now}
-	notice := func(second int, leaving bool, pause time.Duration) vetchtrail.Notice {
-		n := vetchtrail.Notice{Leaving: leaving, Asked: now, Heard: now.Add(time.Duration(second) * time.Second)}
+	notice := func(second int, leaving bool, pause time.Duration) vetchtrail.Availability {
+		n := vetchtrail.Availability{Leaving: leaving, RequestedAt: now, ReceivedAt: now.Add(time.Duration(second) * time.Second)}
 		if pause > 0 {
-			n.Until = n.Heard.Add(pause)
+			n.PausedUntil = n.ReceivedAt.Add(pause)
 		}
 		return n
 	}
 	cases := map[string]struct {
-		notices []vetchtrail.Notice
+		notices []vetchtrail.Availability
 		err     error
 		want    []string // beginnings of the messages
 	}{
-		"leaving, in each answer":         {[]vetchtrail.Notice{notice(1, true, 0), notice(2, true, 0)}, nil, []string{"endpoint says that it leaves"}},
-		"paused, in several answers":      {[]vetchtrail.Notice{notice(1, false, 4*time.Second), notice(1, false, 5*time.Second)}, nil, []string{"endpoint wants nothing for a time"}},
-		"paused again later":              {[]vetchtrail.Notice{notice(1, false, time.Second), notice(3, false, time.Second)}, nil, []string{"endpoint wants", "endpoint wants"}},
-		"a shorter pause while paused":    {[]vetchtrail.Notice{notice(1, false, time.Minute), notice(3, false, time.Second)}, nil, []string{"endpoint wants"}},
-		"not parsed, in each answer":      {[]vetchtrail.Notice{notice(1, false, 0), notice(1, false, 0)}, vetchtrail.ErrLeaving, []string{"endpoint's availability can't be parsed"}},
-		"leaving, and a pause not parsed": {[]vetchtrail.Notice{notice(1, true, 0)}, vetchtrail.ErrPause, []string{"endpoint's availability can't be parsed", "endpoint says that it leaves"}},
+		"leaving, in each answer":         {[]vetchtrail.Availability{notice(1, true, 0), notice(2, true, 0)}, nil, []string{"endpoint says that it leaves"}},
+		"paused, in several answers":      {[]vetchtrail.Availability{notice(1, false, 4*time.Second), notice(1, false, 5*time.Second)}, nil, []string{"endpoint wants nothing for a time"}},
+		"paused again later":              {[]vetchtrail.Availability{notice(1, false, time.Second), notice(3, false, time.Second)}, nil, []string{"endpoint wants", "endpoint wants"}},
+		"a shorter pause while paused":    {[]vetchtrail.Availability{notice(1, false, time.Minute), notice(3, false, time.Second)}, nil, []string{"endpoint wants"}},
+		"not parsed, in each answer":      {[]vetchtrail.Availability{notice(1, false, 0), notice(1, false, 0)}, vetchtrail.ErrLeaving, []string{"endpoint's availability can't be parsed"}},
+		"leaving, and a pause not parsed": {[]vetchtrail.Availability{notice(1, true, 0)}, vetchtrail.ErrPause, []string{"endpoint's availability can't be parsed", "endpoint says that it leaves"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			var out bytes.Buffer
 			n := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
 			for _, received := range c.notices {
-				n.Noticed(e, received, c.err)
+				n.AvailabilityReported(e, received, c.err)
 			}
 			lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 			assert.Equal(t, len(lines), len(c.want), "%s", out.String())
@@ -64,13 +64,13 @@
 	n := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
 	e := vetchtrail.Endpoint{Name: "e"}
 	for range 3 {
-		n.Unknown(e, "Server-Mood")
+		n.UnknownField(e, "Server-Mood")
 	}
-	n.Unknown(e, strings.Repeat("x", 1000)+"\"\n\\")
-	n.Unknown(e, "a\"b\n\\c\xff")
+	n.UnknownField(e, strings.Repeat("x", 1000)+"\"\n\\")
+	n.UnknownField(e, "a\"b\n\\c\xff")
 	assert.Equal(t, strings.Count(out.String(), "\n"), 3, "%s", out.String())
 	for i := range 3 * maxUnknownFields {
-		n.Unknown(e, strconv.Itoa(i))
+		n.UnknownField(e, strconv.Itoa(i))
 	}
 	assert.Equal(t, len(n.unknownFields), maxUnknownFields)
 	assert.Equal(t, strings.Count(out.String(), "\n"), maxUnknownFields)
--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -150,7 +150,7 @@
 		startedAt = now.Add(-time.Duration(r.Up) * time.Millisecond)
 	}
 	p.cfg.Table.Report(e.Name, vetchtrail.LoadReport{
-		At: at, Running: r.Running, Queued: r.Queued, Leaving: r.Leaving, Started: startedAt,
+		ReceivedAt: at, Running: r.Running, Queued: r.Queued, Leaving: r.Leaving, StartedAt: startedAt,
 	}, now.Add(reportLeavingValidFor))
 }
 
--- a/process/quarantines/exchange_loss_test.go
+++ b/process/quarantines/exchange_loss_test.go
@@ -37,13 +37,13 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		for _, h := range inside {
-			_, quarantined := h.q.Held(poisonRequest())
+			_, quarantined := h.q.Quarantined(poisonRequest())
 			assert.Assert(t, quarantined, "%s hasn't quarantined it", h.host.Name)
 		}
 		f.locked(func() { f.partitioned[regionCount-1], healed = false, true })
 		time.Sleep(agreementTime)
 		for _, h := range f.hosts {
-			if _, quarantined := h.q.Held(poisonRequest()); !quarantined {
+			if _, quarantined := h.q.Quarantined(poisonRequest()); !quarantined {
 				without = append(without, h.host.Name)
 			}
 		}
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -89,7 +89,7 @@
 		for n := range hostsPerRegion {
 			addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(r), byte(n)}), 7070)
 			f.hosts = append(f.hosts, &testHost{
-				fleet: f, region: r, host: vetchtrail.Host{Name: fmt.Sprintf("h-%d-%d", r, n), Region: regionName(r), Peers: addr},
+				fleet: f, region: r, host: vetchtrail.Host{Name: fmt.Sprintf("h-%d-%d", r, n), Region: regionName(r), PeerAddr: addr},
 			})
 		}
 		for n := range endpointsPerRegion {
@@ -173,7 +173,7 @@
 func (f *fleet) listing() *vetchtrail.Listing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := &vetchtrail.Listing{Holds: f.persisted.From(f.steadyClock())}
+	l := &vetchtrail.Listing{Quarantined: f.persisted.From(f.steadyClock())}
 	for _, inRegion := range f.endpoints {
 		for _, e := range inRegion {
 			l.Endpoints = append(l.Endpoints, &vetchtrail.Endpoint{Name: e.name, Born: e.startedAt})
@@ -208,7 +208,7 @@
 			out = append(out, other.host)
 		}
 	}
-	slices.SortFunc(out, func(a, b vetchtrail.Host) int { return a.Peers.Compare(b.Peers) })
+	slices.SortFunc(out, func(a, b vetchtrail.Host) int { return a.PeerAddr.Compare(b.PeerAddr) })
 	return out[:min(n, len(out))]
 }
 
@@ -226,7 +226,7 @@
 	reached, replied := false, true
 	f.locked(func() {
 		f.bytes += proto.Size(m)
-		receiver = f.hosts[slices.IndexFunc(f.hosts, func(o *testHost) bool { return o.host.Peers == addr })]
+		receiver = f.hosts[slices.IndexFunc(f.hosts, func(o *testHost) bool { return o.host.PeerAddr == addr })]
 		reached = receiver.up && h.reaches(receiver)
 		if f.losesExchange == nil {
 			reached = reached && f.rnd.IntN(20) > 0
@@ -282,8 +282,8 @@
 	return send(ctx, h, addr, m, (*Quarantines).HostHolds)
 }
 
-// Keep implements vetchtrail.HoldKeeper.
-func (h *testHost) Keep(ctx context.Context, put []vetchtrail.Hold, drop []vetchtrail.Digest) error {
+// Save implements vetchtrail.HoldKeeper.
+func (h *testHost) Save(ctx context.Context, put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) error {
 	if h.fleet.isPartitioned(h.region) {
 		<-ctx.Done()
 		return errUnreachable
@@ -314,7 +314,7 @@
 	if !up {
 		return false, false
 	}
-	if _, quarantined := q.Held(r); quarantined {
+	if _, quarantined := q.Quarantined(r); quarantined {
 		return false, true
 	}
 	if !poison {
@@ -346,18 +346,18 @@
 		e = vetchtrail.Endpoint{Name: target.name, Born: target.startedAt}
 		target.downUntil, target.startedAt = now.Add(endpointRestart), now.Add(endpointRestart)
 	})
-	lost := vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonLost}
+	lost := vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseLost}
 	for _, other := range f.hosts {
 		q, up := other.running()
 		if other.region != h.region || !up {
 			continue
 		}
 		if other == h {
-			q.Lost(e, r, lost, vetchtrail.Timing{Sent: now})
+			q.ResponseLost(e, r, lost, vetchtrail.Timing{Sent: now})
 		}
 		for range 4 { // other requests, which are answered elsewhere
 			harmless := harmlessRequest(uint64(f.random(1 << 40)))
-			q.Lost(e, harmless, lost, vetchtrail.Timing{Sent: now})
+			q.ResponseLost(e, harmless, lost, vetchtrail.Timing{Sent: now})
 			q.Answered(harmless)
 		}
 	}
--- a/process/quarantines/losses.go
+++ b/process/quarantines/losses.go
@@ -57,13 +57,13 @@
 
 func newLossTracker() lossTracker { return lossTracker{endpoints: map[string]*affectedEndpoint{}} }
 
-// Lost implements vetchtrail.Quarantine.
-func (q *Quarantines) Lost(e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, t vetchtrail.Timing) {
+// ResponseLost implements vetchtrail.Quarantine.
+func (q *Quarantines) ResponseLost(e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, t vetchtrail.Timing) {
 	if q.cfg.Off || !mayBeCrash(o) || t.Sent.IsZero() {
 		return
 	}
 	now := q.cfg.Clock()
-	l := loss{at: now, InFlight: quarantine.InFlight{ContentHash: r.Digest(), Streaming: !t.First.IsZero() && time.Since(t.First) > streamingThreshold}}
+	l := loss{at: now, InFlight: quarantine.InFlight{ContentHash: r.ContentHash(), Streaming: !t.FirstByte.IsZero() && time.Since(t.FirstByte) > streamingThreshold}}
 	if at, probe := q.lossTracker.add(e, l, now); probe {
 		go q.probe(e, at.Sub(now))
 	}
@@ -74,7 +74,7 @@
 
 // mayBeCrash reports whether an outcome is one that a crash of the endpoint causes.
 func mayBeCrash(o vetchtrail.Outcome) bool {
-	return o.Kind == vetchtrail.Unknown && (o.Reason == vetchtrail.ReasonLost || o.Reason == vetchtrail.ReasonBroken)
+	return o.Kind == vetchtrail.OutcomeUnknown && (o.Reason == vetchtrail.ReasonResponseLost || o.Reason == vetchtrail.ReasonResponseBroken)
 }
 
 // add remembers a loss. If the endpoint is to be probed, it returns true and the time of the probe.
@@ -190,7 +190,7 @@
 			q.EndpointCrashed(name, "listed no longer")
 		}
 	}
-	q.mergePersisted(l.Holds)
+	q.mergePersisted(l.Quarantined)
 }
 
 // crashedByListing returns the endpoints with losses that have crashed according to the listing.
--- a/process/quarantines/losses_test.go
+++ b/process/quarantines/losses_test.go
@@ -18,7 +18,7 @@
 func TestCrashConfirmation(t *testing.T) {
 	always := func(int) bool { return true }
 	never := func(int) bool { return false }
-	lost := vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonLost}
+	lost := vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseLost}
 	startedAt := time.Unix(1_700_000_000, 0)
 	cases := map[string]struct {
 		refuses func(probe int) bool
@@ -34,8 +34,8 @@
 		"alive":                          {never, false, lost, 1, nil, 0, 1},
 		"alive, loses responses":         {never, false, lost, 25, nil, 0, 4},
 		"leaving":                        {always, true, lost, 1, nil, 0, 2},
-		"caller gone":                    {always, false, vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonCallerGone}, 1, nil, 0, 0},
-		"refused the request":            {always, false, vetchtrail.Outcome{Kind: vetchtrail.NotRun, Reason: vetchtrail.ReasonRefused}, 1, nil, 0, 0},
+		"caller gone":                    {always, false, vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonCallerGone}, 1, nil, 0, 0},
+		"refused the request":            {always, false, vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Reason: vetchtrail.ReasonEndpointRefused}, 1, nil, 0, 0},
 		"no longer listed":               {never, false, lost, 1, &vetchtrail.Listing{}, 1, 1},
 		"listed":                         {never, false, lost, 1, &vetchtrail.Listing{Endpoints: []*vetchtrail.Endpoint{{Name: "e", Born: startedAt}}}, 0, 1},
 		"listed with a later start time": {never, false, lost, 1, &vetchtrail.Listing{Endpoints: []*vetchtrail.Endpoint{{Name: "e", Born: startedAt.Add(time.Second)}}}, 1, 1},
@@ -53,7 +53,7 @@
 					},
 				})
 				for n := range c.losses {
-					q.Lost(vetchtrail.Endpoint{Name: "e", Born: startedAt}, harmlessRequest(uint64(n)), c.outcome, vetchtrail.Timing{Sent: time.Now()})
+					q.ResponseLost(vetchtrail.Endpoint{Name: "e", Born: startedAt}, harmlessRequest(uint64(n)), c.outcome, vetchtrail.Timing{Sent: time.Now()})
 					time.Sleep(100 * time.Millisecond)
 				}
 				time.Sleep(2 * probeCooldown)
@@ -81,8 +81,8 @@
 			Refuses: func(context.Context, vetchtrail.Endpoint) bool { return true },
 		})
 		lose := func(endpoint string) {
-			lost := vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonLost}
-			q.Lost(vetchtrail.Endpoint{Name: endpoint}, harmlessRequest(1), lost, vetchtrail.Timing{Sent: time.Now()})
+			lost := vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseLost}
+			q.ResponseLost(vetchtrail.Endpoint{Name: endpoint}, harmlessRequest(1), lost, vetchtrail.Timing{Sent: time.Now()})
 		}
 		lose("e")
 		suspended = 2 * listingWait
--- a/process/quarantines/messages.go
+++ b/process/quarantines/messages.go
@@ -27,12 +27,12 @@
 // toCrash returns the crash of a message that arrived at now.
 func toCrash(m *schema.End, now time.Time) (quarantine.Crash, error) {
 	hashes, streaming := m.GetRan(), m.GetBegun()
-	if len(hashes) != len(streaming)*len(vetchtrail.Digest{}) || m.GetEndpoint() == "" || m.GetAge() < 0 {
+	if len(hashes) != len(streaming)*len(vetchtrail.ContentHash{}) || m.GetEndpoint() == "" || m.GetAge() < 0 {
 		return quarantine.Crash{}, errors.Errorf("quarantines: invalid crash: %d bytes of content hashes for %d requests at %q", len(hashes), len(streaming), m.GetEndpoint())
 	}
 	c := quarantine.Crash{Endpoint: m.GetEndpoint(), StartedAt: schema.Moment(m.GetBorn()), At: now.Add(-time.Duration(m.GetAge()))}
 	for i, b := range streaming {
-		c.InFlight = append(c.InFlight, quarantine.InFlight{ContentHash: vetchtrail.Digest(hashes[i*len(vetchtrail.Digest{}) : (i+1)*len(vetchtrail.Digest{})]), Streaming: b != 0})
+		c.InFlight = append(c.InFlight, quarantine.InFlight{ContentHash: vetchtrail.ContentHash(hashes[i*len(vetchtrail.ContentHash{}) : (i+1)*len(vetchtrail.ContentHash{})]), Streaming: b != 0})
 	}
 	return c, nil
 }
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -18,12 +18,12 @@
 // between two hosts.
 func TestCrashMessageRoundTrip(t *testing.T) {
 	want := quarantine.Crash{Endpoint: "e", StartedAt: testNow.Add(-time.Hour), At: testNow.Add(-time.Second), InFlight: []quarantine.InFlight{
-		{ContentHash: vetchtrail.Digest{1}}, {ContentHash: vetchtrail.Digest{2}, Streaming: true},
+		{ContentHash: vetchtrail.ContentHash{1}}, {ContentHash: vetchtrail.ContentHash{2}, Streaming: true},
 	}}
 	got, err := toCrash(fromCrash(want, testNow), testNow)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, want)
-	entry := vetchtrail.Hold{Digest: vetchtrail.Digest{3}, Strike: 2, Ends: 4, Since: testNow.Add(-time.Minute), Until: testNow.Add(time.Minute), Released: true}
+	entry := vetchtrail.QuarantineEntry{ContentHash: vetchtrail.ContentHash{3}, Count: 2, Crashes: 4, Since: testNow.Add(-time.Minute), Until: testNow.Add(time.Minute), Released: true}
 	back, err := schema.ToHold(schema.FromHold(entry, testNow), testNow)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, back, entry)
@@ -31,7 +31,7 @@
 
 // TestInvalidMessages checks that an invalid message returns an error and changes nothing.
 func TestInvalidMessages(t *testing.T) {
-	hash := make([]byte, len(vetchtrail.Digest{}))
+	hash := make([]byte, len(vetchtrail.ContentHash{}))
 	cases := map[string]struct {
 		crashes *schema.Ends
 		entries *schema.Holds
@@ -65,10 +65,10 @@
 // is cut to the duration for its count.
 func TestReceivedDurationCapped(t *testing.T) {
 	q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
-	hash := harmlessRequest(1).Digest()
+	hash := harmlessRequest(1).ContentHash()
 	_, err := q.HostHolds(&schema.Holds{Holds: []*schema.Hold{{Digest: hash[:], Strike: 1, Remaining: int64(1000 * time.Hour)}}})
 	assert.NilError(t, err)
-	entry, quarantined := q.Held(harmlessRequest(1))
+	entry, quarantined := q.Quarantined(harmlessRequest(1))
 	assert.Assert(t, quarantined)
 	assert.Equal(t, entry.Until.Sub(testNow), quarantine.HoldTime(1))
 }
--- a/process/quarantines/partition_test.go
+++ b/process/quarantines/partition_test.go
@@ -53,7 +53,7 @@
 		f.locked(func() { f.partitioned[regionCount-1], f.isolated = false, false })
 		time.Sleep(agreementTime)
 		for _, h := range f.hosts {
-			if _, quarantined := h.q.Held(poisonRequest()); !quarantined && h != stopped {
+			if _, quarantined := h.q.Quarantined(poisonRequest()); !quarantined && h != stopped {
 				without = append(without, h.host.Name)
 			}
 		}
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -81,7 +81,7 @@
 
 // broadcast sends entries to all hosts of this region and to the aggregators of the others, which
 // forward them within theirs. The caller holds the lock.
-func (q *Quarantines) broadcast(entries []vetchtrail.Hold, now time.Time) {
+func (q *Quarantines) broadcast(entries []vetchtrail.QuarantineEntry, now time.Time) {
 	m := q.entriesMessage(entries, now)
 	to := q.regionPeers()
 	for _, region := range q.cfg.Regions() {
@@ -101,7 +101,7 @@
 // entriesMessage returns the message for entries. Only an aggregator adds suspects: if other hosts
 // passed on those that they received, they would return to hosts that had already dropped them. The
 // caller holds the lock.
-func (q *Quarantines) entriesMessage(entries []vetchtrail.Hold, now time.Time) *schema.Holds {
+func (q *Quarantines) entriesMessage(entries []vetchtrail.QuarantineEntry, now time.Time) *schema.Holds {
 	m := &schema.Holds{From: q.cfg.Self.Name, Version: q.entries.Version(now), Holds: schema.FromHolds(entries, now)}
 	if q.isAggregator() {
 		m.Suspects = fromSuspects(q.suspects)
@@ -120,7 +120,7 @@
 			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			defer cancel()
-			if _, err := q.cfg.Peers.Hold(ctx, h.Peers, m); err != nil {
+			if _, err := q.cfg.Peers.Hold(ctx, h.PeerAddr, m); err != nil {
 				q.cfg.Log.Info("host not told what is held back", "peer", h.Name, "error", err)
 			}
 		})
@@ -150,7 +150,7 @@
 
 // mergeAndForward merges entries of another host. An aggregator forwards changes to the hosts of
 // its region. The caller holds the lock.
-func (q *Quarantines) mergeAndForward(entries []vetchtrail.Hold, isAggregator bool, now time.Time) {
+func (q *Quarantines) mergeAndForward(entries []vetchtrail.QuarantineEntry, isAggregator bool, now time.Time) {
 	if changed := q.merge(entries, now); len(changed) > 0 && isAggregator {
 		go q.sendToAll(q.entriesMessage(changed, now), q.regionPeers())
 	}
@@ -158,12 +158,12 @@
 
 // mergePersisted merges the entries that the platform has and remembers them, so that persist
 // writes those that the platform lacks.
-func (q *Quarantines) mergePersisted(entries []vetchtrail.Hold) {
+func (q *Quarantines) mergePersisted(entries []vetchtrail.QuarantineEntry) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	clear(q.persisted)
 	for _, entry := range entries {
-		q.persisted[entry.Digest] = entry
+		q.persisted[entry.ContentHash] = entry
 	}
 	q.merge(entries, q.cfg.Clock())
 }
@@ -223,13 +223,13 @@
 }
 
 // exchange sends entries to another host, with the version of all of them, and returns its reply.
-func (q *Quarantines) exchange(ctx context.Context, h vetchtrail.Host, entries []vetchtrail.Hold, now time.Time) (*schema.Holds, error) {
+func (q *Quarantines) exchange(ctx context.Context, h vetchtrail.Host, entries []vetchtrail.QuarantineEntry, now time.Time) (*schema.Holds, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	q.mu.Lock()
 	m := q.entriesMessage(entries, now)
 	q.mu.Unlock()
-	return q.cfg.Peers.Hold(ctx, h.Peers, m)
+	return q.cfg.Peers.Hold(ctx, h.PeerAddr, m)
 }
 
 // syncPeer returns the host for the next exchange: an aggregator of this region or, if this host is
@@ -274,14 +274,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 	defer cancel()
-	if err := q.cfg.Keeper.Keep(ctx, put, drop); err != nil {
+	if err := q.cfg.Keeper.Save(ctx, put, drop); err != nil {
 		q.cfg.Log.Warn("quarantine entries not persisted on the platform", "holds", len(put), "over", len(drop), "error", err)
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, entry := range put {
-		q.persisted[entry.Digest] = entry
+		q.persisted[entry.ContentHash] = entry
 	}
 	for _, hash := range drop {
 		delete(q.persisted, hash)
@@ -290,14 +290,14 @@
 
 // pendingWrites returns the entries made up to a time that the platform lacks, and the expired ones
 // that it still has. The caller holds the lock.
-func (q *Quarantines) pendingWrites(before, now time.Time) (put []vetchtrail.Hold, drop []vetchtrail.Digest) {
+func (q *Quarantines) pendingWrites(before, now time.Time) (put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
 	for _, entry := range q.entries.All(now) {
-		persisted, ok := q.persisted[entry.Digest]
+		persisted, ok := q.persisted[entry.ContentHash]
 		switch expired := !now.Before(entry.Until); {
 		case expired && ok:
-			drop = append(drop, entry.Digest)
+			drop = append(drop, entry.ContentHash)
 		case expired || entry.Since.After(before):
-		case !ok || persisted.Strike < entry.Strike || persisted.Strike == entry.Strike && entry.Released && !persisted.Released:
+		case !ok || persisted.Count < entry.Count || persisted.Count == entry.Count && entry.Released && !persisted.Released:
 			put = append(put, entry)
 		}
 	}
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -61,9 +61,9 @@
 	Refuses func(ctx context.Context, e vetchtrail.Endpoint) bool
 	// Leaving reports whether an endpoint is known to be leaving. That it stops then is no crash.
 	Leaving func(name string) bool
-	Keeper  vetchtrail.HoldKeeper // nil: entries last only as long as a host has them
-	Clock   func() time.Time      // runs on while the host is suspended
-	Off     bool                  // nothing is detected or quarantined
+	Keeper  vetchtrail.QuarantineStore // nil: entries last only as long as a host has them
+	Clock   func() time.Time           // runs on while the host is suspended
+	Off     bool                       // nothing is detected or quarantined
 	Log     *slog.Logger
 }
 
@@ -83,16 +83,16 @@
 	// found itself don't expire.
 	suspectsUntil time.Time
 	watched       watchedRequests
-	served        []servedRequest                       // not reported yet
-	crashes       []quarantine.Crash                    // seen by this host, not reported yet
-	recentCrashes []quarantine.Crash                    // seen by this host lately, reported or not
-	informed      map[hostInstance]bool                 // aggregators that were sent recentCrashes
-	persisted     map[vetchtrail.Digest]vetchtrail.Hold // entries as the platform has them
+	served        []servedRequest                                       // not reported yet
+	crashes       []quarantine.Crash                                    // seen by this host, not reported yet
+	recentCrashes []quarantine.Crash                                    // seen by this host lately, reported or not
+	informed      map[hostInstance]bool                                 // aggregators that were sent recentCrashes
+	persisted     map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry // entries as the platform has them
 }
 
 // servedRequest is a watched request that an endpoint has served.
 type servedRequest struct {
-	contentHash vetchtrail.Digest
+	contentHash vetchtrail.ContentHash
 	at          time.Time
 }
 
@@ -100,17 +100,17 @@
 func New(c Config) *Quarantines {
 	return &Quarantines{
 		cfg: c, entries: quarantine.NewEntries(), wake: make(chan struct{}, 1), lossTracker: newLossTracker(),
-		history: quarantine.NewCrashHistory(), persisted: map[vetchtrail.Digest]vetchtrail.Hold{},
+		history: quarantine.NewCrashHistory(), persisted: map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry{},
 	}
 }
 
-// Held implements vetchtrail.Quarantine. While nothing is quarantined it costs one atomic load.
+// Quarantined implements vetchtrail.Quarantine. While nothing is quarantined it costs one atomic load.
 // Otherwise it computes the request's content hash, once per request, and looks it up.
-func (q *Quarantines) Held(r *vetchtrail.Request) (vetchtrail.Hold, bool) {
+func (q *Quarantines) Quarantined(r *vetchtrail.Request) (vetchtrail.QuarantineEntry, bool) {
 	if q.cfg.Off || !q.entries.AnyActive() {
-		return vetchtrail.Hold{}, false
+		return vetchtrail.QuarantineEntry{}, false
 	}
-	return q.entries.Lookup(r.Digest(), q.cfg.Clock)
+	return q.entries.Lookup(r.ContentHash(), q.cfg.Clock)
 }
 
 // Answered implements vetchtrail.Quarantine.
@@ -122,14 +122,14 @@
 	}
 	now := q.cfg.Clock()
 	q.watched.removeExpired(now)
-	if hash := r.Digest(); q.watched.remove(hash) {
+	if hash := r.ContentHash(); q.watched.remove(hash) {
 		q.served = append(q.served, servedRequest{contentHash: hash, at: now})
 		q.wakeRun()
 	}
 }
 
 // Holds returns the requests that are quarantined or were lately, and the suspects.
-func (q *Quarantines) Holds() ([]vetchtrail.Hold, []quarantine.Suspect) {
+func (q *Quarantines) Holds() ([]vetchtrail.QuarantineEntry, []quarantine.Suspect) {
 	now := q.cfg.Clock()
 	isAggregator := q.isAggregator()
 	q.mu.Lock()
@@ -142,15 +142,15 @@
 
 // Release ends the quarantine of a request on all hosts. It returns false if the request isn't
 // quarantined.
-func (q *Quarantines) Release(hash vetchtrail.Digest) (vetchtrail.Hold, bool) {
+func (q *Quarantines) Release(hash vetchtrail.ContentHash) (vetchtrail.QuarantineEntry, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.cfg.Clock()
 	entry, ok := q.entries.Release(hash, now)
 	if ok {
-		q.cfg.Log.Info("request released from quarantine", "digest", hash.String(), "strike", entry.Strike)
+		q.cfg.Log.Info("request released from quarantine", "digest", hash.String(), "strike", entry.Count)
 		q.history.RecordServed(hash, now)
-		q.broadcast([]vetchtrail.Hold{entry}, now)
+		q.broadcast([]vetchtrail.QuarantineEntry{entry}, now)
 	}
 	return entry, ok
 }
@@ -176,16 +176,16 @@
 
 // merge merges entries from another host or from the platform, and returns those that changed
 // something. The caller holds the lock.
-func (q *Quarantines) merge(in []vetchtrail.Hold, now time.Time) []vetchtrail.Hold {
-	var changed []vetchtrail.Hold
+func (q *Quarantines) merge(in []vetchtrail.QuarantineEntry, now time.Time) []vetchtrail.QuarantineEntry {
+	var changed []vetchtrail.QuarantineEntry
 	for _, entry := range in {
-		entry.Until = vetchtrail.Earlier(entry.Until, now.Add(quarantine.HoldTime(entry.Strike)))
+		entry.Until = vetchtrail.Earlier(entry.Until, now.Add(quarantine.HoldTime(entry.Count)))
 		if !q.entries.Merge(entry, now) {
 			continue
 		}
 		changed = append(changed, entry)
 		if entry.Released {
-			q.history.RecordServed(entry.Digest, now)
+			q.history.RecordServed(entry.ContentHash, now)
 		}
 	}
 	return changed
@@ -195,8 +195,8 @@
 // or on others. A host that serves one of them reports it, which clears the request. Only the
 // latest are remembered.
 type watchedRequests struct {
-	expiresAt map[vetchtrail.Digest]time.Time // expiry by content hash
-	order     []vetchtrail.Digest
+	expiresAt map[vetchtrail.ContentHash]time.Time // expiry by content hash
+	order     []vetchtrail.ContentHash
 }
 
 const (
@@ -209,9 +209,9 @@
 
 func (w *watchedRequests) empty() bool { return len(w.expiresAt) == 0 }
 
-func (w *watchedRequests) add(hash vetchtrail.Digest, now time.Time) {
+func (w *watchedRequests) add(hash vetchtrail.ContentHash, now time.Time) {
 	if w.expiresAt == nil {
-		w.expiresAt = map[vetchtrail.Digest]time.Time{}
+		w.expiresAt = map[vetchtrail.ContentHash]time.Time{}
 	}
 	if _, known := w.expiresAt[hash]; !known {
 		w.order = append(w.order, hash)
@@ -235,11 +235,11 @@
 	}
 }
 
-func (w *watchedRequests) remove(hash vetchtrail.Digest) bool {
+func (w *watchedRequests) remove(hash vetchtrail.ContentHash) bool {
 	if _, known := w.expiresAt[hash]; !known {
 		return false
 	}
 	delete(w.expiresAt, hash)
-	w.order = slices.DeleteFunc(w.order, func(other vetchtrail.Digest) bool { return other == hash })
+	w.order = slices.DeleteFunc(w.order, func(other vetchtrail.ContentHash) bool { return other == hash })
 	return true
 }
--- a/process/quarantines/quarantines_test.go
+++ b/process/quarantines/quarantines_test.go
@@ -138,7 +138,7 @@
 		f.run(nil, 100*time.Millisecond, 20*time.Second)
 		entries, _ := f.hosts[4].q.Holds()
 		assert.Equal(t, len(entries), 1)
-		assert.Equal(t, entries[0].Digest, poisonRequest().Digest())
+		assert.Equal(t, entries[0].ContentHash, poisonRequest().ContentHash())
 	})
 }
 
@@ -146,16 +146,16 @@
 func TestRelease(t *testing.T) {
 	withFleet(t, "", 4, func(t *testing.T, f *fleet) {
 		f.run(nil, 300*time.Millisecond, 8*time.Second)
-		_, released := f.hosts[5].q.Release(poisonRequest().Digest())
+		_, released := f.hosts[5].q.Release(poisonRequest().ContentHash())
 		assert.Assert(t, released)
-		_, again := f.hosts[5].q.Release(poisonRequest().Digest())
+		_, again := f.hosts[5].q.Release(poisonRequest().ContentHash())
 		assert.Assert(t, !again, "released twice")
 		time.Sleep(3 * syncInterval)
 		for i, h := range f.hosts {
 			_, quarantined := h.request(poisonRequest(), false)
 			assert.Assert(t, !quarantined, "host %d", i)
 		}
-		_, released = f.hosts[0].q.Release(vetchtrail.Digest{1})
+		_, released = f.hosts[0].q.Release(vetchtrail.ContentHash{1})
 		assert.Assert(t, !released, "released, but not quarantined")
 	})
 }
@@ -198,10 +198,10 @@
 func TestPersistsAgain(t *testing.T) {
 	withFleet(t, "", 8, func(t *testing.T, f *fleet) {
 		f.run(nil, 300*time.Millisecond, 8*time.Second)
-		assert.Equal(t, len(f.listing().Holds), 1)
+		assert.Equal(t, len(f.listing().Quarantined), 1)
 		f.locked(func() { f.persisted = quarantine.Kept{} })
 		time.Sleep(2*listingInterval + 2*syncInterval)
-		assert.Equal(t, len(f.listing().Holds), 1)
+		assert.Equal(t, len(f.listing().Quarantined), 1)
 	})
 }
 
@@ -225,9 +225,9 @@
 	withFleet(t, "", 2, func(t *testing.T, f *fleet) {
 		q := f.hosts[0].q
 		e := vetchtrail.Endpoint{Name: "e-0-0"}
-		lost := vetchtrail.Outcome{Kind: vetchtrail.Unknown, Reason: vetchtrail.ReasonLost}
+		lost := vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseLost}
 		for n := range 10 * maxWatched {
-			q.Lost(e, &vetchtrail.Request{Path: fmt.Sprint(n)}, lost, vetchtrail.Timing{Sent: time.Now()})
+			q.ResponseLost(e, &vetchtrail.Request{Path: fmt.Sprint(n)}, lost, vetchtrail.Timing{Sent: time.Now()})
 		}
 		q.lossTracker.mu.Lock()
 		assert.Assert(t, len(q.lossTracker.endpoints["e-0-0"].lost) <= maxLossesPerEndpoint)
@@ -246,17 +246,17 @@
 	b.Run("nothing", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			q.Held(r)
+			q.Quarantined(r)
 		}
 	})
 	now := time.Now()
 	for n := range 1000 {
-		q.entries.Add(harmlessRequest(uint64(n)).Digest(), 3, now)
+		q.entries.Add(harmlessRequest(uint64(n)).ContentHash(), 3, now)
 	}
 	b.Run("1000", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			q.Held(r)
+			q.Quarantined(r)
 		}
 	})
 }
--- a/process/quarantines/report.go
+++ b/process/quarantines/report.go
@@ -107,7 +107,7 @@
 			sleep(ctx, reportRetryDelay)
 		}
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := q.cfg.Peers.Ended(call, h.Peers, withAddedAge(m, q.cfg.Clock().Sub(createdAt)))
+		reply, err := q.cfg.Peers.Ended(call, h.PeerAddr, withAddedAge(m, q.cfg.Clock().Sub(createdAt)))
 		cancel()
 		if err == nil {
 			q.recordSuspects(reply)
@@ -188,12 +188,12 @@
 	if q.history.AwaitingReports(now) {
 		q.detectAt = now.Add(detectionDelay)
 	}
-	var entries []vetchtrail.Hold
+	var entries []vetchtrail.QuarantineEntry
 	for _, s := range q.history.Detect(quarantine.StrategyGreedy, q.entries, now) {
 		entry := q.entries.Add(s.Digest, s.Ends, now)
 		entries = append(entries, entry)
 		countQuarantined()
-		q.cfg.Log.Warn("request held back", "digest", s.Digest.String(), "ends", s.Ends, "strike", entry.Strike, "for", entry.Until.Sub(now))
+		q.cfg.Log.Warn("request held back", "digest", s.Digest.String(), "ends", s.Ends, "strike", entry.Count, "for", entry.Until.Sub(now))
 	}
 	suspects := slices.DeleteFunc(q.history.Suspects(suspectThreshold), func(s quarantine.Suspect) bool {
 		_, quarantined := q.entries.Lookup(s.Digest, q.cfg.Clock)
--- a/process/quarantines/store.go
+++ b/process/quarantines/store.go
@@ -26,8 +26,8 @@
 	Log   *slog.Logger
 }
 
-// Keep implements vetchtrail.HoldKeeper.
-func (s *Store) Keep(ctx context.Context, put []vetchtrail.Hold, drop []vetchtrail.Digest) error {
+// Save implements vetchtrail.HoldKeeper.
+func (s *Store) Save(ctx context.Context, put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) error {
 	var err error
 	for range maxWriteAttempts {
 		var persisted quarantine.Kept
@@ -58,9 +58,9 @@
 	}
 	persisted, err := quarantine.ParseKept(e.Value)
 	if err != nil {
-		s.Log.Error("some persisted quarantine entries can't be read and will be overwritten", "key", storeKey, "index", e.Index, "error", err)
+		s.Log.Error("some persisted quarantine entries can't be read and will be overwritten", "key", storeKey, "index", e.ModifyIndex, "error", err)
 	}
-	return persisted, e.Index, nil
+	return persisted, e.ModifyIndex, nil
 }
 
 // Load merges the entries of the store when a host starts. It retries until the store is read or
--- a/process/quotas/lease.go
+++ b/process/quotas/lease.go
@@ -99,7 +99,7 @@
 func (q *Quotas) requestLeaseFrom(h vetchtrail.Host, r quota.LeaseRequest) (quota.LeaseReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	m, err := q.cfg.Peers.Grant(ctx, h.Peers, &schema.GrantRequest{
+	m, err := q.cfg.Peers.Grant(ctx, h.PeerAddr, &schema.GrantRequest{
 		From: q.cfg.Self.Name, Workspace: r.Workspace, Least: r.MinUnits, Want: r.WantedUnits, Asked: r.DemandedUnits, Spent: r.UnleasedUnits,
 	})
 	if err != nil {
@@ -143,7 +143,7 @@
 // configuration of this host. If that has no limit for the workspace, it leases nothing.
 func (q *Quotas) grantAsOwner(from string, r quota.LeaseRequest, now time.Time) quota.LeaseReply {
 	bound := q.cfg.Bounds().Quota(r.Workspace)
-	if !bound.Bounded() {
+	if !bound.IsLimited() {
 		return quota.LeaseReply{RetryAt: now.Add(ownerRetryDelay)}
 	}
 	heardShare := q.cfg.Hosts.HeardPart(now)
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -140,7 +140,7 @@
 // Take implements vetchtrail.Quotas.
 func (q *Quotas) Take(ctx context.Context, workspace string, cost float64) vetchtrail.QuotaVerdict {
 	bound := q.cfg.Bounds().Quota(workspace)
-	if !bound.Bounded() {
+	if !bound.IsLimited() {
 		return vetchtrail.QuotaVerdict{Granted: true}
 	}
 	l := q.localOf(workspace)
@@ -214,7 +214,7 @@
 	if !retryAt.IsZero() {
 		retryAt = time.Now().Add(retryAt.Sub(now)) // as a time of the system clock, which callers use
 	}
-	return vetchtrail.QuotaVerdict{Granted: ok, RetryAt: retryAt, Left: local, Region: region, Age: age}
+	return vetchtrail.QuotaVerdict{Granted: ok, RetryAt: retryAt, HostLeft: local, RegionLeft: region, ReportAge: age}
 }
 
 // Return implements vetchtrail.Quotas.
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -97,12 +97,12 @@
 	var out []*Quotas
 	for i := range 3 * hostsPerRegion {
 		region := string(rune('a' + i%3))
-		h := vetchtrail.Host{Name: fmt.Sprint(region, i), Region: region, Peers: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i+1))}
+		h := vetchtrail.Host{Name: fmt.Sprint(region, i), Region: region, PeerAddr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i+1))}
 		host := New(Config{
 			Self: h, Bounds: func() Bounds { return configuration }, Hosts: hostView{n, h.Name}, Peers: hostView{n, h.Name}, Way: strategy,
 			Tolerance: quota.Tolerance{Window: 8 * time.Second, Overage: 0.1}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
-		n.hosts, n.byAddr[h.Peers] = append(n.hosts, h), host
+		n.hosts, n.byAddr[h.PeerAddr] = append(n.hosts, h), host
 		out = append(out, host)
 	}
 	return n, out
--- a/process/ratelimits/bench_test.go
+++ b/process/ratelimits/bench_test.go
@@ -26,8 +26,8 @@
 			l, e := singleHost(b, 1, c.rate)
 			b.ReportAllocs()
 			for b.Loop() {
-				p, _, ok := l.Take(context.Background(), e[0])
-				if !ok || !l.Covers(p, e[0]) {
+				p, _, ok := l.Reserve(context.Background(), e[0])
+				if !ok || !l.Allows(p, e[0]) {
 					b.Fatal("no reservation")
 				}
 			}
@@ -39,7 +39,7 @@
 		l, all := singleHost(b, endpoints, 2)
 		configured := meter.Heap()
 		for _, e := range all {
-			l.Take(context.Background(), e)
+			l.Reserve(context.Background(), e)
 		}
 		requested := meter.Heap()
 		for b.Loop() {
@@ -67,7 +67,7 @@
 	l.startedAt = time.Now().Add(-time.Minute)
 	at := time.Now()
 	for _, e := range all {
-		l.Limited(e, vetchtrail.RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: at, Heard: at}, nil)
+		l.RateLimitReported(e, vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at, ReceivedAt: at}, nil)
 	}
 	return l, all
 }
--- a/process/ratelimits/fleet_test.go
+++ b/process/ratelimits/fleet_test.go
@@ -90,7 +90,7 @@
 func (f *fleet) populate(hosts int) {
 	for i := range hosts {
 		f.hosts = append(f.hosts, &host{Host: vetchtrail.Host{
-			Name: fmt.Sprint("h", i), Region: "r", Peers: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1),
+			Name: fmt.Sprint("h", i), Region: "r", PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1),
 		}})
 		f.start(f.hosts[i], time.Now().Add(-time.Minute))
 	}
@@ -119,7 +119,7 @@
 }
 
 // rateLimiter is a strategy to keep a rate limit.
-type rateLimiter = vetchtrail.Permits
+type rateLimiter = vetchtrail.RateLimiter
 
 // table is the table of a host, possibly with a mechanism switched off.
 type table struct {
@@ -131,7 +131,7 @@
 func (t table) HearLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	switch t.disabled {
 	case guardReportOrder:
-		report.Asked, report.Heard = time.Now(), time.Now()
+		report.RequestedAt, report.ReceivedAt = time.Now(), time.Now()
 	case guardInstance:
 		born = time.Time{}
 	}
@@ -169,10 +169,10 @@
 	f.mu.Unlock()
 	var v vetchtrail.View
 	tab.Fill(&v, &vetchtrail.Request{Service: fleetService}, time.Now())
-	if v.Endpoints[0].Away {
+	if v.Endpoints[0].Unavailable {
 		return
 	}
-	p, _, ok := limiter.Take(ctx, e)
+	p, _, ok := limiter.Reserve(ctx, e)
 	if !ok {
 		return
 	}
@@ -180,8 +180,8 @@
 		dial += time.Duration(400) * time.Millisecond
 	}
 	time.Sleep(dial)
-	if !limiter.Covers(p, e) {
-		limiter.Return(p)
+	if !limiter.Allows(p, e) {
+		limiter.Cancel(p)
 		return
 	}
 	sent := time.Now()
@@ -200,14 +200,14 @@
 		h.received[number] = time.Now()
 	}
 	f.mu.Unlock()
-	f.deliverLimit(limits, tab, e, vetchtrail.RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: sent, Heard: time.Now()})
+	f.deliverLimit(limits, tab, e, vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: sent, ReceivedAt: time.Now()})
 }
 
 // deliverLimit delivers a rate limit to a host. It records a violation if the limit is from an
 // earlier instance and the host applies it to a later one.
 func (f *fleet) deliverLimit(limits *RateLimits, tab *load.Table, e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
 	_, born := tab.Limit(fleetName)
-	limits.Limited(e, report, nil)
+	limits.RateLimitReported(e, report, nil)
 	if is, _ := tab.Limit(fleetName); !born.Equal(e.Born) && is == report {
 		f.mu.Lock()
 		f.violation = "a limit of an earlier instance was applied"
--- a/process/ratelimits/network_test.go
+++ b/process/ratelimits/network_test.go
@@ -27,7 +27,7 @@
 func (v hostView) Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
 	v.f.mu.Lock()
 	v.f.sent++
-	at := slices.IndexFunc(v.f.hosts, func(h *host) bool { return h.Peers == addr })
+	at := slices.IndexFunc(v.f.hosts, func(h *host) bool { return h.PeerAddr == addr })
 	to := v.f.hosts[at]
 	lost := !v.f.reaches(v.h, to) || v.f.rnd.Float64() < 0.01
 	transit, limits := v.f.delay(), to.limits
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -82,11 +82,11 @@
 // Run drops the state of idle endpoints until ctx ends.
 func (l *RateLimits) Run(ctx context.Context) { l.rateQuotas.Run(ctx) }
 
-// Limited implements vetchtrail.Observer.
-func (l *RateLimits) Limited(e vetchtrail.Endpoint, report vetchtrail.RateLimit, err error) {
+// RateLimitReported implements vetchtrail.Observer.
+func (l *RateLimits) RateLimitReported(e vetchtrail.Endpoint, report vetchtrail.RateLimit, err error) {
 	if err != nil {
 		countUnreadable()
-		if l.logLimiter.May(e.Name, report.Heard) {
+		if l.logLimiter.May(e.Name, report.ReceivedAt) {
 			l.cfg.Log.Warn("endpoint names a rate that can't be read", "endpoint", e.Name, "error", err)
 		}
 		return
@@ -101,7 +101,7 @@
 	if !ok {
 		return
 	}
-	if was.Named && is.Named && is.Rate < was.Rate {
+	if was.Advertised && is.Advertised && is.Rate < was.Rate {
 		l.rateQuotas.DiscardLease(e.Name)
 	}
 	l.logChange(e, was, is)
@@ -111,11 +111,11 @@
 // always logged, other changes at the rate of logLimiter.
 func (l *RateLimits) logChange(e vetchtrail.Endpoint, was, is vetchtrail.RateLimit) {
 	switch {
-	case was.Named && !is.Named:
+	case was.Advertised && !is.Advertised:
 		l.cfg.Log.Info("endpoint names no rate any more", "endpoint", e.Name, "service", e.Service, "was", was.Rate)
-	case !was.Named && is.Named:
+	case !was.Advertised && is.Advertised:
 		l.cfg.Log.Info("endpoint names a rate", "endpoint", e.Name, "service", e.Service, "rate", is.Rate)
-	case is.Named && is.Rate != was.Rate && l.logLimiter.May(e.Name, is.Heard):
+	case is.Advertised && is.Rate != was.Rate && l.logLimiter.May(e.Name, is.ReceivedAt):
 		l.cfg.Log.Info("endpoint names another rate", "endpoint", e.Name, "service", e.Service, "rate", is.Rate, "was", was.Rate)
 	}
 }
--- a/process/ratelimits/ratelimits_test.go
+++ b/process/ratelimits/ratelimits_test.go
@@ -22,7 +22,7 @@
 // times, in milliseconds. A negative rate means that no limit is advertised.
 func advertised(rate float64, asked, heard int) vetchtrail.RateLimit {
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	return vetchtrail.RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: at(asked), Heard: at(heard)}
+	return vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(asked), ReceivedAt: at(heard)}
 }
 
 // TestLogLines guards against a flood of log lines from an endpoint that changes its limit in
@@ -35,14 +35,14 @@
 	var out bytes.Buffer
 	l := New(Config{Table: table, Log: slog.New(slog.NewJSONHandler(&out, nil))})
 	for i := range 100 {
-		l.Limited(e, advertised(float64(2+i%2), 100*i, 100*i+50), nil)
+		l.RateLimitReported(e, advertised(float64(2+i%2), 100*i, 100*i+50), nil)
 	}
-	l.Limited(e, advertised(-1, 10_000, 10_001), nil)
+	l.RateLimitReported(e, advertised(-1, 10_000, 10_001), nil)
 	earlier := e
 	earlier.Born = start.Add(-time.Hour)
-	l.Limited(earlier, advertised(1, 10_002, 10_003), nil) // of an earlier instance
+	l.RateLimitReported(earlier, advertised(1, 10_002, 10_003), nil) // of an earlier instance
 	for i := range 100 {
-		l.Limited(e, advertised(0, 12_000+i, 12_001+i), vetchtrail.ErrRate)
+		l.RateLimitReported(e, advertised(0, 12_000+i, 12_001+i), vetchtrail.ErrRateLimit)
 	}
 	lines := map[string]int{
 		`"endpoint names a rate"`: 1, `"endpoint names another rate"`: 9, `"endpoint names no rate any more"`: 1,
@@ -87,17 +87,17 @@
 				Log:   slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)),
 			})
 			l.startedAt = startedAt.Add(-time.Minute)
-			l.Limited(e, advertised(40, 0, 1), nil)
-			p, _, ok := l.Take(t.Context(), e)
-			assert.Assert(t, ok && l.Covers(p, e), "%+v", p)
+			l.RateLimitReported(e, advertised(40, 0, 1), nil)
+			p, _, ok := l.Reserve(t.Context(), e)
+			assert.Assert(t, ok && l.Allows(p, e), "%+v", p)
 			suspended = c.suspended
-			l.Limited(e, advertised(c.rate, 2, 3), nil)
+			l.RateLimitReported(e, advertised(c.rate, 2, 3), nil)
 			if c.restarted {
 				e.Born = start.Add(time.Hour)
 				table.Configure([]load.Placed{{Endpoint: e}})
-				l.Limited(e, advertised(40, 3_600_001, 3_600_002), nil)
+				l.RateLimitReported(e, advertised(40, 3_600_001, 3_600_002), nil)
 			}
-			assert.Equal(t, l.Covers(p, e), c.covered)
+			assert.Equal(t, l.Allows(p, e), c.covered)
 		})
 	}
 }
@@ -109,7 +109,7 @@
 	h, e := f.hosts[i], f.endpoint()
 	h.limits.startedAt = time.Now().Add(-age)
 	at := time.Now()
-	h.limits.Limited(e, vetchtrail.RateLimit{Named: true, Rate: rate, Asked: at, Heard: at}, nil)
+	h.limits.RateLimitReported(e, vetchtrail.RateLimit{Advertised: true, Rate: rate, RequestedAt: at, ReceivedAt: at}, nil)
 	return h.limits, e
 }
 
@@ -147,7 +147,7 @@
 				h.changedAt = time.Now() // the other hosts still count as alive
 			}
 			l, e := hostWithRate(t, f, requester, 40, c.age)
-			_, retryAt, ok := l.Take(t.Context(), e)
+			_, retryAt, ok := l.Reserve(t.Context(), e)
 			assert.Equal(t, ok, c.ok)
 			assert.Assert(t, ok || retryAt.After(time.Now()))
 		})
@@ -160,15 +160,15 @@
 	f := newFleet(3, 1, "")
 	l, e := hostWithRate(t, f, 0, 400, time.Minute)
 	for range 20 { // enough to lease in advance
-		_, _, ok := l.Take(t.Context(), e)
+		_, _, ok := l.Reserve(t.Context(), e)
 		assert.Assert(t, ok)
 	}
 	time.Sleep(10 * time.Millisecond)
 	at := time.Now()
-	l.Limited(e, vetchtrail.RateLimit{Named: true, Rate: 0.2, Asked: at, Heard: at}, nil)
+	l.RateLimitReported(e, vetchtrail.RateLimit{Advertised: true, Rate: 0.2, RequestedAt: at, ReceivedAt: at}, nil)
 	granted := 0
 	for range 20 {
-		if _, _, ok := l.Take(t.Context(), e); ok {
+		if _, _, ok := l.Reserve(t.Context(), e); ok {
 			granted++
 		}
 	}
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -46,7 +46,7 @@
 // Quota implements quotas.Bounds.
 func (b rateBounds) Quota(name string) vetchtrail.Quota {
 	limit, _ := b.l.cfg.Table.Limit(name)
-	if !limit.Named {
+	if !limit.Advertised {
 		return vetchtrail.Quota{}
 	}
 	rate := max(limit.Rate, minRate)
@@ -72,8 +72,8 @@
 	return out
 }
 
-// Take implements vetchtrail.Permits.
-func (l *RateLimits) Take(ctx context.Context, e vetchtrail.Endpoint) (p vetchtrail.Permit, retryAt time.Time, ok bool) {
+// Reserve implements vetchtrail.Permits.
+func (l *RateLimits) Reserve(ctx context.Context, e vetchtrail.Endpoint) (p vetchtrail.Reservation, retryAt time.Time, ok bool) {
 	limit, binds := l.limit(e.Name)
 	if !binds {
 		return p, retryAt, true
@@ -82,8 +82,8 @@
 	if v.Granted {
 		l.addReservation(e.Name)
 		countReply("granted")
-		l.cfg.Table.Rationed(e.Name, max(0, v.Region), time.Time{})
-		return vetchtrail.Permit{Endpoint: e.Name, Born: e.Born, Rate: limit.Rate, Until: l.cfg.Clock().Add(reservationTime)}, retryAt, true
+		l.cfg.Table.Rationed(e.Name, max(0, v.RegionLeft), time.Time{})
+		return vetchtrail.Reservation{Endpoint: e.Name, StartedAt: e.Born, Rate: limit.Rate, ValidUntil: l.cfg.Clock().Add(reservationTime)}, retryAt, true
 	}
 	if _, binds := l.limit(e.Name); !binds { // the owner reported that the limit was removed
 		return p, retryAt, true
@@ -92,18 +92,18 @@
 	if earliest := time.Now().Add(minRetryDelay); v.RetryAt.Before(earliest) {
 		v.RetryAt = earliest
 	}
-	l.cfg.Table.Rationed(e.Name, max(0, v.Region), v.RetryAt)
+	l.cfg.Table.Rationed(e.Name, max(0, v.RegionLeft), v.RetryAt)
 	return p, v.RetryAt, false
 }
 
 // limit returns the rate limit that an endpoint advertised, and whether it is enforced.
 func (l *RateLimits) limit(name string) (limit vetchtrail.RateLimit, binds bool) {
 	limit, _ = l.cfg.Table.Limit(name)
-	return limit, limit.Named && !l.cfg.Off
+	return limit, limit.Advertised && !l.cfg.Off
 }
 
-// Return implements vetchtrail.Permits.
-func (l *RateLimits) Return(p vetchtrail.Permit) {
+// Cancel implements vetchtrail.Permits.
+func (l *RateLimits) Cancel(p vetchtrail.Reservation) {
 	if p.Endpoint == "" {
 		return
 	}
@@ -111,16 +111,16 @@
 	l.removeReservation(p.Endpoint)
 }
 
-// Covers implements vetchtrail.Permits. It is called just before the first byte is sent. A
+// Allows implements vetchtrail.Permits. It is called just before the first byte is sent. A
 // request without a valid reservation would exceed the rate. Its target may have been chosen
 // before the endpoint advertised its limit, or its reservation was made under a higher limit
 // or before this host was suspended.
-func (l *RateLimits) Covers(p vetchtrail.Permit, e vetchtrail.Endpoint) bool {
+func (l *RateLimits) Allows(p vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
 	limit, binds := l.limit(e.Name)
 	if !binds {
 		return true
 	}
-	return p.Endpoint == e.Name && p.Born.Equal(e.Born) && p.Rate <= limit.Rate && l.cfg.Clock().Before(p.Until)
+	return p.Endpoint == e.Name && p.StartedAt.Equal(e.Born) && p.Rate <= limit.Rate && l.cfg.Clock().Before(p.ValidUntil)
 }
 
 // leaseTransport sends lease requests to the owner of a rate limit and adds what this host
@@ -155,7 +155,7 @@
 // knownRate returns what this host knows of an endpoint's rate limit, or nil if nothing.
 func (l *RateLimits) knownRate(name string) *schema.EndpointRate {
 	limit, born := l.cfg.Table.Limit(name)
-	if limit.Heard.IsZero() {
+	if limit.ReceivedAt.IsZero() {
 		return nil
 	}
 	return schema.FromRateLimit(name, born, limit, time.Now())
--- a/process/ratelimits/strategies_test.go
+++ b/process/ratelimits/strategies_test.go
@@ -28,18 +28,18 @@
 	at    time.Time
 }
 
-// Take implements vetchtrail.Permits.
-func (p *equalPart) Take(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Permit, time.Time, bool) {
+// Reserve implements vetchtrail.Permits.
+func (p *equalPart) Reserve(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Reservation, time.Time, bool) {
 	limit, _ := p.h.table.Limit(e.Name)
-	if !limit.Named {
-		return vetchtrail.Permit{}, time.Time{}, true
+	if !limit.Advertised {
+		return vetchtrail.Reservation{}, time.Time{}, true
 	}
 	now := time.Now()
 	alive := hostView{p.f, p.h}.RankedIn("r", "use "+e.Name, 1<<16, now)
 	users := min(len(alive), p.users(len(alive), len(p.f.hosts)))
 	index := slices.IndexFunc(alive, func(h vetchtrail.Host) bool { return h.Name == p.h.Name })
 	if index >= users {
-		return vetchtrail.Permit{}, time.Time{}, false
+		return vetchtrail.Reservation{}, time.Time{}, false
 	}
 	rate := max(limit.Rate, minRate) / float64(users)
 	p.mu.Lock()
@@ -47,19 +47,19 @@
 	p.level = min(1+burstSeconds*rate, p.level+rate*now.Sub(p.at).Seconds())
 	p.at = now
 	if p.level < 1 {
-		return vetchtrail.Permit{}, time.Time{}, false
+		return vetchtrail.Reservation{}, time.Time{}, false
 	}
 	p.level--
-	return vetchtrail.Permit{Endpoint: e.Name}, time.Time{}, true
+	return vetchtrail.Reservation{Endpoint: e.Name}, time.Time{}, true
 }
 
-// Return implements vetchtrail.Permits.
-func (p *equalPart) Return(vetchtrail.Permit) {}
+// Cancel implements vetchtrail.Permits.
+func (p *equalPart) Cancel(vetchtrail.Reservation) {}
 
-// Covers implements vetchtrail.Permits.
-func (p *equalPart) Covers(reservation vetchtrail.Permit, e vetchtrail.Endpoint) bool {
+// Allows implements vetchtrail.Permits.
+func (p *equalPart) Allows(reservation vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
 	limit, _ := p.h.table.Limit(e.Name)
-	return !limit.Named || reservation.Endpoint != ""
+	return !limit.Advertised || reservation.Endpoint != ""
 }
 
 // strategies are the strategies to compare, by how many of the live hosts use the endpoint.
--- a/quarantine.go
+++ b/quarantine.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Hold is the quarantine entry of a request. The request with this content hash runs nowhere
+// QuarantineEntry is the quarantine entry of a request. The request with this content hash runs nowhere
 // until the entry ends, as several endpoints crashed while they ran it.
-type Hold struct {
-	Digest Digest
-	// Strike is how many times the request has been quarantined, this time included. Each
+type QuarantineEntry struct {
+	ContentHash ContentHash
+	// Count is how many times the request has been quarantined, this time included. Each
 	// time lasts longer.
-	Strike uint32
-	Ends   int       // number of endpoints that crashed before this entry was made
-	Since  time.Time // by the boot-time clock (process/clock), as is Until
-	Until  time.Time // when the request may run again
+	Count   uint32
+	Crashes int       // number of endpoints that crashed before this entry was made
+	Since   time.Time // by the boot-time clock (process/clock), as is Until
+	Until   time.Time // when the request may run again
 	// Released is set if an operator ended the entry early.
 	Released bool
 }
@@ -22,18 +22,18 @@
 // Quarantine keeps requests that make endpoints crash (poison requests) from running on any
 // host.
 type Quarantine interface {
-	// Held returns whether a request is quarantined, and its entry.
-	Held(r *Request) (Hold, bool)
-	// Lost reports an attempt without a complete response: the endpoint may have crashed.
-	Lost(e Endpoint, r *Request, o Outcome, t Timing)
+	// Quarantined returns whether a request is quarantined, and its entry.
+	Quarantined(r *Request) (QuarantineEntry, bool)
+	// ResponseLost reports an attempt without a complete response: the endpoint may have crashed.
+	ResponseLost(e Endpoint, r *Request, o Outcome, t Timing)
 	// Answered reports a request that an endpoint has answered, so that earlier crashes no
 	// longer count against it.
 	Answered(r *Request)
 }
 
-// HoldKeeper persists quarantine entries, so that they outlast a restart of all hosts.
-type HoldKeeper interface {
-	// Keep stores the entries put, in place of earlier ones of the same requests, and deletes
+// QuarantineStore persists quarantine entries, so that they outlast a restart of all hosts.
+type QuarantineStore interface {
+	// Save stores the entries put, in place of earlier ones of the same requests, and deletes
 	// the entries drop.
-	Keep(ctx context.Context, put []Hold, drop []Digest) error
+	Save(ctx context.Context, put []QuarantineEntry, drop []ContentHash) error
 }
--- a/quota.go
+++ b/quota.go
@@ -14,12 +14,12 @@
 	Plain float64
 }
 
-// Bounded returns whether there is a limit.
-func (q Quota) Bounded() bool { return q.Rate > 0 }
+// IsLimited returns whether there is a limit.
+func (q Quota) IsLimited() bool { return q.Rate > 0 }
 
-// Charge returns the cost of a request in quota units.
-func (q Quota) Charge(r *Request) float64 {
-	switch tokens := r.Tokens + r.MostTokens; {
+// Cost returns the cost of a request in quota units.
+func (q Quota) Cost(r *Request) float64 {
+	switch tokens := r.EstimatedTokens + r.MaxTokens; {
 	case q.Unit == UnitRequests:
 		return 1
 	case tokens > 0:
@@ -52,8 +52,8 @@
 	return 0, false
 }
 
-// Quotas keeps what all hosts together run for a workspace within its quota.
-type Quotas interface {
+// QuotaLimiter keeps what all hosts together run for a workspace within its quota.
+type QuotaLimiter interface {
 	// Take takes the cost of a request that is about to run from the workspace's quota. It
 	// waits at most some milliseconds for other hosts.
 	Take(ctx context.Context, workspace string, cost float64) QuotaVerdict
@@ -63,9 +63,9 @@
 
 // QuotaVerdict is the result of Quotas.Take.
 type QuotaVerdict struct {
-	Granted bool
-	RetryAt time.Time     // when not granted: when the quota allows the request
-	Left    float64       // units left to this host
-	Region  float64       // units left in the region, as last reported
-	Age     time.Duration // age of the oldest report from another region; negative: none
+	Granted    bool
+	RetryAt    time.Time     // when not granted: when the quota allows the request
+	HostLeft   float64       // units left to this host
+	RegionLeft float64       // units left in the region, as last reported
+	ReportAge  time.Duration // age of the oldest report from another region; negative: none
 }
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -12,10 +12,10 @@
 // RateLimit is what an endpoint advertised about its rate limit, which holds for the requests
 // of all hosts together. The endpoint wrote it at an unknown time between Asked and Heard.
 type RateLimit struct {
-	Named bool      // it advertised a rate limit; false: it has none
-	Rate  float64   // in requests per second
-	Asked time.Time // when the request with this response was sent
-	Heard time.Time // when the response head was received; zero: there was no response yet
+	Advertised  bool      // it advertised a rate limit; false: it has none
+	Rate        float64   // in requests per second
+	RequestedAt time.Time // when the request with this response was sent
+	ReceivedAt  time.Time // when the response head was received; zero: there was no response yet
 }
 
 // Update returns the rate limit that counts after a further response. A response that was
@@ -24,11 +24,11 @@
 // in transit must not lift a limit that the endpoint has advertised since.
 func (l RateLimit) Update(next RateLimit) RateLimit {
 	switch {
-	case l.Heard.IsZero():
+	case l.ReceivedAt.IsZero():
 		return next
-	case next.Heard.Before(l.Asked):
+	case next.ReceivedAt.Before(l.RequestedAt):
 		return l
-	case next.Asked.After(l.Heard), next.allowedRate() <= l.allowedRate():
+	case next.RequestedAt.After(l.ReceivedAt), next.allowedRate() <= l.allowedRate():
 		return next
 	}
 	return l
@@ -36,22 +36,22 @@
 
 // allowedRate returns the requests per second that l allows; infinity without a limit.
 func (l RateLimit) allowedRate() float64 {
-	if !l.Named {
+	if !l.Advertised {
 		return math.Inf(1)
 	}
 	return l.Rate
 }
 
-// RateReading is the parsed rate limit from one response head.
-type RateReading struct {
-	Told  bool    // the response is known to be the endpoint's: without a rate, the endpoint has no limit
-	Named bool    // the response advertises a rate limit
-	Rate  float64 // in requests per second
-	Err   error   // the field can't be parsed, and was ignored
+// ParsedRateLimit is the parsed rate limit from one response head.
+type ParsedRateLimit struct {
+	Reported   bool    // the response is known to be the endpoint's: without a rate, the endpoint has no limit
+	Advertised bool    // the response advertises a rate limit
+	Rate       float64 // in requests per second
+	Err        error   // the field can't be parsed, and was ignored
 }
 
-// ErrRate is the error of a rate limit that can't be parsed.
-var ErrRate = errors.New("rate limit is not a number of requests per second, 0 or more")
+// ErrRateLimit is the error of a rate limit that can't be parsed.
+var ErrRateLimit = errors.New("rate limit is not a number of requests per second, 0 or more")
 
 const (
 	// maxRateFieldBytes bounds the length of a field that is parsed. A number has about ten
@@ -62,27 +62,27 @@
 	unlimitedRate = 1e6
 )
 
-// ReadRate parses the field by which an endpoint advertises a rate limit; empty: it has none.
+// ParseRateLimit parses the field by which an endpoint advertises a rate limit; empty: it has none.
 // A field that occurs more than once arrives as a comma-separated list; the lowest rate
 // counts.
-func ReadRate(text string) RateReading {
+func ParseRateLimit(text string) ParsedRateLimit {
 	if text == "" {
-		return RateReading{Told: true}
+		return ParsedRateLimit{Reported: true}
 	}
 	if len(text) > maxRateFieldBytes {
-		return RateReading{Err: errors.Wrapf(ErrRate, "%d bytes", len(text))}
+		return ParsedRateLimit{Err: errors.Wrapf(ErrRateLimit, "%d bytes", len(text))}
 	}
-	out := RateReading{Told: true, Rate: math.Inf(1)}
+	out := ParsedRateLimit{Reported: true, Rate: math.Inf(1)}
 	for part := range strings.SplitSeq(text, ",") {
 		rate, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 		if err != nil || !(rate >= 0) || math.IsInf(rate, 0) {
-			return RateReading{Err: errors.Wrapf(ErrRate, "%q", text)}
+			return ParsedRateLimit{Err: errors.Wrapf(ErrRateLimit, "%q", text)}
 		}
 		out.Rate = min(out.Rate, rate)
 	}
 	if out.Rate >= unlimitedRate {
-		return RateReading{Told: true}
+		return ParsedRateLimit{Reported: true}
 	}
-	out.Named = true
+	out.Advertised = true
 	return out
 }
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReadRate checks which texts are a rate limit. A malformed text that is taken for a
+// TestParseRateLimit checks which texts are a rate limit. A malformed text that is taken for a
 // limit, or for none, would stop or overload an endpoint.
-func TestReadRate(t *testing.T) {
+func TestParseRateLimit(t *testing.T) {
 	cases := map[string]struct {
 		text  string
 		named bool
@@ -36,12 +36,12 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := ReadRate(c.text)
+			got := ParseRateLimit(c.text)
 			assert.Equal(t, got.Err != nil, c.bad, "%v", got)
-			assert.Equal(t, got.Told, !c.bad)
-			assert.Equal(t, got.Named, c.named)
+			assert.Equal(t, got.Reported, !c.bad)
+			assert.Equal(t, got.Advertised, c.named)
 			assert.Equal(t, got.Rate, c.rate)
-			assert.Assert(t, !c.bad || errors.Is(got.Err, ErrRate))
+			assert.Assert(t, !c.bad || errors.Is(got.Err, ErrRateLimit))
 		})
 	}
 }
@@ -53,14 +53,14 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		got := ReadRate(text)
-		if got.Told == (got.Err != nil) {
-			t.Fatalf("%q: told is %t with error %v", text, got.Told, got.Err)
+		got := ParseRateLimit(text)
+		if got.Reported == (got.Err != nil) {
+			t.Fatalf("%q: told is %t with error %v", text, got.Reported, got.Err)
 		}
-		if got.Named && (!got.Told || !(got.Rate >= 0) || math.IsInf(got.Rate, 0) || got.Rate >= unlimitedRate) {
+		if got.Advertised && (!got.Reported || !(got.Rate >= 0) || math.IsInf(got.Rate, 0) || got.Rate >= unlimitedRate) {
 			t.Fatalf("%q: invalid rate limit %g", text, got.Rate)
 		}
-		if !got.Named && got.Rate != 0 {
+		if !got.Advertised && got.Rate != 0 {
 			t.Fatalf("%q: rate %g without a rate limit", text, got.Rate)
 		}
 	})
@@ -72,7 +72,7 @@
 func TestRateLimitUpdate(t *testing.T) {
 	at := func(second int) time.Time { return time.Unix(1_800_000_000+int64(second), 0) }
 	limit := func(rate float64, asked, heard int) RateLimit {
-		return RateLimit{Named: rate >= 0, Rate: max(rate, 0), Asked: at(asked), Heard: at(heard)}
+		return RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(asked), ReceivedAt: at(heard)}
 	}
 	const none = -1
 	cases := map[string]struct {
--- a/record.go
+++ b/record.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Record is an entry of the journal. It describes one decision on a request; with Ended set,
+// JournalRecord is an entry of the journal. It describes one decision on a request; with Ended set,
 // the outcome of a request; with Lost set, an attempt whose outcome is unknown.
-type Record struct {
-	At        time.Time
-	Request   string // id
-	Service   string
-	Route     string
-	Prompt    int // tokens of the prompt
-	Workspace string
-	Home      string // region
-	Decision  Decision
-	Attempt   int // counted from 1
-	Hops      int
-	Goal      time.Time // latency objective; zero: none
-	Deadline  time.Time
-	Fresh     bool    // see Request.Fresh
-	Charge    float64 // cost in units of the workspace's quota; 0: none
-	Quota     QuotaVerdict
-	Revision  uint64
-	Ended     bool // the record is the outcome of the request
-	Lost      bool // the record is an attempt whose outcome is unknown
-	Digest    Digest
-	Outcome   Outcome
-	Took      time.Duration
+type JournalRecord struct {
+	At             time.Time
+	Request        string // id
+	Service        string
+	Route          string
+	PromptTokens   int // tokens of the prompt
+	Workspace      string
+	Home           string // region
+	Decision       Decision
+	Attempt        int // counted from 1
+	Hops           int
+	Goal           time.Time // latency objective; zero: none
+	Deadline       time.Time
+	CallerCanRetry bool    // see Request.Fresh
+	Cost           float64 // cost in units of the workspace's quota; 0: none
+	Quota          QuotaVerdict
+	Revision       uint64
+	Ended          bool // the record is the outcome of the request
+	Lost           bool // the record is an attempt whose outcome is unknown
+	ContentHash    ContentHash
+	Outcome        Outcome
+	Took           time.Duration
 }
 
 // Recorder stores records. Note doesn't block.
 type Recorder interface {
-	Note(r Record)
+	Note(r JournalRecord)
 }
--- a/request.go
+++ b/request.go
@@ -17,68 +17,68 @@
 	// Credential is the hash of the caller's key, on the host that received the request from
 	// the caller; zero: the caller sent none. It is not forwarded: other hosts rely on that
 	// host for the workspace.
-	Credential KeyHash
-	Home       RegionID  // region of the workspace, or else Entry
-	Entry      RegionID  // region where the request was received from the caller
-	Allowed    RegionSet // regions that may process it, by all hosts that have checked it
-	Priority   int8      // higher is more urgent
-	Deadline   time.Time // no work on the request is started after it
-	Hops       int       // number of times it was forwarded from host to host
-	Revision   uint64    // newest configuration that a host has checked it against
+	Credential     KeyHash
+	HomeRegion     RegionID  // region of the workspace, or else Entry
+	EntryRegion    RegionID  // region where the request was received from the caller
+	AllowedRegions RegionSet // regions that may process it, by all hosts that have checked it
+	Priority       int8      // higher is more urgent
+	Deadline       time.Time // no work on the request is started after it
+	Hops           int       // number of times it was forwarded from host to host
+	Revision       uint64    // newest configuration that a host has checked it against
 
-	Method  string
-	Path    string // with the query
-	Header  []HeaderField
-	Body    []byte
-	Stream  bool   // the response is a stream of events
-	Tokens  int    // estimated or stated tokens of the prompt
-	Key     string // at-most-once key; empty: none
-	Repeats bool   // it may run more than once without harm
-	Resume  StreamPosition
+	Method          string
+	Path            string // with the query
+	Header          []HeaderField
+	Body            []byte
+	Stream          bool   // the response is a stream of events
+	EstimatedTokens int    // estimated or stated tokens of the prompt
+	IdempotencyKey  string // at-most-once key; empty: none
+	Repeatable      bool   // it may run more than once without harm
+	ResumeAt        StreamPosition
 
-	// Charge is the cost of one attempt in units of the workspace's quota, if it has one, and
+	// Cost is the cost of one attempt in units of the workspace's quota, if it has one, and
 	// Quota the newest result of taking it.
-	Charge float64
-	Quota  QuotaVerdict
-	// Permit is the reservation at the endpoint that it will be sent to next.
-	Permit Permit
+	Cost  float64
+	Quota QuotaVerdict
+	// Reservation is the reservation at the endpoint that it will be sent to next.
+	Reservation Reservation
 
 	// The remaining fields are set for requests that belong to a route.
-	Route        string
-	Attempts     int          // maximum number of endpoints that it may be sent to
-	Goal         time.Time    // latency objective
-	Prompt       []PromptPart // in the order of the prompt
-	AnswerTokens int          // the caller's estimate of the tokens in the response; 0: none
-	MostTokens   int          // maximum tokens of the response; 0: not stated
-	Resumable    bool         // its stream may be resumed at another endpoint
-	LastEvent    string       // id of the last event that the caller received
-	Fresh        bool         // the caller still has most of its time, so it can retry after a refusal
-	Begun        bool         // part of a response was sent to the caller: only the rest of that stream may follow
-	// PromptFrom is the address from which the endpoint that runs it may transfer the cached
+	Route           string
+	MaxAttempts     int          // maximum number of endpoints that it may be sent to
+	Goal            time.Time    // latency objective
+	Prompt          []PromptPart // in the order of the prompt
+	ExpectedTokens  int          // the caller's estimate of the tokens in the response; 0: none
+	MaxTokens       int          // maximum tokens of the response; 0: not stated
+	Resumable       bool         // its stream may be resumed at another endpoint
+	LastEventID     string       // id of the last event that the caller received
+	CallerCanRetry  bool         // the caller still has most of its time, so it can retry after a refusal
+	ResponseStarted bool         // part of a response was sent to the caller: only the rest of that stream may follow
+	// TransferFrom is the address from which the endpoint that runs it may transfer the cached
 	// parts of its prompt; not valid: none.
-	PromptFrom netip.AddrPort
-	// BeginBy is when the caller stops waiting for the first event of a stream; zero: not
+	TransferFrom netip.AddrPort
+	// FirstEventBy is when the caller stops waiting for the first event of a stream; zero: not
 	// known.
-	BeginBy time.Time
-	// Patience is until when it may wait for capacity here; zero: until its deadline. A caller
+	FirstEventBy time.Time
+	// QueueUntil is until when it may wait for capacity here; zero: until its deadline. A caller
 	// that is refused some time before its deadline can still be served elsewhere.
-	Patience time.Time
+	QueueUntil time.Time
 
-	contentHash Digest // see Digest; zero: not computed yet
+	contentHash ContentHash // see Digest; zero: not computed yet
 }
 
-// WaitUntil returns until when the request may wait for capacity.
-func (r *Request) WaitUntil() time.Time {
-	if r.Patience.IsZero() || r.Deadline.Before(r.Patience) {
+// QueueDeadline returns until when the request may wait for capacity.
+func (r *Request) QueueDeadline() time.Time {
+	if r.QueueUntil.IsZero() || r.Deadline.Before(r.QueueUntil) {
 		return r.Deadline
 	}
-	return r.Patience
+	return r.QueueUntil
 }
 
 // PromptTokens returns the number of tokens in the prompt.
 func (r *Request) PromptTokens() int {
 	if len(r.Prompt) == 0 {
-		return r.Tokens
+		return r.EstimatedTokens
 	}
 	sum := 0
 	for _, p := range r.Prompt {
--- a/request/dispatch/availability_test.go
+++ b/request/dispatch/availability_test.go
@@ -14,7 +14,7 @@
 // announceLeaving has an endpoint announce that it is leaving.
 func announceLeaving(d *Dispatcher, name string) {
 	now := time.Now()
-	d.cfg.Table.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Notice{Leaving: true, Asked: now, Heard: now})
+	d.cfg.Table.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 }
 
 // TestLeavingEndpointBeforeSend checks that a request is not sent to an endpoint that announced after the
@@ -22,10 +22,10 @@
 func TestLeavingEndpointBeforeSend(t *testing.T) {
 	targets := &scriptedTargets{}
 	d := newDispatcher(t, targets, 2)
-	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Deadline: time.Now().Add(time.Second)}
-	leaveBeforeSend := func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Deadline: time.Now().Add(time.Second)}
+	leaveBeforeSend := func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		name := targets.called[len(targets.called)-1]
-		e, _ := d.cfg.Table.Known(name)
+		e, _ := d.cfg.Table.Find(name)
 		assert.Equal(t, d.Guard(e, r), vetchtrail.Reason(""))
 		announceLeaving(d, name)
 		reason := d.Guard(e, r)
@@ -35,7 +35,7 @@
 	targets.replies = []reply{leaveBeforeSend, answerWith("ok")}
 	var g recordedAnswer
 	o := d.Run(context.Background(), r, &g)
-	assert.Equal(t, o.Kind, vetchtrail.Answered, "%v", o)
+	assert.Equal(t, o.Kind, vetchtrail.OutcomeAnswered, "%v", o)
 	assert.Equal(t, len(targets.called), 2)
 	assert.Assert(t, targets.called[0] != targets.called[1])
 }
@@ -47,21 +47,21 @@
 		hops   int // a forwarded request is not forwarded again
 		kind   vetchtrail.OutcomeKind
 		called int
-	}{"another region": {0, vetchtrail.Answered, 1}, "no other region": {1, vetchtrail.NotRun, 0}}
+	}{"another region": {0, vetchtrail.OutcomeAnswered, 1}, "no other region": {1, vetchtrail.OutcomeNotRun, 0}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			targets := &scriptedTargets{replies: []reply{answerWith("ok")}}
 			d := newDispatcher(t, targets, 2)
 			announceLeaving(d, "1")
 			announceLeaving(d, "2")
-			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Hops: c.hops, Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second)}
+			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second)}
 			started := time.Now()
 			var g recordedAnswer
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, len(targets.called), c.called)
 			assert.Assert(t, time.Since(started) < 5*time.Second, "the refusal came only after a wait")
-			if c.kind == vetchtrail.NotRun {
+			if c.kind == vetchtrail.OutcomeNotRun {
 				assert.Equal(t, o.Status, 503)
 				assert.Assert(t, o.RetryAt.After(started), "no time to retry")
 			}
@@ -72,14 +72,14 @@
 // announcePause has an endpoint announce that it accepts nothing from this host for a time.
 func announcePause(d *Dispatcher, name string, pause time.Duration) {
 	now := time.Now()
-	d.cfg.Table.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Notice{Until: now.Add(pause), Asked: now, Heard: now})
+	d.cfg.Table.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{PausedUntil: now.Add(pause), RequestedAt: now, ReceivedAt: now})
 }
 
 // refuseWithPause has the endpoint refuse a request and announce a pause.
 func refuseWithPause(d *Dispatcher, targets *scriptedTargets, pause time.Duration) reply {
-	return func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	return func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		announcePause(d, targets.called[len(targets.called)-1], pause)
-		o := refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)(r, a)
+		o := refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)(r, a)
 		o.RetryAt = time.Now().Add(pause)
 		return o
 	}
@@ -104,10 +104,10 @@
 			targets := &scriptedTargets{}
 			d := newDispatcher(t, targets, 2)
 			targets.replies = []reply{refuseWithPause(d, targets, time.Minute)}
-			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Hops: c.hops, Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(2 * time.Second)}
+			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(2 * time.Second)}
 			// The other endpoint pauses as soon as the first one is called, so that it is not tried.
 			refuse := targets.replies[0]
-			targets.replies[0] = func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+			targets.replies[0] = func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 				other := map[string]string{"1": "2", "2": "1"}[targets.called[0]]
 				if c.other > 0 {
 					announcePause(d, other, c.other)
@@ -117,7 +117,7 @@
 			var g recordedAnswer
 			started := time.Now()
 			o := d.Run(context.Background(), r, &g)
-			assert.Equal(t, o.Kind, vetchtrail.NotRun, "%v", o)
+			assert.Equal(t, o.Kind, vetchtrail.OutcomeNotRun, "%v", o)
 			retryAfter := o.RetryAt.Sub(started)
 			assert.Assert(t, retryAfter >= c.earliest && retryAfter <= c.latest, "%s", retryAfter)
 		})
@@ -130,7 +130,7 @@
 	cases := map[string]struct {
 		pause time.Duration
 		kind  vetchtrail.OutcomeKind
-	}{"longer than the deadline": {time.Minute, vetchtrail.NotRun}, "shorter than the deadline": {200 * time.Millisecond, vetchtrail.Answered}}
+	}{"longer than the deadline": {time.Minute, vetchtrail.OutcomeNotRun}, "shorter than the deadline": {200 * time.Millisecond, vetchtrail.OutcomeAnswered}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			targets := &scriptedTargets{replies: []reply{answerWith("ok")}}
@@ -138,12 +138,12 @@
 			enableQueue(t, d)
 			announcePause(d, "1", c.pause)
 			announcePause(d, "2", c.pause+time.Second)
-			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Hops: 1, Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
+			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: 1, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
 			started := time.Now()
 			var g recordedAnswer
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
-			if c.kind == vetchtrail.Answered {
+			if c.kind == vetchtrail.OutcomeAnswered {
 				assert.Assert(t, time.Since(started) >= c.pause-time.Millisecond, "the request ran before the pause was over")
 				return
 			}
@@ -159,9 +159,9 @@
 func TestPausedEndpointBeforeSend(t *testing.T) {
 	d, _ := newRateLimitedDispatcher(t, &scriptedTargets{}, 1)
 	r := &vetchtrail.Request{
-		ID: "x", Service: "s", Route: "r", Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second), Permit: vetchtrail.Permit{Endpoint: "1"},
+		ID: "x", Service: "s", Route: "r", AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second), Reservation: vetchtrail.Reservation{Endpoint: "1"},
 	}
-	e, _ := d.cfg.Table.Known("1")
+	e, _ := d.cfg.Table.Find("1")
 	assert.Equal(t, d.Guard(e, r), vetchtrail.Reason(""))
 	announcePause(d, "1", time.Minute)
 	assert.Equal(t, d.Guard(e, r), vetchtrail.ReasonPaused)
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -53,17 +53,17 @@
 	Self       vetchtrail.Host           // this host
 	Policy     vetchtrail.Policy         // decides where a request runs
 	Rules      func() *rules.Rules       // returns the newest configuration on this host
-	Table      vetchtrail.Endpoints      // load and availability of this data centre's endpoints
-	Membership vetchtrail.Hosts          // other hosts and data centres
+	Table      vetchtrail.EndpointTable  // load and availability of this data centre's endpoints
+	Membership vetchtrail.HostTable      // other hosts and data centres
 	Endpoints  vetchtrail.EndpointCaller // sends requests to endpoints
 	Peers      vetchtrail.Forwarder      // forwards requests to other hosts
 	Keeper     *once.Keeper              // idempotency keys that this process issued
 	Journal    vetchtrail.Recorder       // records decisions and outcomes
 	Seed       uint64                    // of the policy's random numbers
 	Budget     budget.Config             // retry budget of each service
-	Quotas     vetchtrail.Quotas         // nil: workspaces have no quotas
+	Quotas     vetchtrail.QuotaLimiter   // nil: workspaces have no quotas
 	Quarantine vetchtrail.Quarantine     // nil: no request is quarantined
-	Permits    vetchtrail.Permits        // nil: advertised rate limits are not enforced
+	Permits    vetchtrail.RateLimiter    // nil: advertised rate limits are not enforced
 	Off        vetchtrail.Mechanisms     // mechanisms that are switched off
 }
 
@@ -94,12 +94,12 @@
 // Run processes a request to its final outcome, writes what it receives of an
 // answer to a, and records and counts the outcome. The outcome is unknown if the
 // request may have run, its answer was lost, and it may not be retried.
-func (d *Dispatcher) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
 	started := time.Now()
 	o := d.run(ctx, r, a)
-	d.cfg.Journal.Note(vetchtrail.Record{
+	d.cfg.Journal.Note(vetchtrail.JournalRecord{
 		At: started, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, Hops: r.Hops,
 		Ended: true, Outcome: o, Took: time.Since(started),
 	})
@@ -111,13 +111,13 @@
 // caller showed no valid key for a workspace.
 func (d *Dispatcher) Rejected(r *vetchtrail.Request, o vetchtrail.Outcome) {
 	o.Peer = d.cfg.Self.Name
-	d.cfg.Journal.Note(vetchtrail.Record{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
+	d.cfg.Journal.Note(vetchtrail.JournalRecord{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
 	countRequest(r, o, 0)
 }
 
 // run checks a request and passes it to the function for its type: a request that
 // resumes a stream, a request with an idempotency key, or any other.
-func (d *Dispatcher) run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if r.Hops > 0 && r.Route != "" && d.cfg.Membership.Self().State == vetchtrail.HostLeaving {
 		// The answer's stream could outlast this host. The sender may not know
 		// yet that this host is leaving.
@@ -126,10 +126,10 @@
 	if o, ok := d.applyRules(r); !ok {
 		return d.keyedRefusal(r, o)
 	}
-	if r.Resume.Endpoint != "" {
+	if r.ResumeAt.Endpoint != "" {
 		return d.resumeStream(ctx, r, a)
 	}
-	if r.Key != "" {
+	if r.IdempotencyKey != "" {
 		return d.runKeyed(ctx, r, a)
 	}
 	return d.runWithRetries(ctx, r, a)
@@ -153,13 +153,13 @@
 	if entry, quarantined := d.quarantined(r); quarantined {
 		return d.quarantineRefusal(entry), false
 	}
-	r.Home, r.Priority = j.Home, j.Priority
+	r.HomeRegion, r.Priority = j.Home, j.Priority
 	if r.Hops == 0 {
-		r.Allowed = j.Allowed
+		r.AllowedRegions = j.Allowed
 	}
-	r.Allowed &= j.Allowed
+	r.AllowedRegions &= j.Allowed
 	r.Revision = max(r.Revision, newest.Revision())
-	if r.Allowed == 0 {
+	if r.AllowedRegions == 0 {
 		return d.refusal(vetchtrail.StepResidency, vetchtrail.ReasonResidency, time.Time{}), false
 	}
 	return vetchtrail.Outcome{}, true
@@ -170,11 +170,11 @@
 // service. The reason is set if the request may not run at all.
 func evaluateRules(newest *rules.Rules, r *vetchtrail.Request) (rules.Judgement, vetchtrail.Reason) {
 	if r.Route != "" {
-		return newest.JudgeRoute(r.Route, r.Service, r.Workspace, r.Entry)
+		return newest.JudgeRoute(r.Route, r.Service, r.Workspace, r.EntryRegion)
 	}
-	j, ok := newest.Judge(r.Service, r.Workspace, r.Entry)
+	j, ok := newest.Judge(r.Service, r.Workspace, r.EntryRegion)
 	if !ok {
-		return j, vetchtrail.ReasonNoService
+		return j, vetchtrail.ReasonUnknownService
 	}
 	return j, ""
 }
@@ -191,19 +191,19 @@
 	newest := d.cfg.Rules()
 	j, reason := evaluateRules(newest, r)
 	region, known := newest.Region(e.Region)
-	if reason != "" || !known || !(j.Allowed & r.Allowed).Has(region.ID) {
+	if reason != "" || !known || !(j.Allowed & r.AllowedRegions).Has(region.ID) {
 		return vetchtrail.ReasonResidency
 	}
 	if _, quarantined := d.quarantined(r); quarantined {
-		return vetchtrail.ReasonHeldBack
+		return vetchtrail.ReasonQuarantined
 	}
 	// A stream can be resumed only at the endpoint that has it, so draining does
 	// not prevent that.
-	if reason, _ := d.cfg.Table.Bars(e.Name, now); reason != "" && (reason != vetchtrail.ReasonDraining || r.Resume.Endpoint == "") {
+	if reason, _ := d.cfg.Table.Blocked(e.Name, now); reason != "" && (reason != vetchtrail.ReasonDraining || r.ResumeAt.Endpoint == "") {
 		return reason
 	}
-	if d.cfg.Permits != nil && !d.cfg.Permits.Covers(r.Permit, e) {
-		return vetchtrail.ReasonLimited
+	if d.cfg.Permits != nil && !d.cfg.Permits.Allows(r.Reservation, e) {
+		return vetchtrail.ReasonRateLimited
 	}
 	return ""
 }
@@ -223,7 +223,7 @@
 // outcome of the request stays unknown.
 func (h *attemptHistory) overallOutcome(o vetchtrail.Outcome) vetchtrail.Outcome {
 	// Unknown is the zero kind; without a step there was no earlier attempt.
-	if o.Kind != vetchtrail.NotRun || h.last.Kind != vetchtrail.Unknown || h.last.Step == "" {
+	if o.Kind != vetchtrail.OutcomeNotRun || h.last.Kind != vetchtrail.OutcomeUnknown || h.last.Step == "" {
 		return o
 	}
 	earlier := h.last
@@ -233,7 +233,7 @@
 
 // runWithRetries attempts a request until it is answered or may not be retried.
 // It retries only requests that certainly did not run or that may run twice.
-func (d *Dispatcher) runWithRetries(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) runWithRetries(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	var history attemptHistory
 	if r.Stream && r.Resumable {
 		a = &eventTracker{next: a, req: r}
@@ -257,9 +257,9 @@
 		// part of its time is spent, and a stream that has begun continues even if
 		// it is late. A request that a remote data centre had no capacity for stays
 		// fresh, so that it can still be refused with a retry time.
-		r.Fresh = r.Fresh && o.Kind == vetchtrail.NotRun && !reached(o)
-		o.Begun = o.Begun || r.Begun
-		if o.Kind == vetchtrail.Answered {
+		r.CallerCanRetry = r.CallerCanRetry && o.Kind == vetchtrail.OutcomeNotRun && !reached(o)
+		o.ResponseStarted = o.ResponseStarted || r.ResponseStarted
+		if o.Kind == vetchtrail.OutcomeAnswered {
 			return o
 		}
 		history.add(p, o)
@@ -280,7 +280,7 @@
 // policy decides once more, without the request's history.
 func (d *Dispatcher) withRetryTime(r *vetchtrail.Request, p placement, o vetchtrail.Outcome) vetchtrail.Outcome {
 	now := time.Now()
-	if reason, _ := d.cfg.Table.Bars(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.NotRun || reason != vetchtrail.ReasonPaused {
+	if reason, _ := d.cfg.Table.Blocked(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.OutcomeNotRun || reason != vetchtrail.ReasonPaused {
 		return o
 	}
 	o.RetryAt = now.Add(minRetryAfter)
@@ -300,7 +300,7 @@
 	}
 	// With ReasonMisled another process, which now has the endpoint's address,
 	// received the request.
-	if reached(o) && o.Reason != vetchtrail.ReasonMisled {
+	if reached(o) && o.Reason != vetchtrail.ReasonOtherProcess {
 		h.reachedTarget++
 	}
 	// A leaving host does not exclude its data centre: another host there may
@@ -308,28 +308,28 @@
 	if o.Reason != vetchtrail.ReasonLeaving {
 		h.excluded = append(h.excluded, p.name())
 	}
-	h.refusedHere = h.refusedHere || (o.Reason == vetchtrail.ReasonRefused && p.dataCentre == "")
+	h.refusedHere = h.refusedHere || (o.Reason == vetchtrail.ReasonEndpointRefused && p.dataCentre == "")
 }
 
 // reached reports whether an attempt reached, or may have reached, any process.
 // An attempt that did not run reached a process if it failed at StepAnswer: it
 // was refused in a response.
 func reached(o vetchtrail.Outcome) bool {
-	return o.Kind != vetchtrail.NotRun || o.Step == vetchtrail.StepAnswer
+	return o.Kind != vetchtrail.OutcomeNotRun || o.Step == vetchtrail.StepResponse
 }
 
 // replayFailure writes the deferred failure response of an endpoint to the
 // caller, now that no further attempt can give a better one. It does nothing if
 // there is none or if part of an answer was written already.
-func (d *Dispatcher) replayFailure(o vetchtrail.Outcome, a vetchtrail.Answer) vetchtrail.Outcome {
-	if o.Failure == nil || o.Begun {
+func (d *Dispatcher) replayFailure(o vetchtrail.Outcome, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	if o.DeferredFailure == nil || o.ResponseStarted {
 		return o
 	}
-	if err := o.Failure.Replay(a); err != nil {
+	if err := o.DeferredFailure.Replay(a); err != nil {
 		o.Err = err
 		return o
 	}
-	o.Kind, o.Status, o.Begun = vetchtrail.Answered, o.Failure.Status, true
+	o.Kind, o.Status, o.ResponseStarted = vetchtrail.OutcomeAnswered, o.DeferredFailure.Status, true
 	return o
 }
 
@@ -342,16 +342,16 @@
 		return false
 	case history.reachedTarget >= attemptLimit(r):
 		return false
-	case o.Begun && !r.Resumable:
+	case o.ResponseStarted && !r.Resumable:
 		return false
 	case !time.Now().Before(r.Deadline):
 		return false
-	case o.Kind == vetchtrail.Unknown && !r.Repeats:
+	case o.Kind == vetchtrail.OutcomeUnknown && !r.Repeatable:
 		return false
 	case history.reached == 0:
 		return true // no process received it, so a retry adds no load
 	}
-	ok := !d.cfg.Off.Has(vetchtrail.Retries) && d.budget(r.Service).Take(time.Now())
+	ok := !d.cfg.Off.Has(vetchtrail.MechanismRetries) && d.budget(r.Service).Take(time.Now())
 	countRetry(r.Service, ok)
 	return ok
 }
@@ -361,7 +361,7 @@
 	if r.Route == "" {
 		return defaultAttemptLimit
 	}
-	return r.Attempts
+	return r.MaxAttempts
 }
 
 // placement is the target of one attempt: an endpoint of this data centre, where
@@ -383,18 +383,18 @@
 
 // runAttempt sends a request to its target. It reports the outcome to the
 // membership, or to the load table and the quarantine if the target is an endpoint.
-func (d *Dispatcher) runAttempt(ctx context.Context, r *vetchtrail.Request, p placement, attempt int, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) runAttempt(ctx context.Context, r *vetchtrail.Request, p placement, attempt int, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if p.dataCentre != "" {
 		o := d.cfg.Peers.Forward(ctx, p.host, r, a)
-		d.cfg.Membership.Returned(p.dataCentre, r.Service, o, time.Now())
+		d.cfg.Membership.ForwardEnded(p.dataCentre, r.Service, o, time.Now())
 		return mapRemoteRefusal(o)
 	}
 	o, timing := d.cfg.Endpoints.Call(ctx, p.endpoint, r, a)
-	o.First = timing.First
+	o.FirstByte = timing.FirstByte
 	d.returnReservation(r, o)
 	d.cfg.Table.Release(p.endpoint.Name, vetchtrail.Observation{
-		Request: r.ID, Born: p.endpoint.Born, Route: r.Route, Outcome: o, Timing: timing, Tokens: r.PromptTokens(), Cancel: ctx.Err() != nil,
-		Predicted: p.predictedTTFT,
+		Request: r.ID, StartedAt: p.endpoint.Born, Route: r.Route, Outcome: o, Timing: timing, PromptTokens: r.PromptTokens(), Cancelled: ctx.Err() != nil,
+		PredictedFirstByte: p.predictedTTFT,
 	}, time.Now())
 	d.reportAttempt(ctx, p.endpoint, r, o, timing, attempt)
 	return o
@@ -404,7 +404,7 @@
 // into 503 with a retry time. This host's configuration allows the request, so
 // the other host has a different configuration and the caller did nothing wrong.
 func mapRemoteRefusal(o vetchtrail.Outcome) vetchtrail.Outcome {
-	if o.Kind == vetchtrail.NotRun && (o.Status == statusNotFound || o.Status == statusForbidden || o.Status == statusUnauthorized) {
+	if o.Kind == vetchtrail.OutcomeNotRun && (o.Status == statusNotFound || o.Status == statusForbidden || o.Status == statusUnauthorized) {
 		o.Status, o.RetryAt = statusUnavailable, time.Now().Add(minRetryAfter)
 	}
 	return o
@@ -413,19 +413,19 @@
 // refusal returns the outcome of a request that this host refused without
 // running it.
 func (d *Dispatcher) refusal(step vetchtrail.Step, reason vetchtrail.Reason, retryAt time.Time) vetchtrail.Outcome {
-	o := vetchtrail.Outcome{Kind: vetchtrail.NotRun, Step: step, Reason: reason, Peer: d.cfg.Self.Name, RetryAt: retryAt}
+	o := vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Step: step, Reason: reason, Peer: d.cfg.Self.Name, RetryAt: retryAt}
 	switch reason {
-	case vetchtrail.ReasonNoService, vetchtrail.ReasonNoRoute:
+	case vetchtrail.ReasonUnknownService, vetchtrail.ReasonNoRoute:
 		o.Status = statusNotFound
 	case vetchtrail.ReasonResidency:
 		o.Status = statusForbidden
-	case vetchtrail.ReasonUnknownKey, vetchtrail.ReasonNoWorkspace:
+	case vetchtrail.ReasonUnknownKey, vetchtrail.ReasonUnknownWorkspace:
 		o.Status = statusUnauthorized
-	case vetchtrail.ReasonNoHome:
+	case vetchtrail.ReasonNoCommonHome:
 		// The configuration contradicts itself: no region may run a legitimate
 		// request until the operators correct it.
 		o.Status = statusUnavailable
-	case vetchtrail.ReasonQuota:
+	case vetchtrail.ReasonOverQuota:
 		o.Status = statusTooMany
 	case vetchtrail.ReasonDeadline:
 		o.Status = statusUnavailable // 504 would leave open whether the request ran
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -24,7 +24,7 @@
 )
 
 // reply is what a target does with one attempt.
-type reply func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome
+type reply func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
 
 // scriptedTargets stands in for all endpoints and remote hosts. It gives each attempt the
 // next of its replies, wherever the attempt goes.
@@ -35,11 +35,11 @@
 	resumedAfter []string // ID of the last event that each attempt was to continue after
 }
 
-func (s *scriptedTargets) next(name string, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (s *scriptedTargets) next(name string, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.called = append(s.called, name)
-	s.resumedAfter = append(s.resumedAfter, r.LastEvent)
+	s.resumedAfter = append(s.resumedAfter, r.LastEventID)
 	respond := s.replies[0]
 	s.replies = s.replies[1:]
 	o := respond(r, a)
@@ -47,11 +47,11 @@
 	return o
 }
 
-func (s *scriptedTargets) Call(_ context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.Answer) (vetchtrail.Outcome, vetchtrail.Timing) {
+func (s *scriptedTargets) Call(_ context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
 	return s.next(e.Name, r, a), vetchtrail.Timing{}
 }
 
-func (s *scriptedTargets) Forward(_ context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (s *scriptedTargets) Forward(_ context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	return s.next(h.Name, r, a)
 }
 
@@ -75,30 +75,30 @@
 
 // answerWith answers with status 200 and a body.
 func answerWith(body string) reply {
-	return func(_ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	return func(_ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		_ = a.Begin(200, nil)
 		_ = a.Write([]byte(body))
-		return vetchtrail.Outcome{Kind: vetchtrail.Answered, Status: 200, Step: vetchtrail.StepAnswer, Begun: true}
+		return vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200, Step: vetchtrail.StepResponse, ResponseStarted: true}
 	}
 }
 
 // breakAfter loses the answer after a first part of the body, or before it if that is
 // empty.
 func breakAfter(body string) reply {
-	return func(_ *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	return func(_ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		if body != "" {
 			_ = a.Begin(200, nil)
 			_ = a.Write([]byte(body))
 		}
 		return vetchtrail.Outcome{
-			Kind: vetchtrail.Unknown, Status: 502, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonBroken, Begun: body != "",
+			Kind: vetchtrail.OutcomeUnknown, Status: 502, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonResponseBroken, ResponseStarted: body != "",
 		}
 	}
 }
 
 // delayed gives a reply after 30 milliseconds.
 func delayed(then reply) reply {
-	return func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+	return func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		time.Sleep(30 * time.Millisecond)
 		return then(r, a)
 	}
@@ -106,22 +106,22 @@
 
 // refuseWith refuses the request at a step of its processing, so that it has not run.
 func refuseWith(at vetchtrail.Step, reason vetchtrail.Reason) reply {
-	return func(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
-		return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Status: 503, Step: at, Reason: reason}
+	return func(*vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
+		return vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Status: 503, Step: at, Reason: reason}
 	}
 }
 
 // failWith500 has the endpoint answer with a failure.
-func failWith500(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
+func failWith500(*vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.Unknown, Status: 502, Step: vetchtrail.StepAnswer, Reason: vetchtrail.ReasonFailed,
-		Failure: &vetchtrail.KeptAnswer{Status: 500, Body: []byte("failed")},
+		Kind: vetchtrail.OutcomeUnknown, Status: 502, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonEndpointFailed,
+		DeferredFailure: &vetchtrail.BufferedResponse{Status: 500, Body: []byte("failed")},
 	}
 }
 
 // refuseUnknownRoute refuses the request as does a host whose configuration lacks the route.
-func refuseUnknownRoute(*vetchtrail.Request, vetchtrail.Answer) vetchtrail.Outcome {
-	return vetchtrail.Outcome{Kind: vetchtrail.NotRun, Status: 404, Step: vetchtrail.StepDecide, Reason: vetchtrail.ReasonNoRoute}
+func refuseUnknownRoute(*vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	return vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Status: 404, Step: vetchtrail.StepDecide, Reason: vetchtrail.ReasonNoRoute}
 }
 
 // newDispatcher returns the dispatcher of a host in data centre a-1, with a number of
@@ -172,8 +172,8 @@
 // parts of two attempts.
 func TestAttempts(t *testing.T) {
 	event1, event2 := "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
-	repeatable := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
-	resumable := func(r *vetchtrail.Request) { r.Stream, r.Resumable, r.Repeats, r.Attempts = true, true, true, 2 }
+	repeatable := func(r *vetchtrail.Request) { r.Repeatable, r.MaxAttempts = true, 2 }
+	resumable := func(r *vetchtrail.Request) { r.Stream, r.Resumable, r.Repeatable, r.MaxAttempts = true, true, true, 2 }
 	cases := map[string]struct {
 		modify       func(*vetchtrail.Request)
 		replies      []reply
@@ -184,30 +184,33 @@
 		attempts     int
 		resumedAfter string // the event that the last attempt was to continue after
 	}{
-		"answered":                            {nil, []reply{answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 1, ""},
-		"answer lost, not repeatable":         {nil, []reply{breakAfter("")}, 2, vetchtrail.Unknown, 502, "", 1, ""},
-		"refused, attempt limit 1":            {nil, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 2, vetchtrail.NotRun, 503, "", 1, ""},
-		"address taken by another process":    {nil, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonMisled), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"unreachable":                         {nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"refused, attempt limit 2":            {repeatable, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"answer lost, repeatable":             {repeatable, []reply{breakAfter(""), answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"failed, then answered":               {repeatable, []reply{failWith500, answerWith("ok")}, 2, vetchtrail.Answered, 200, "ok", 2, ""},
-		"failed twice, replayed":              {repeatable, []reply{failWith500, failWith500}, 2, vetchtrail.Answered, 500, "failed", 2, ""},
-		"answer lost, then not run":           {repeatable, []reply{breakAfter(""), refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 2, vetchtrail.Unknown, 502, "", 2, ""},
-		"stream continues":                    {resumable, []reply{breakAfter(event1), answerWith(event2)}, 2, vetchtrail.Answered, 200, event1 + event2, 2, "1"},
-		"stream continues after its goal":     {func(r *vetchtrail.Request) { resumable(r); r.Fresh, r.Goal = true, time.Now().Add(20*time.Millisecond) }, []reply{delayed(breakAfter(event1)), answerWith(event2)}, 2, vetchtrail.Answered, 200, event1 + event2, 2, "1"},
-		"stream breaks twice":                 {resumable, []reply{breakAfter(event1), breakAfter(event2)}, 2, vetchtrail.Unknown, 502, event1 + event2, 2, "1"},
-		"stream breaks, failure not appended": {resumable, []reply{breakAfter(event1), failWith500}, 2, vetchtrail.Unknown, 502, event1, 2, "1"},
-		"stream not resumable":                {func(r *vetchtrail.Request) { r.Stream, r.Attempts = true, 2 }, []reply{breakAfter(event1)}, 2, vetchtrail.Unknown, 502, event1, 1, ""},
-		"remote host only":                    {nil, []reply{answerWith("ok")}, 0, vetchtrail.Answered, 200, "ok", 1, ""},
-		"remote host leaving":                 {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonLeaving), answerWith("ok")}, 0, vetchtrail.Answered, 200, "ok", 2, ""},
-		"remote host lacks the route":         {nil, []reply{refuseUnknownRoute}, 0, vetchtrail.NotRun, 503, "", 1, ""},
+		"answered":                         {nil, []reply{answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 1, ""},
+		"answer lost, not repeatable":      {nil, []reply{breakAfter("")}, 2, vetchtrail.OutcomeUnknown, 502, "", 1, ""},
+		"refused, attempt limit 1":         {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 2, vetchtrail.OutcomeNotRun, 503, "", 1, ""},
+		"address taken by another process": {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonOtherProcess), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"unreachable":                      {nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"refused, attempt limit 2":         {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"answer lost, repeatable":          {repeatable, []reply{breakAfter(""), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"failed, then answered":            {repeatable, []reply{failWith500, answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"failed twice, replayed":           {repeatable, []reply{failWith500, failWith500}, 2, vetchtrail.OutcomeAnswered, 500, "failed", 2, ""},
+		"answer lost, then not run":        {repeatable, []reply{breakAfter(""), refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 2, vetchtrail.OutcomeUnknown, 502, "", 2, ""},
+		"stream continues":                 {resumable, []reply{breakAfter(event1), answerWith(event2)}, 2, vetchtrail.OutcomeAnswered, 200, event1 + event2, 2, "1"},
+		"stream continues after its goal": {func(r *vetchtrail.Request) {
+			resumable(r)
+			r.CallerCanRetry, r.Goal = true, time.Now().Add(20*time.Millisecond)
+		}, []reply{delayed(breakAfter(event1)), answerWith(event2)}, 2, vetchtrail.OutcomeAnswered, 200, event1 + event2, 2, "1"},
+		"stream breaks twice":                 {resumable, []reply{breakAfter(event1), breakAfter(event2)}, 2, vetchtrail.OutcomeUnknown, 502, event1 + event2, 2, "1"},
+		"stream breaks, failure not appended": {resumable, []reply{breakAfter(event1), failWith500}, 2, vetchtrail.OutcomeUnknown, 502, event1, 2, "1"},
+		"stream not resumable":                {func(r *vetchtrail.Request) { r.Stream, r.MaxAttempts = true, 2 }, []reply{breakAfter(event1)}, 2, vetchtrail.OutcomeUnknown, 502, event1, 1, ""},
+		"remote host only":                    {nil, []reply{answerWith("ok")}, 0, vetchtrail.OutcomeAnswered, 200, "ok", 1, ""},
+		"remote host leaving":                 {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonLeaving), answerWith("ok")}, 0, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"remote host lacks the route":         {nil, []reply{refuseUnknownRoute}, 0, vetchtrail.OutcomeNotRun, 503, "", 1, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			targets := &scriptedTargets{replies: c.replies}
 			d := newDispatcher(t, targets, c.endpoints)
-			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second)}
+			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second)}
 			if c.modify != nil {
 				c.modify(r)
 			}
@@ -231,15 +234,15 @@
 		hops int
 		kind vetchtrail.OutcomeKind
 	}{
-		"from its own caller": {0, vetchtrail.Answered},
-		"forwarded":           {1, vetchtrail.NotRun},
+		"from its own caller": {0, vetchtrail.OutcomeAnswered},
+		"forwarded":           {1, vetchtrail.OutcomeNotRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			d := newDispatcher(t, &scriptedTargets{replies: []reply{answerWith("ok")}}, 1)
 			d.cfg.Membership.(*membership.Membership).SetState(vetchtrail.HostLeaving)
 			r := &vetchtrail.Request{
-				ID: "x", Service: "s", Route: "r", Attempts: 1, Hops: c.hops, Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second),
+				ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second),
 			}
 			var g recordedAnswer
 			assert.Equal(t, d.Run(context.Background(), r, &g).Kind, c.kind)
@@ -257,8 +260,8 @@
 		kind   vetchtrail.OutcomeKind
 		called int
 	}{
-		"remote capacity":  {nil, []reply{answerWith("ok")}, vetchtrail.Answered, 1},
-		"forwarded before": {func(r *vetchtrail.Request) { r.Hops, r.Allowed = 1, vetchtrail.AllRegions }, nil, vetchtrail.NotRun, 0},
+		"remote capacity":  {nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, 1},
+		"forwarded before": {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, nil, vetchtrail.OutcomeNotRun, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -272,7 +275,7 @@
 			}
 			now := time.Now()
 			r := &vetchtrail.Request{
-				ID: "x", Service: "s", Route: "r", Attempts: 1, Deadline: now.Add(10 * time.Second), Patience: now.Add(50 * time.Millisecond),
+				ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Deadline: now.Add(10 * time.Second), QueueUntil: now.Add(50 * time.Millisecond),
 			}
 			if c.modify != nil {
 				c.modify(r)
@@ -281,7 +284,7 @@
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, len(targets.called), c.called)
-			assert.Equal(t, o.Kind != vetchtrail.NotRun || !o.RetryAt.IsZero(), true)
+			assert.Equal(t, o.Kind != vetchtrail.OutcomeNotRun || !o.RetryAt.IsZero(), true)
 		})
 	}
 }
--- a/request/dispatch/event_tracker.go
+++ b/request/dispatch/event_tracker.go
@@ -9,16 +9,16 @@
 // last event in the request, so that another attempt continues after that event.
 // The caller gets the status and header of the first attempt only.
 type eventTracker struct {
-	next vetchtrail.Answer
+	next vetchtrail.ResponseWriter
 	req  *vetchtrail.Request
 }
 
 // Begin implements vetchtrail.Answer.
 func (t *eventTracker) Begin(status int, header []vetchtrail.HeaderField) error {
-	if t.req.Begun {
+	if t.req.ResponseStarted {
 		return nil
 	}
-	t.req.Begun = true
+	t.req.ResponseStarted = true
 	return t.next.Begin(status, header)
 }
 
@@ -28,7 +28,7 @@
 		return err
 	}
 	if id, ok := endpoint.EventID(part); ok {
-		t.req.LastEvent = id
+		t.req.LastEventID = id
 	}
 	return nil
 }
--- a/request/dispatch/home_test.go
+++ b/request/dispatch/home_test.go
@@ -14,7 +14,7 @@
 // runs elsewhere, even if the endpoints here are idle. While the home region can't be
 // reached, the caller learns at once that the request did not run and when to retry.
 func TestHomeRegionLost(t *testing.T) {
-	lost := vetchtrail.Outcome{Kind: vetchtrail.NotRun, Peer: "remote", Reason: vetchtrail.ReasonUnreachable, HostLost: true}
+	lost := vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Peer: "remote", Reason: vetchtrail.ReasonUnreachable, HostLost: true}
 	cases := map[string]struct {
 		prepare func(d *Dispatcher)
 		replies []reply
@@ -22,15 +22,15 @@
 		status  int
 		called  []string
 	}{
-		"reachable": {nil, []reply{answerWith("ok")}, vetchtrail.Answered, 200, []string{"remote"}},
+		"reachable": {nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, 200, []string{"remote"}},
 		"lost a moment ago": {func(d *Dispatcher) {
-			d.cfg.Membership.Returned("b-1", "s", lost, time.Now())
-		}, nil, vetchtrail.NotRun, 503, nil},
+			d.cfg.Membership.ForwardEnded("b-1", "s", lost, time.Now())
+		}, nil, vetchtrail.OutcomeNotRun, 503, nil},
 		"lost a minute ago, tried again": {func(d *Dispatcher) {
-			d.cfg.Membership.Returned("b-1", "s", lost, time.Now().Add(-time.Minute))
-		}, []reply{answerWith("ok")}, vetchtrail.Answered, 200, []string{"remote"}},
-		"unreachable when forwarded": {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonUnreachable)}, vetchtrail.NotRun, 503, []string{"remote"}},
-		"answer lost":                {nil, []reply{breakAfter("")}, vetchtrail.Unknown, 502, []string{"remote"}},
+			d.cfg.Membership.ForwardEnded("b-1", "s", lost, time.Now().Add(-time.Minute))
+		}, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, 200, []string{"remote"}},
+		"unreachable when forwarded": {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonUnreachable)}, vetchtrail.OutcomeNotRun, 503, []string{"remote"}},
+		"answer lost":                {nil, []reply{breakAfter("")}, vetchtrail.OutcomeUnknown, 502, []string{"remote"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				c.prepare(d)
 			}
 			r := &vetchtrail.Request{
-				ID: "x", Service: "s", Route: "at-b", Attempts: 2, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
+				ID: "x", Service: "s", Route: "at-b", MaxAttempts: 2, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
 			started := time.Now()
 			var g recordedAnswer
@@ -48,7 +48,7 @@
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
 			assert.DeepEqual(t, targets.called, c.called)
-			assert.Equal(t, !o.RetryAt.IsZero() && o.RetryAt.After(started), o.Kind == vetchtrail.NotRun)
+			assert.Equal(t, !o.RetryAt.IsZero() && o.RetryAt.After(started), o.Kind == vetchtrail.OutcomeNotRun)
 		})
 	}
 }
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -12,10 +12,10 @@
 
 // runKeyed runs a request with an idempotency key. Only the process that issued
 // the key (its issuer) may start the request, so any other forwards it there.
-func (d *Dispatcher) runKeyed(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
-	key, err := once.Parse(r.Key)
+func (d *Dispatcher) runKeyed(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	key, err := once.Parse(r.IdempotencyKey)
 	if err != nil {
-		o := d.refusal(vetchtrail.StepOnce, vetchtrail.ReasonKey, time.Time{})
+		o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
 		o.Status, o.Err = statusBadRequest, err
 		return o
 	}
@@ -39,18 +39,18 @@
 // request with the key has run. The outcome is therefore unknown, unless this
 // process issued the key and has not begun a request with it.
 func (d *Dispatcher) keyedRefusal(r *vetchtrail.Request, o vetchtrail.Outcome) vetchtrail.Outcome {
-	key, err := once.Parse(r.Key)
-	if r.Key == "" || err != nil || (d.cfg.Keeper.Mine(key) && !d.cfg.Keeper.Begun(key)) {
+	key, err := once.Parse(r.IdempotencyKey)
+	if r.IdempotencyKey == "" || err != nil || (d.cfg.Keeper.Mine(key) && !d.cfg.Keeper.Begun(key)) {
 		return o
 	}
-	o.Kind = vetchtrail.Unknown
+	o.Kind = vetchtrail.OutcomeUnknown
 	return o
 }
 
 // runForwarded runs a keyed request that another host forwarded. If the key names
 // this host, an earlier process of this host issued the key. That process is gone,
 // and the sender took this one for it, so the request is not run.
-func (d *Dispatcher) runForwarded(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) runForwarded(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if key.Host == d.cfg.Self.Name {
 		return d.issuerGone(r)
 	}
@@ -59,7 +59,7 @@
 
 // runAsIssuer runs the first request with a key that this process issued. Any
 // further request with the key gets the answer of the first.
-func (d *Dispatcher) runAsIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) runAsIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	rec, first, err := d.cfg.Keeper.Begin(key, once.Fingerprint(r), time.Now())
 	if err != nil {
 		return d.keyRefusal(key, err)
@@ -77,7 +77,7 @@
 
 // awaitFirst waits until the first request with a key has ended, and replays its
 // answer to a further one.
-func (d *Dispatcher) awaitFirst(ctx context.Context, rec *once.Record, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) awaitFirst(ctx context.Context, rec *once.Record, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	timeout := time.NewTimer(time.Until(r.Deadline))
 	defer timeout.Stop()
 	select {
@@ -86,7 +86,7 @@
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	o := d.unknownOutcome(vetchtrail.ReasonLost, errors.New("the request is still running"))
+	o := d.unknownOutcome(vetchtrail.ReasonResponseLost, errors.New("the request is still running"))
 	o.RetryAt = time.Now().Add(time.Second)
 	return o
 }
@@ -94,7 +94,7 @@
 // keyRefusal returns the outcome of a request whose key can't be used, for the
 // error of once.Keeper.Begin.
 func (d *Dispatcher) keyRefusal(key once.Key, err error) vetchtrail.Outcome {
-	o := d.refusal(vetchtrail.StepOnce, vetchtrail.ReasonKey, time.Time{})
+	o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
 	o.Err = err
 	switch {
 	case errors.Is(err, once.ErrReused):
@@ -102,10 +102,10 @@
 	case errors.Is(err, once.ErrFull):
 		o.Reason, o.RetryAt = vetchtrail.ReasonOverCapacity, time.Now().Add(time.Second)
 	case errors.Is(err, once.ErrExpired):
-		o.Status, o.Reason = statusConflict, vetchtrail.ReasonKeyExpired
+		o.Status, o.Reason = statusConflict, vetchtrail.ReasonIdempotencyKeyExpired
 		if once.Forgotten(key, time.Now()) {
 			// The record of an earlier request may have been dropped.
-			o.Kind = vetchtrail.Unknown
+			o.Kind = vetchtrail.OutcomeUnknown
 		}
 	}
 	return o
@@ -114,7 +114,7 @@
 // forwardToIssuer forwards a keyed request to the process that issued its key. If
 // that process can't be reached, the outcome is unknown: an earlier request with
 // the key may have run.
-func (d *Dispatcher) forwardToIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+func (d *Dispatcher) forwardToIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	h, ok := d.cfg.Membership.Find(key.Host, time.Now())
 	if !ok {
 		return d.unknownOutcome(vetchtrail.ReasonIssuerGone, errors.New("host "+key.Host+", which issued the key, is unknown to this host"))
@@ -123,12 +123,12 @@
 		return d.issuerGone(r)
 	}
 	region, known := d.cfg.Rules().Region(h.Region)
-	if !known || !r.Allowed.Has(region.ID) {
+	if !known || !r.AllowedRegions.Has(region.ID) {
 		return d.unknownOutcome(vetchtrail.ReasonResidency, errors.New("the request may not go to the region of host "+key.Host+", which issued the key"))
 	}
 	o := d.cfg.Peers.Forward(ctx, h, r, a)
-	if o.Kind == vetchtrail.NotRun && o.Step == vetchtrail.StepConnect {
-		o.Kind, o.Status, o.RetryAt = vetchtrail.Unknown, statusBadGateway, time.Now().Add(time.Second)
+	if o.Kind == vetchtrail.OutcomeNotRun && o.Step == vetchtrail.StepConnect {
+		o.Kind, o.Status, o.RetryAt = vetchtrail.OutcomeUnknown, statusBadGateway, time.Now().Add(time.Second)
 	}
 	return o
 }
@@ -145,7 +145,7 @@
 // know whether it ran.
 func (d *Dispatcher) unknownOutcome(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
-		Kind: vetchtrail.Unknown, Status: statusBadGateway, Step: vetchtrail.StepOnce,
+		Kind: vetchtrail.OutcomeUnknown, Status: statusBadGateway, Step: vetchtrail.StepIdempotency,
 		Peer: d.cfg.Self.Name, Reason: reason, Err: err,
 	}
 }
--- a/request/dispatch/metrics.go
+++ b/request/dispatch/metrics.go
@@ -16,7 +16,7 @@
 // countRequest counts a request by its outcome and records its duration.
 func countRequest(r *vetchtrail.Request, o vetchtrail.Outcome, duration time.Duration) {
 	service := r.Service
-	if o.Reason == vetchtrail.ReasonNoService {
+	if o.Reason == vetchtrail.ReasonUnknownService {
 		service = unknownService
 	}
 	name := fmt.Sprintf(`vetchtrail_requests_total{service=%q,outcome=%q,reason=%q}`, service, o.Kind, o.Reason)
--- a/request/dispatch/per_service.go
+++ b/request/dispatch/per_service.go
@@ -22,7 +22,7 @@
 	defer d.mu.Unlock()
 	q, ok := d.waitQueues[service]
 	if !ok {
-		q = queue.New(func() <-chan struct{} { return d.cfg.Table.Freed(service) })
+		q = queue.New(func() <-chan struct{} { return d.cfg.Table.CapacityFreed(service) })
 		d.waitQueues[service] = q
 	}
 	return q
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -45,12 +45,12 @@
 	s, _ := newest.Service(r.Service)
 	ownRegion, _ := newest.Region(d.cfg.Self.Region)
 	v.Region, v.Weights = ownRegion.ID, s.Weights
-	v.Events, v.UrgentPace, v.IdleRead, v.KeptShare, v.Borne = 0, 0, 0, 0, 0
+	v.ExpectedEvents, v.UrgentInterval, v.IdlePrefill, v.CachedShare, v.PredictionRatio = 0, 0, 0, 0, 0
 	v.Endpoints, v.Remotes, v.Excluded = v.Endpoints[:0], v.Remotes[:0], history.excluded
-	v.Refused, v.Waited = history.refusedHere, history.waitOver
-	v.Line = d.waitQueue(r.Service).Wait().Seconds()
+	v.RefusedHere, v.WaitExhausted = history.refusedHere, history.waitOver
+	v.QueueWait = d.waitQueue(r.Service).Wait().Seconds()
 	d.cfg.Table.Fill(v, r, now)
-	v.Events = expectedEvents(r, s.EventTokens, v.Events)
+	v.ExpectedEvents = expectedEvents(r, s.EventTokens, v.ExpectedEvents)
 	d.cfg.Membership.Fill(v, r.Service, func(name string) (vetchtrail.RegionID, bool) {
 		region, ok := newest.Region(name)
 		return region.ID, ok
@@ -72,12 +72,12 @@
 	switch {
 	case !r.Stream:
 		return 0
-	case r.AnswerTokens > 0 && tokensPerEvent > 0:
-		return float64(r.AnswerTokens) / float64(tokensPerEvent)
+	case r.ExpectedTokens > 0 && tokensPerEvent > 0:
+		return float64(r.ExpectedTokens) / float64(tokensPerEvent)
 	case usual > 0 || tokensPerEvent == 0:
 		return usual
 	}
-	return assumedAnswerShare * float64(r.MostTokens) / float64(tokensPerEvent)
+	return assumedAnswerShare * float64(r.MaxTokens) / float64(tokensPerEvent)
 }
 
 // acquire takes capacity at the endpoint that the policy chose, or picks a host of
@@ -88,7 +88,7 @@
 		h, ok := d.cfg.Membership.Pick(dec.Name, r.Service, time.Now())
 		return placement{host: h, dataCentre: dec.Name}, ok
 	}
-	e, ok := d.cfg.Table.Known(dec.Name)
+	e, ok := d.cfg.Table.Find(dec.Name)
 	if !ok {
 		return placement{}, false
 	}
@@ -96,7 +96,7 @@
 		return placement{}, false
 	}
 	if !d.cfg.Table.Acquire(dec.Name, r, time.Now()) {
-		d.returnReservation(r, vetchtrail.Outcome{Kind: vetchtrail.NotRun})
+		d.returnReservation(r, vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun})
 		return placement{}, false
 	}
 	return placement{endpoint: e, predictedTTFT: dec.Wait}, true
@@ -106,7 +106,7 @@
 // request may wait no longer, or its caller disconnects. A request that can't join the
 // queue, or has waited in vain, gets a last chance in a remote data centre.
 func (d *Dispatcher) waitForCapacity(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
-	if d.cfg.Off.Has(vetchtrail.Waiting) {
+	if d.cfg.Off.Has(vetchtrail.MechanismQueueing) {
 		return d.lastChance(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
 	}
 	s, _ := d.cfg.Rules().Service(r.Service)
@@ -116,7 +116,7 @@
 		return d.lastChance(ctx, r, history, verdict.Reason, time.Now().Add(max(verdict.Wait, minRetryAfter)), attempt)
 	}
 	w := verdict.Waiter
-	timeout := time.NewTimer(time.Until(r.WaitUntil()))
+	timeout := time.NewTimer(time.Until(r.QueueDeadline()))
 	defer timeout.Stop()
 	for {
 		select {
@@ -170,7 +170,7 @@
 // the given reason.
 func (d *Dispatcher) lastChance(ctx context.Context, r *vetchtrail.Request, history attemptHistory, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
 	history.waitOver = true
-	if d.cfg.Off.Has(vetchtrail.LastChance) {
+	if d.cfg.Off.Has(vetchtrail.MechanismForwardAfterWait) {
 		return d.refuseWaiter(r, reason, retryAt, attempt)
 	}
 	if dec := d.decide(r, history); dec.Kind == vetchtrail.RunElsewhere {
@@ -190,9 +190,9 @@
 
 // recordDecision records a decision on an attempt in the journal.
 func (d *Dispatcher) recordDecision(r *vetchtrail.Request, dec vetchtrail.Decision, attempt int) {
-	d.cfg.Journal.Note(vetchtrail.Record{
-		At: time.Now(), Request: r.ID, Service: r.Service, Route: r.Route, Prompt: r.PromptTokens(), Workspace: r.Workspace,
-		Home: d.cfg.Rules().RegionName(r.Home), Decision: dec, Attempt: attempt, Hops: r.Hops, Revision: r.Revision,
-		Goal: r.Goal, Deadline: r.Deadline, Fresh: r.Fresh, Charge: r.Charge, Quota: r.Quota,
+	d.cfg.Journal.Note(vetchtrail.JournalRecord{
+		At: time.Now(), Request: r.ID, Service: r.Service, Route: r.Route, PromptTokens: r.PromptTokens(), Workspace: r.Workspace,
+		Home: d.cfg.Rules().RegionName(r.HomeRegion), Decision: dec, Attempt: attempt, Hops: r.Hops, Revision: r.Revision,
+		Goal: r.Goal, Deadline: r.Deadline, CallerCanRetry: r.CallerCanRetry, Cost: r.Cost, Quota: r.Quota,
 	})
 }
--- a/request/dispatch/quarantine.go
+++ b/request/dispatch/quarantine.go
@@ -14,18 +14,18 @@
 // head of the queue, on the host that a request is forwarded to, and just before
 // the first byte is sent. Limits within one request, such as its attempts, don't
 // stop a poison request: its caller sends it again as a new request, to any host.
-func (d *Dispatcher) quarantined(r *vetchtrail.Request) (vetchtrail.Hold, bool) {
+func (d *Dispatcher) quarantined(r *vetchtrail.Request) (vetchtrail.QuarantineEntry, bool) {
 	if d.cfg.Quarantine == nil {
-		return vetchtrail.Hold{}, false
+		return vetchtrail.QuarantineEntry{}, false
 	}
-	return d.cfg.Quarantine.Held(r)
+	return d.cfg.Quarantine.Quarantined(r)
 }
 
 // quarantineRefusal returns the outcome of a quarantined request. It has no retry
 // time, as a retry would be refused too.
-func (d *Dispatcher) quarantineRefusal(entry vetchtrail.Hold) vetchtrail.Outcome {
-	o := d.refusal(vetchtrail.StepHold, vetchtrail.ReasonHeldBack, time.Time{})
-	o.Err = errors.Errorf("%d endpoints ended while they ran this request (%s): it is not run again for now", entry.Ends, entry.Digest)
+func (d *Dispatcher) quarantineRefusal(entry vetchtrail.QuarantineEntry) vetchtrail.Outcome {
+	o := d.refusal(vetchtrail.StepQuarantine, vetchtrail.ReasonQuarantined, time.Time{})
+	o.Err = errors.Errorf("%d endpoints ended while they ran this request (%s): it is not run again for now", entry.Crashes, entry.ContentHash)
 	return o
 }
 
@@ -33,15 +33,15 @@
 // records the attempt if its answer was lost. An attempt whose caller disconnected
 // shows nothing about the endpoint.
 func (d *Dispatcher) reportAttempt(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, timing vetchtrail.Timing, attempt int) {
-	lost := o.Kind == vetchtrail.Unknown && ctx.Err() == nil
+	lost := o.Kind == vetchtrail.OutcomeUnknown && ctx.Err() == nil
 	if lost {
 		d.recordLostAttempt(r, o, timing.Sent, attempt)
 	}
 	switch {
 	case d.cfg.Quarantine == nil:
 	case lost:
-		d.cfg.Quarantine.Lost(e, r, o, timing)
-	case o.Kind == vetchtrail.Answered:
+		d.cfg.Quarantine.ResponseLost(e, r, o, timing)
+	case o.Kind == vetchtrail.OutcomeAnswered:
 		d.cfg.Quarantine.Answered(r)
 	}
 }
@@ -50,8 +50,8 @@
 // these records together show which requests an endpoint was running when it
 // crashed, and whether their callers retried them.
 func (d *Dispatcher) recordLostAttempt(r *vetchtrail.Request, o vetchtrail.Outcome, sent time.Time, attempt int) {
-	d.cfg.Journal.Note(vetchtrail.Record{
-		At: sent, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, Prompt: r.PromptTokens(),
-		Hops: r.Hops, Attempt: attempt, Lost: true, Outcome: o, Took: time.Since(sent), Digest: r.Digest(),
+	d.cfg.Journal.Note(vetchtrail.JournalRecord{
+		At: sent, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, PromptTokens: r.PromptTokens(),
+		Hops: r.Hops, Attempt: attempt, Lost: true, Outcome: o, Took: time.Since(sent), ContentHash: r.ContentHash(),
 	})
 }
--- a/request/dispatch/quarantine_test.go
+++ b/request/dispatch/quarantine_test.go
@@ -21,12 +21,12 @@
 	answered  int      // attempts reported as answered
 }
 
-func (q *fakeQuarantine) Held(r *vetchtrail.Request) (vetchtrail.Hold, bool) {
+func (q *fakeQuarantine) Quarantined(r *vetchtrail.Request) (vetchtrail.QuarantineEntry, bool) {
 	q.checks++
-	return vetchtrail.Hold{Digest: r.Digest(), Ends: 3}, q.checks > q.passFirst
+	return vetchtrail.QuarantineEntry{ContentHash: r.ContentHash(), Crashes: 3}, q.checks > q.passFirst
 }
 
-func (q *fakeQuarantine) Lost(e vetchtrail.Endpoint, _ *vetchtrail.Request, _ vetchtrail.Outcome, _ vetchtrail.Timing) {
+func (q *fakeQuarantine) ResponseLost(e vetchtrail.Endpoint, _ *vetchtrail.Request, _ vetchtrail.Outcome, _ vetchtrail.Timing) {
 	q.lost = append(q.lost, e.Name)
 }
 
@@ -36,7 +36,7 @@
 // path there, and is refused without a time to retry. A path without the check would
 // let a poison request crash further endpoints.
 func TestQuarantinedRefused(t *testing.T) {
-	repeatable := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
+	repeatable := func(r *vetchtrail.Request) { r.Repeatable, r.MaxAttempts = true, 2 }
 	cases := map[string]struct {
 		modify    func(*vetchtrail.Request)
 		passFirst int
@@ -48,20 +48,20 @@
 		lost      int
 		answered  int
 	}{
-		"on arrival": {nil, 0, nil, vetchtrail.NotRun, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
-		"forwarded":  {func(r *vetchtrail.Request) { r.Hops, r.Allowed = 1, vetchtrail.AllRegions }, 0, nil, vetchtrail.NotRun, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
-		"resumed stream": {func(r *vetchtrail.Request) { r.Resume = vetchtrail.StreamPosition{Endpoint: "1", Stream: "x"} }, 0, nil,
-			vetchtrail.NotRun, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
-		"key of another issuer":   {func(r *vetchtrail.Request) { r.Key = "v1.other.1.9999999999.00" }, 0, nil, vetchtrail.Unknown, 503, vetchtrail.ReasonHeldBack, 0, 0, 0},
-		"before a second attempt": {repeatable, 1, []reply{breakAfter("")}, vetchtrail.Unknown, 502, vetchtrail.ReasonBroken, 1, 1, 0},
-		"not quarantined":         {repeatable, 9, []reply{breakAfter(""), answerWith("ok")}, vetchtrail.Answered, 200, "", 2, 1, 1},
+		"on arrival": {nil, 0, nil, vetchtrail.OutcomeNotRun, 503, vetchtrail.ReasonQuarantined, 0, 0, 0},
+		"forwarded":  {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, 0, nil, vetchtrail.OutcomeNotRun, 503, vetchtrail.ReasonQuarantined, 0, 0, 0},
+		"resumed stream": {func(r *vetchtrail.Request) { r.ResumeAt = vetchtrail.StreamPosition{Endpoint: "1", Stream: "x"} }, 0, nil,
+			vetchtrail.OutcomeNotRun, 503, vetchtrail.ReasonQuarantined, 0, 0, 0},
+		"key of another issuer":   {func(r *vetchtrail.Request) { r.IdempotencyKey = "v1.other.1.9999999999.00" }, 0, nil, vetchtrail.OutcomeUnknown, 503, vetchtrail.ReasonQuarantined, 0, 0, 0},
+		"before a second attempt": {repeatable, 1, []reply{breakAfter("")}, vetchtrail.OutcomeUnknown, 502, vetchtrail.ReasonResponseBroken, 1, 1, 0},
+		"not quarantined":         {repeatable, 9, []reply{breakAfter(""), answerWith("ok")}, vetchtrail.OutcomeAnswered, 200, "", 2, 1, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			targets, q := &scriptedTargets{replies: c.replies}, &fakeQuarantine{passFirst: c.passFirst}
 			d := newDispatcher(t, targets, 2)
 			d.cfg.Quarantine = q
-			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Deadline: time.Now().Add(10 * time.Second)}
+			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Deadline: time.Now().Add(10 * time.Second)}
 			if c.modify != nil {
 				c.modify(r)
 			}
@@ -103,11 +103,11 @@
 	for i := range 8 {
 		d.cfg.Table.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
 	}
-	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Hops: 1, Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
+	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: 1, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
 	time.AfterFunc(20*time.Millisecond, func() { d.cfg.Table.Release("1", vetchtrail.Observation{Request: "a"}, time.Now()) })
 	var g recordedAnswer
 	o := d.Run(context.Background(), r, &g)
-	assert.Equal(t, o.Reason, vetchtrail.ReasonHeldBack, "%v", o)
+	assert.Equal(t, o.Reason, vetchtrail.ReasonQuarantined, "%v", o)
 	assert.Equal(t, len(targets.called), 0)
 }
 
@@ -116,9 +116,9 @@
 func TestQuarantinedBeforeSend(t *testing.T) {
 	d := newDispatcher(t, &scriptedTargets{}, 1)
 	d.cfg.Quarantine = &fakeQuarantine{}
-	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Allowed: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second)}
-	e, _ := d.cfg.Table.Known("1")
-	assert.Equal(t, d.Guard(e, r), vetchtrail.ReasonHeldBack)
+	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second)}
+	e, _ := d.cfg.Table.Find("1")
+	assert.Equal(t, d.Guard(e, r), vetchtrail.ReasonQuarantined)
 }
 
 // TestQuarantinedAfterRun checks that a quarantined request with an idempotency key is
@@ -132,15 +132,15 @@
 	d.cfg.Keeper = once.New(once.Config{Host: "self", KeyTime: time.Minute, MaxBytes: 1 << 20})
 	key := d.cfg.Keeper.Issue(time.Now()).String()
 	send := func() vetchtrail.Outcome {
-		r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", Attempts: 1, Key: key, Deadline: time.Now().Add(5 * time.Second)}
+		r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, IdempotencyKey: key, Deadline: time.Now().Add(5 * time.Second)}
 		var g recordedAnswer
 		return d.Run(context.Background(), r, &g)
 	}
 	first := send()
-	assert.Equal(t, first.Kind, vetchtrail.Unknown, "%v", first)
+	assert.Equal(t, first.Kind, vetchtrail.OutcomeUnknown, "%v", first)
 	q.passFirst = 0
 	o := send()
-	assert.Equal(t, o.Kind, vetchtrail.Unknown, "the first request may have run: %v", o)
-	assert.Equal(t, o.Reason, vetchtrail.ReasonHeldBack)
+	assert.Equal(t, o.Kind, vetchtrail.OutcomeUnknown, "the first request may have run: %v", o)
+	assert.Equal(t, o.Reason, vetchtrail.ReasonQuarantined)
 	assert.Equal(t, len(targets.called), 1)
 }
--- a/request/dispatch/quota.go
+++ b/request/dispatch/quota.go
@@ -26,9 +26,9 @@
 	if d.cfg.Quotas == nil || r.Workspace == "" || (r.Hops > 0 && !d.issuedKey(r)) {
 		return u
 	}
-	if q := d.cfg.Rules().Quota(r.Workspace); q.Bounded() {
-		u.cost = q.Charge(r)
-		r.Charge = u.cost
+	if q := d.cfg.Rules().Quota(r.Workspace); q.IsLimited() {
+		u.cost = q.Cost(r)
+		r.Cost = u.cost
 	}
 	return u
 }
@@ -37,8 +37,8 @@
 // Such a request is forwarded here before any cost is taken for it, so this host
 // takes the cost.
 func (d *Dispatcher) issuedKey(r *vetchtrail.Request) bool {
-	key, err := once.Parse(r.Key)
-	return r.Key != "" && err == nil && d.cfg.Keeper.Mine(key)
+	key, err := once.Parse(r.IdempotencyKey)
+	return r.IdempotencyKey != "" && err == nil && d.cfg.Keeper.Mine(key)
 }
 
 // take takes the cost of the next attempt, unless the cost of an earlier attempt that
@@ -52,13 +52,13 @@
 	if v.Granted {
 		return vetchtrail.Outcome{}, true
 	}
-	u.d.recordDecision(u.req, vetchtrail.Decision{Kind: vetchtrail.Refuse, Reason: vetchtrail.ReasonQuota, RetryAt: v.RetryAt}, attempt)
-	return u.d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonQuota, v.RetryAt), false
+	u.d.recordDecision(u.req, vetchtrail.Decision{Kind: vetchtrail.Refuse, Reason: vetchtrail.ReasonOverQuota, RetryAt: v.RetryAt}, attempt)
+	return u.d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonOverQuota, v.RetryAt), false
 }
 
 // attemptEnded counts the cost as used if the attempt may have run.
 func (u *quotaUse) attemptEnded(o vetchtrail.Outcome) {
-	if o.Kind != vetchtrail.NotRun {
+	if o.Kind != vetchtrail.OutcomeNotRun {
 		u.taken = false
 	}
 }
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -53,7 +53,7 @@
 // could exceed its quota with requests that fail. If the cost of an attempt that did
 // not run were not reused or returned, a workspace would lose quota to refused requests.
 func TestQuotaCost(t *testing.T) {
-	repeatable := func(r *vetchtrail.Request) { r.Repeats, r.Attempts = true, 2 }
+	repeatable := func(r *vetchtrail.Request) { r.Repeatable, r.MaxAttempts = true, 2 }
 	cases := map[string]struct {
 		modify        func(*vetchtrail.Request)
 		replies       []reply
@@ -62,14 +62,14 @@
 		status        int
 	}{
 		"answered":                     {nil, []reply{answerWith("ok")}, 1000, 700, 200},
-		"no token counts":              {func(r *vetchtrail.Request) { r.Tokens, r.MostTokens = 0, 0 }, []reply{answerWith("ok")}, 1000, 800, 200},
+		"no token counts":              {func(r *vetchtrail.Request) { r.EstimatedTokens, r.MaxTokens = 0, 0 }, []reply{answerWith("ok")}, 1000, 800, 200},
 		"answer lost, then answered":   {repeatable, []reply{breakAfter(""), answerWith("ok")}, 1000, 400, 200},
-		"not run, then answered":       {repeatable, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), answerWith("ok")}, 1000, 700, 200},
-		"not run":                      {nil, []reply{refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused)}, 1000, 1000, 503},
+		"not run, then answered":       {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), answerWith("ok")}, 1000, 700, 200},
+		"not run":                      {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 1000, 1000, 503},
 		"over the quota":               {nil, nil, 299, 299, 429},
 		"answer lost, quota exhausted": {repeatable, []reply{breakAfter("")}, 400, 100, 502},
 		"no workspace":                 {func(r *vetchtrail.Request) { r.Workspace = "" }, []reply{answerWith("ok")}, 0, 0, 200},
-		"forwarded":                    {func(r *vetchtrail.Request) { r.Hops, r.Allowed = 1, vetchtrail.AllRegions }, []reply{answerWith("ok")}, 0, 0, 200},
+		"forwarded":                    {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, []reply{answerWith("ok")}, 0, 0, 200},
 		"failed twice":                 {repeatable, []reply{failWith500, failWith500}, 1000, 400, 500},
 	}
 	for name, c := range cases {
@@ -77,7 +77,7 @@
 			quota := &fakeQuota{remaining: c.remaining}
 			d, _ := newQuotaDispatcher(t, &scriptedTargets{replies: c.replies}, quota, 2)
 			r := &vetchtrail.Request{
-				ID: "x", Service: "s", Route: "r", Attempts: 1, Workspace: "w", Tokens: 200, MostTokens: 100,
+				ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Workspace: "w", EstimatedTokens: 200, MaxTokens: 100,
 				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
 			if c.modify != nil {
@@ -87,7 +87,7 @@
 			assert.Equal(t, o.Status, c.status, "%v", o)
 			assert.Equal(t, quota.remaining, c.wantRemaining)
 			if c.status == statusTooMany {
-				assert.Equal(t, o.Kind, vetchtrail.NotRun)
+				assert.Equal(t, o.Kind, vetchtrail.OutcomeNotRun)
 				assert.Assert(t, o.RetryAt.After(time.Now()))
 			}
 		})
@@ -108,15 +108,15 @@
 		status       int
 		attempts     int
 	}{
-		"before the first attempt":           {nil, true, vetchtrail.NotRun, 401, 0},
-		"after an attempt not run":           {refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), false, vetchtrail.NotRun, 401, 1},
-		"after an attempt that may have run": {breakAfter(""), false, vetchtrail.Unknown, 502, 1},
+		"before the first attempt":           {nil, true, vetchtrail.OutcomeNotRun, 401, 0},
+		"after an attempt not run":           {refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), false, vetchtrail.OutcomeNotRun, 401, 1},
+		"after an attempt that may have run": {breakAfter(""), false, vetchtrail.OutcomeUnknown, 502, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			targets := &scriptedTargets{}
 			d, applyEdits := newQuotaDispatcher(t, targets, &fakeQuota{remaining: 1000}, 2)
-			targets.replies = []reply{func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
+			targets.replies = []reply{func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 				removeKey(applyEdits)
 				return c.first(r, a)
 			}}
@@ -124,7 +124,7 @@
 				removeKey(applyEdits)
 			}
 			r := &vetchtrail.Request{
-				ID: "x", Service: "s", Route: "r", Attempts: 2, Repeats: true, Workspace: "w", Credential: vetchtrail.HashKey("secret"),
+				ID: "x", Service: "s", Route: "r", MaxAttempts: 2, Repeatable: true, Workspace: "w", Credential: vetchtrail.HashKey("secret"),
 				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
 			o := d.Run(context.Background(), r, &recordedAnswer{})
@@ -145,23 +145,23 @@
 	}{
 		"no capacity there":      {refuseWith(vetchtrail.StepDecide, vetchtrail.ReasonOverCapacity), true},
 		"unreachable":            {refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), true},
-		"refused by an endpoint": {refuseWith(vetchtrail.StepAnswer, vetchtrail.ReasonRefused), false},
+		"refused by an endpoint": {refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), false},
 		"answer lost":            {breakAfter(""), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var stillFresh bool
-			targets := &scriptedTargets{replies: []reply{c.first, func(r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
-				stillFresh = r.Fresh
+			targets := &scriptedTargets{replies: []reply{c.first, func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+				stillFresh = r.CallerCanRetry
 				return answerWith("ok")(r, a)
 			}}}
 			d := newDispatcher(t, targets, 2)
 			r := &vetchtrail.Request{
-				ID: "x", Service: "s", Route: "r", Attempts: 2, Repeats: true, Fresh: true,
+				ID: "x", Service: "s", Route: "r", MaxAttempts: 2, Repeatable: true, CallerCanRetry: true,
 				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
 			o := d.Run(context.Background(), r, &recordedAnswer{})
-			assert.Equal(t, o.Kind, vetchtrail.Answered)
+			assert.Equal(t, o.Kind, vetchtrail.OutcomeAnswered)
 			assert.Equal(t, len(targets.called), 2)
 			assert.Equal(t, stillFresh, c.fresh)
 		})
--- a/request/dispatch/reservation.go
+++ b/request/dispatch/reservation.go
@@ -13,11 +13,11 @@
 // retries, forwarded and queued requests, and resumed streams. All hosts share the
 // limit, so a count of this host's requests alone can't enforce it.
 func (d *Dispatcher) reserve(ctx context.Context, r *vetchtrail.Request, e vetchtrail.Endpoint) (retryAt time.Time, ok bool) {
-	r.Permit = vetchtrail.Permit{}
+	r.Reservation = vetchtrail.Reservation{}
 	if d.cfg.Permits == nil {
 		return time.Time{}, true
 	}
-	r.Permit, retryAt, ok = d.cfg.Permits.Take(ctx, e)
+	r.Reservation, retryAt, ok = d.cfg.Permits.Reserve(ctx, e)
 	return retryAt, ok
 }
 
@@ -26,7 +26,7 @@
 // the rate limit.
 func (d *Dispatcher) returnReservation(r *vetchtrail.Request, o vetchtrail.Outcome) {
 	if d.cfg.Permits != nil && !reached(o) {
-		d.cfg.Permits.Return(r.Permit)
+		d.cfg.Permits.Cancel(r.Reservation)
 	}
-	r.Permit = vetchtrail.Permit{}
+	r.Reservation = vetchtrail.Reservation{}
 }
--- a/request/dispatch/resume.go
+++ b/request/dispatch/resume.go
@@ -17,25 +17,25 @@
 // event that the caller received. Only the endpoint that has the stream can do so. In
 // this data centre it is called directly, in a remote one through a host there. The
 // request is not run again.
-func (d *Dispatcher) resumeStream(ctx context.Context, r *vetchtrail.Request, a vetchtrail.Answer) vetchtrail.Outcome {
-	e, ok := d.cfg.Rules().Endpoint(r.Resume.Endpoint)
+func (d *Dispatcher) resumeStream(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	e, ok := d.cfg.Rules().Endpoint(r.ResumeAt.Endpoint)
 	if !ok || e.Service != r.Service {
 		o := d.refusal(vetchtrail.StepParse, vetchtrail.ReasonBadRequest, time.Time{})
 		o.Status, o.Err = statusBadRequest, errors.New("the event ID does not belong to an endpoint of the service")
 		return o
 	}
 	region, known := d.cfg.Rules().Region(e.Region)
-	if !known || !r.Allowed.Has(region.ID) {
+	if !known || !r.AllowedRegions.Has(region.ID) {
 		return d.refusal(vetchtrail.StepResidency, vetchtrail.ReasonResidency, time.Time{})
 	}
 	if e.DataCentre == d.cfg.Self.DataCentre {
-		if reason, until := d.cfg.Table.Bars(e.Name, time.Now()); reason == vetchtrail.ReasonPaused {
+		if reason, until := d.cfg.Table.Blocked(e.Name, time.Now()); reason == vetchtrail.ReasonPaused {
 			return d.refusal(vetchtrail.StepDecide, reason, until)
 		}
 		if retryAt, ok := d.reserve(ctx, r, e); !ok {
-			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonLimited, retryAt)
+			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonRateLimited, retryAt)
 		}
-		r.Method, r.Path, r.Body = "GET", streamPath+r.Resume.Stream, nil
+		r.Method, r.Path, r.Body = "GET", streamPath+r.ResumeAt.Stream, nil
 		o, _ := d.cfg.Endpoints.Call(ctx, e, r, a)
 		d.returnReservation(r, o)
 		return o
@@ -48,6 +48,6 @@
 		return d.refusal(vetchtrail.StepForward, vetchtrail.ReasonUnreachable, time.Now().Add(time.Second))
 	}
 	o := d.cfg.Peers.Forward(ctx, h, r, a)
-	d.cfg.Membership.Returned(e.DataCentre, r.Service, o, time.Now())
+	d.cfg.Membership.ForwardEnded(e.DataCentre, r.Service, o, time.Now())
 	return o
 }
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -135,11 +135,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	rec.outcome = o
-	if o.Kind == vetchtrail.Answered && !a.tooLarge && k.bytes+len(a.body) <= k.cfg.MaxBytes {
+	if o.Kind == vetchtrail.OutcomeAnswered && !a.tooLarge && k.bytes+len(a.body) <= k.cfg.MaxBytes {
 		rec.status, rec.header, rec.body, rec.stored = a.status, a.header, a.body, true
 		k.bytes += len(a.body)
 	}
-	if o.Kind == vetchtrail.NotRun {
+	if o.Kind == vetchtrail.OutcomeNotRun {
 		k.remove(key.Nonce, rec)
 	}
 	close(rec.done)
@@ -190,14 +190,14 @@
 
 // Replay sends the stored answer of the request to a caller that repeated it, and returns
 // the outcome. It may only be called after Done is closed.
-func (r *Record) Replay(a vetchtrail.Answer) vetchtrail.Outcome {
+func (r *Record) Replay(a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	o := r.outcome
-	if o.Kind != vetchtrail.Answered {
+	if o.Kind != vetchtrail.OutcomeAnswered {
 		return o
 	}
 	if !r.stored {
 		return vetchtrail.Outcome{
-			Kind: vetchtrail.Unknown, Status: 502, Step: vetchtrail.StepOnce, Reason: vetchtrail.ReasonNotKept,
+			Kind: vetchtrail.OutcomeUnknown, Status: 502, Step: vetchtrail.StepIdempotency, Reason: vetchtrail.ReasonResponseNotStored,
 			Err: errors.New("the request ran once and was answered, but its answer was not stored"),
 		}
 	}
@@ -207,13 +207,13 @@
 	if err := a.Write(r.body); err != nil {
 		return callerGone(o, err)
 	}
-	o.Begun = true
+	o.ResponseStarted = true
 	return o
 }
 
 // callerGone returns the outcome of a replay whose caller is gone.
 func callerGone(o vetchtrail.Outcome, err error) vetchtrail.Outcome {
-	o.Reason, o.Err, o.Begun = vetchtrail.ReasonCallerGone, err, true
+	o.Reason, o.Err, o.ResponseStarted = vetchtrail.ReasonCallerGone, err, true
 	return o
 }
 
@@ -221,7 +221,7 @@
 // still copies it, without an error, because the caller may repeat the request to get the
 // answer.
 type Tee struct {
-	To         vetchtrail.Answer // where the answer is forwarded
+	To         vetchtrail.ResponseWriter // where the answer is forwarded
 	status     int
 	header     []vetchtrail.HeaderField
 	body       []byte
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -111,14 +111,14 @@
 				}
 				tee := &Tee{To: discard{callerGone: rapid.Bool().Draw(rt, "gone")}}
 				o := vetchtrail.Outcome{Kind: vetchtrail.OutcomeKind(rapid.IntRange(0, 2).Draw(rt, "kind"))}
-				if o.Kind == vetchtrail.Answered {
+				if o.Kind == vetchtrail.OutcomeAnswered {
 					assert.NilError(rt, tee.Begin(200, nil))
 					assert.NilError(rt, tee.Write(make([]byte, rapid.IntRange(0, 3*recordBytes).Draw(rt, "size"))))
 				}
 				k.Finish(s.key, s.rec, tee, o)
 				got := s.rec.Replay(discard{})
-				assert.Assert(rt, got.Kind == o.Kind || got.Reason == vetchtrail.ReasonNotKept)
-				if o.Kind == vetchtrail.NotRun {
+				assert.Assert(rt, got.Kind == o.Kind || got.Reason == vetchtrail.ReasonResponseNotStored)
+				if o.Kind == vetchtrail.OutcomeNotRun {
 					s.runs = 0
 				}
 				s.rec = nil
@@ -141,7 +141,7 @@
 					assert.NilError(b, err)
 					tee := &Tee{To: discard{}}
 					_ = tee.Write(make([]byte, 256))
-					k.Finish(key, rec, tee, vetchtrail.Outcome{Kind: vetchtrail.Answered})
+					k.Finish(key, rec, tee, vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered})
 				}
 			}
 		})
--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -31,39 +31,39 @@
 // that already run there, so it is also too slow if the interval leaves too little margin
 // for more urgent streams (lessUrgentShare).
 func streamTooSlow(ev *evaluation, interval, firstEvent float64, r *vetchtrail.Request, v *vetchtrail.View) bool {
-	if r.Route == "" || v.Events == 0 || ev.off.Has(vetchtrail.Pace) {
+	if r.Route == "" || v.ExpectedEvents == 0 || ev.off.Has(vetchtrail.MechanismStreamPace) {
 		return false
 	}
-	if v.UrgentPace > 0 && !ev.off.Has(vetchtrail.UrgentFirst) && interval > lessUrgentShare*maxStreamShare*v.UrgentPace {
+	if v.UrgentInterval > 0 && !ev.off.Has(vetchtrail.MechanismUrgentFirst) && interval > lessUrgentShare*maxStreamShare*v.UrgentInterval {
 		return true
 	}
 	share := maxStreamShare
-	if !r.Fresh {
+	if !r.CallerCanRetry {
 		share = maxStreamShareOnRetry
 	}
-	return firstEvent+interval*v.Events > share*r.Deadline.Sub(ev.now).Seconds()
+	return firstEvent+interval*v.ExpectedEvents > share*r.Deadline.Sub(ev.now).Seconds()
 }
 
 // missesGoal reports whether the first attempt of a stream would probably miss its
 // latency objective and should be refused. The streams that are queued behind it can then
 // begin in time, and its caller can retry later, when the peak may be over.
 func missesGoal(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
-	return !ev.off.Has(vetchtrail.Shedding) && r.Fresh && r.Stream && !r.Goal.IsZero() && float64(wait) > maxGoalRatio*float64(r.Goal.Sub(ev.now))
+	return !ev.off.Has(vetchtrail.MechanismShedding) && r.CallerCanRetry && r.Stream && !r.Goal.IsZero() && float64(wait) > maxGoalRatio*float64(r.Goal.Sub(ev.now))
 }
 
 // callerLeavesFirst reports whether the caller would give up before the first event of
 // the stream. The stream would then process its prompt, occupy a slot and slow the other
 // streams for nothing.
 func callerLeavesFirst(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
-	return !ev.off.Has(vetchtrail.Shedding) && !r.BeginBy.IsZero() && !r.Begun && ev.now.Add(wait).After(r.BeginBy)
+	return !ev.off.Has(vetchtrail.MechanismShedding) && !r.FirstEventBy.IsZero() && !r.ResponseStarted && ev.now.Add(wait).After(r.FirstEventBy)
 }
 
 // expectedWait corrects the wait that was predicted for an endpoint of this data centre
 // by the observed ratio of actual to predicted waits. Without observations it returns
 // the prediction.
 func expectedWait(predicted time.Duration, v *vetchtrail.View) time.Duration {
-	if v.Borne == 0 {
+	if v.PredictionRatio == 0 {
 		return predicted
 	}
-	return time.Duration(v.Borne * float64(predicted))
+	return time.Duration(v.PredictionRatio * float64(predicted))
 }
--- a/request/policy/baseline.go
+++ b/request/policy/baseline.go
@@ -57,11 +57,11 @@
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
 		switch reason := unusableReason(e, r, v); {
-		case reason == vetchtrail.ReasonRefused:
+		case reason == vetchtrail.ReasonEndpointRefused:
 			waitable++
 		case reason != "":
-			d.Note(e.Name, 0, reason)
-		case e.Own >= e.Limit:
+			d.AddCandidate(e.Name, 0, reason)
+		case e.InFlight >= e.InFlightLimit:
 			waitable++
 		default:
 			usable = append(usable, i)
@@ -70,7 +70,7 @@
 	if len(usable) > 0 {
 		index := p.pick(v, usable, rnd)
 		d.Kind, d.Target, d.Name, d.Reason = vetchtrail.RunHere, index, v.Endpoints[index].Name, vetchtrail.ReasonChosen
-		d.Looked += len(usable)
+		d.Considered += len(usable)
 		return d
 	}
 	if index, cost := bestRemote(&d, &evaluation{now: now}, r, v); index >= 0 {
@@ -98,7 +98,7 @@
 	best := usable[start]
 	for i := range usable {
 		index := usable[(start+i)%len(usable)]
-		if v.Endpoints[index].Own < v.Endpoints[best].Own {
+		if v.Endpoints[index].InFlight < v.Endpoints[best].InFlight {
 			best = index
 		}
 	}
@@ -120,7 +120,7 @@
 // doesn't discount the report for its age.
 func reportedLoad(e *vetchtrail.EndpointView) int {
 	if !hasFreshReport(e) {
-		return e.Own
+		return e.InFlight
 	}
-	return max(e.Own, e.Running+e.Queued+e.OwnSince)
+	return max(e.InFlight, e.Running+e.Queued+e.InFlightChange)
 }
--- a/request/policy/cost.go
+++ b/request/policy/cost.go
@@ -21,27 +21,27 @@
 // endpoint that is estimated to have the given number of requests.
 func endpointCost(ev *evaluation, e *vetchtrail.EndpointView, r *vetchtrail.Request, v *vetchtrail.View, requests float64) float64 {
 	prefill := prefillTime(e, r)
-	latency := timeToFirstToken(e, r, requests) + e.Service*serviceTimeWeight
-	if v.Refused {
+	latency := timeToFirstToken(e, r, requests) + e.ServiceTime*serviceTimeWeight
+	if v.RefusedHere {
 		latency += refusedPenaltySeconds
 	}
-	if !ev.off.Has(vetchtrail.FailureCost) {
-		latency += failureCostSeconds * e.Failing
+	if !ev.off.Has(vetchtrail.MechanismFailureCost) {
+		latency += failureCostSeconds * e.ExcessFailureRate
 	}
-	return v.Weights.Tail*latency + v.Weights.Cost*(prefill+e.Service) + v.Weights.Read*idlePrefillTime(uncachedTokens(e, r), e, v)
+	return v.Weights.Tail*latency + v.Weights.Cost*(prefill+e.ServiceTime) + v.Weights.Read*idlePrefillTime(uncachedTokens(e, r), e, v)
 }
 
 // uncachedTokens returns how many tokens of a request's prompt the endpoint has not
 // cached.
 func uncachedTokens(e *vetchtrail.EndpointView, r *vetchtrail.Request) int {
-	return max(0, r.PromptTokens()-e.Kept)
+	return max(0, r.PromptTokens()-e.CachedTokens)
 }
 
 // idlePrefillTime predicts the seconds that an idle endpoint takes to process prompt
 // tokens. It measures the work of processing them, which is the same at a busy endpoint
 // although that takes longer.
 func idlePrefillTime(tokens int, e *vetchtrail.EndpointView, v *vetchtrail.View) float64 {
-	return float64(tokens) * min(e.Prefill, v.IdleRead)
+	return float64(tokens) * min(e.Prefill, v.IdlePrefill)
 }
 
 // remoteUncachedTokens estimates how many tokens of a request's prompt a remote data
@@ -49,11 +49,11 @@
 // of the tokens that prompts share as the local endpoints.
 func remoteUncachedTokens(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) int {
 	total := r.PromptTokens()
-	if len(r.Prompt) == 0 || ev.off.Has(vetchtrail.KeptElsewhere) {
+	if len(r.Prompt) == 0 || ev.off.Has(vetchtrail.MechanismRemoteCacheEstimate) {
 		return total
 	}
 	shared := total - r.Prompt[len(r.Prompt)-1].Tokens
-	return total - int(v.KeptShare*float64(shared))
+	return total - int(v.CachedShare*float64(shared))
 }
 
 // prefillTime predicts the seconds that an endpoint takes to process the part of a
@@ -65,5 +65,5 @@
 // timeToFirstToken predicts the seconds until the first token of an answer arrives from
 // an endpoint that is estimated to have the given number of requests.
 func timeToFirstToken(e *vetchtrail.EndpointView, r *vetchtrail.Request, requests float64) float64 {
-	return startDelay(e, requests) + e.Base + e.Backlog + prefillTime(e, r)
+	return startDelay(e, requests) + e.BaseLatency + e.Backlog + prefillTime(e, r)
 }
--- a/request/policy/estimate.go
+++ b/request/policy/estimate.go
@@ -35,12 +35,14 @@
 	return float64(sum) / float64(count)
 }
 
-func hasFreshReport(e *vetchtrail.EndpointView) bool { return e.Age >= 0 && e.Age <= maxReportAge }
+func hasFreshReport(e *vetchtrail.EndpointView) bool {
+	return e.ReportAge >= 0 && e.ReportAge <= maxReportAge
+}
 
 // reportedOtherRequests returns how many requests of other hosts an endpoint had at the
 // time of its load report: all that it reported less those of this host at that time.
 func reportedOtherRequests(e *vetchtrail.EndpointView) int {
-	return max(0, e.Running+e.Queued-(e.Own-e.OwnSince))
+	return max(0, e.Running+e.Queued-(e.InFlight-e.InFlightChange))
 }
 
 // estimateRequests estimates how many requests an endpoint has now: those of this host,
@@ -50,14 +52,14 @@
 // Otherwise all hosts with the same old reports would choose the same endpoint.
 func estimateRequests(e *vetchtrail.EndpointView, meanOthers float64) float64 {
 	if !hasFreshReport(e) {
-		return float64(e.Own) + meanOthers
+		return float64(e.InFlight) + meanOthers
 	}
-	relativeAge := float64(e.Age) / float64(time.Second) / max(e.Service, 1e-3)
+	relativeAge := float64(e.ReportAge) / float64(time.Second) / max(e.ServiceTime, 1e-3)
 	if e.Running+e.Queued >= e.Slots {
 		relativeAge /= fullQueueFactor
 	}
 	confidence := 1 / (1 + relativeAge + relativeAge*relativeAge/2)
-	return float64(e.Own) + meanOthers + confidence*(float64(reportedOtherRequests(e))-meanOthers)
+	return float64(e.InFlight) + meanOthers + confidence*(float64(reportedOtherRequests(e))-meanOthers)
 }
 
 // startDelay predicts the seconds until an endpoint that is estimated to have the given
@@ -67,8 +69,8 @@
 func startDelay(e *vetchtrail.EndpointView, requests float64) float64 {
 	slots := float64(max(e.Slots, 1))
 	if requests >= slots {
-		return e.Service * (batchSlowdown + (requests-slots+1)/slots)
+		return e.ServiceTime * (batchSlowdown + (requests-slots+1)/slots)
 	}
 	utilisation := requests / slots
-	return e.Service * (batchSlowdown*utilisation + utilisation*utilisation*utilisation*utilisation/slots)
+	return e.ServiceTime * (batchSlowdown*utilisation + utilisation*utilisation*utilisation*utilisation/slots)
 }
--- a/request/policy/mechanisms_test.go
+++ b/request/policy/mechanisms_test.go
@@ -16,7 +16,7 @@
 func TestSwitchedOffMechanisms(t *testing.T) {
 	stream := func(change func(*vetchtrail.Request)) func(*vetchtrail.Request) {
 		return func(r *vetchtrail.Request) {
-			r.Route, r.Stream, r.Fresh, r.Goal = "r", true, true, now.Add(time.Second)
+			r.Route, r.Stream, r.CallerCanRetry, r.Goal = "r", true, true, now.Add(time.Second)
 			if change != nil {
 				change(r)
 			}
@@ -32,15 +32,15 @@
 		view          vetchtrail.View
 		with, without vetchtrail.DecisionKind // the decisions with and without the mechanism
 	}{
-		"slow stream":        {vetchtrail.Pace, stream(nil), vetchtrail.View{Events: 100, Endpoints: single(func(e *vetchtrail.EndpointView) { e.Gap = 0.1 })}, vetchtrail.Refuse, vetchtrail.RunHere},
-		"less urgent stream": {vetchtrail.UrgentFirst, stream(nil), vetchtrail.View{Events: 10, UrgentPace: 0.2, Endpoints: single(func(e *vetchtrail.EndpointView) { e.Gap = 0.1 })}, vetchtrail.Refuse, vetchtrail.RunHere},
-		"shedding":           {vetchtrail.Shedding, stream(nil), vetchtrail.View{Endpoints: single(func(e *vetchtrail.EndpointView) { e.Backlog = 3 })}, vetchtrail.Refuse, vetchtrail.RunHere},
-		"forwarding":         {vetchtrail.Forwarding, nil, vetchtrail.View{Remotes: remotes}, vetchtrail.RunElsewhere, vetchtrail.Refuse},
-		"waiting":            {vetchtrail.Waiting, nil, vetchtrail.View{Endpoints: single(func(e *vetchtrail.EndpointView) { e.Own = e.Limit })}, vetchtrail.WaitHere, vetchtrail.Refuse},
-		"failing endpoint":   {vetchtrail.FailureCost, nil, vetchtrail.View{Endpoints: single(func(e *vetchtrail.EndpointView) { e.Failing = 1 }), Remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Delay = 300 * time.Millisecond })}}, vetchtrail.RunElsewhere, vetchtrail.RunHere},
-		"prompt cached elsewhere": {vetchtrail.KeptElsewhere, stream(func(r *vetchtrail.Request) {
+		"slow stream":        {vetchtrail.MechanismStreamPace, stream(nil), vetchtrail.View{ExpectedEvents: 100, Endpoints: single(func(e *vetchtrail.EndpointView) { e.EventInterval = 0.1 })}, vetchtrail.Refuse, vetchtrail.RunHere},
+		"less urgent stream": {vetchtrail.MechanismUrgentFirst, stream(nil), vetchtrail.View{ExpectedEvents: 10, UrgentInterval: 0.2, Endpoints: single(func(e *vetchtrail.EndpointView) { e.EventInterval = 0.1 })}, vetchtrail.Refuse, vetchtrail.RunHere},
+		"shedding":           {vetchtrail.MechanismShedding, stream(nil), vetchtrail.View{Endpoints: single(func(e *vetchtrail.EndpointView) { e.Backlog = 3 })}, vetchtrail.Refuse, vetchtrail.RunHere},
+		"forwarding":         {vetchtrail.MechanismForwarding, nil, vetchtrail.View{Remotes: remotes}, vetchtrail.RunElsewhere, vetchtrail.Refuse},
+		"waiting":            {vetchtrail.MechanismQueueing, nil, vetchtrail.View{Endpoints: single(func(e *vetchtrail.EndpointView) { e.InFlight = e.InFlightLimit })}, vetchtrail.WaitHere, vetchtrail.Refuse},
+		"failing endpoint":   {vetchtrail.MechanismFailureCost, nil, vetchtrail.View{Endpoints: single(func(e *vetchtrail.EndpointView) { e.ExcessFailureRate = 1 }), Remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Delay = 300 * time.Millisecond })}}, vetchtrail.RunElsewhere, vetchtrail.RunHere},
+		"prompt cached elsewhere": {vetchtrail.MechanismRemoteCacheEstimate, stream(func(r *vetchtrail.Request) {
 			r.Prompt = []vetchtrail.PromptPart{{ID: 1, Tokens: 9000}, {ID: 2, Tokens: 1000}}
-		}), vetchtrail.View{KeptShare: 1, IdleRead: 1e-4, Endpoints: single(func(e *vetchtrail.EndpointView) { e.Backlog, e.Kept = 0.5, 9000 }), Remotes: remotes}, vetchtrail.RunElsewhere, vetchtrail.RunHere},
+		}), vetchtrail.View{CachedShare: 1, IdlePrefill: 1e-4, Endpoints: single(func(e *vetchtrail.EndpointView) { e.Backlog, e.CachedTokens = 0.5, 9000 }), Remotes: remotes}, vetchtrail.RunElsewhere, vetchtrail.RunHere},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
