--- a/request/policy/policy_test.go
+++ b/request/policy/policy_test.go
@@ -17,7 +17,7 @@
 
 func endpoint(name string, change func(*vetchtrail.EndpointView)) vetchtrail.EndpointView {
 	e := vetchtrail.EndpointView{
-		Name: name, Region: 1, Slots: 8, Limit: 16, Age: 100 * time.Millisecond, Prefill: 0.0002, Service: 1, Warmth: 1,
+		Name: name, Region: 1, Slots: 8, InFlightLimit: 16, ReportAge: 100 * time.Millisecond, Prefill: 0.0002, ServiceTime: 1, WarmUpShare: 1,
 	}
 	if change != nil {
 		change(&e)
@@ -26,7 +26,7 @@
 }
 
 func remote(name string, change func(*vetchtrail.RemoteView)) vetchtrail.RemoteView {
-	m := vetchtrail.RemoteView{DataCentre: name, Region: 2, Delay: 20 * time.Millisecond, Free: 8, Reachable: true, Warmth: 1}
+	m := vetchtrail.RemoteView{DataCentre: name, Region: 2, Delay: 20 * time.Millisecond, FreeSlots: 8, Reachable: true, WarmUpShare: 1}
 	if change != nil {
 		change(&m)
 	}
@@ -34,7 +34,7 @@
 }
 
 func request(change func(*vetchtrail.Request)) *vetchtrail.Request {
-	r := &vetchtrail.Request{Allowed: vetchtrail.RegionsOf(1, 2), Deadline: now.Add(10 * time.Second), Tokens: 100}
+	r := &vetchtrail.Request{AllowedRegions: vetchtrail.RegionsOf(1, 2), Deadline: now.Add(10 * time.Second), EstimatedTokens: 100}
 	if change != nil {
 		change(r)
 	}
@@ -43,13 +43,17 @@
 
 // TestWeighted checks the weighted policy's decision in one situation per case.
 func TestWeighted(t *testing.T) {
-	atLimit := func(e *vetchtrail.EndpointView) { e.Own = e.Limit }
+	atLimit := func(e *vetchtrail.EndpointView) { e.InFlight = e.InFlightLimit }
 	busy := func(e *vetchtrail.EndpointView) { e.Running, e.Queued = 8, 16 }
-	slow := func(e *vetchtrail.EndpointView) { e.Gap = 0.1 }
-	coldStart := func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonCold, 0.3 }
-	rateLimited := func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonLimited, 0.6 }
+	slow := func(e *vetchtrail.EndpointView) { e.EventInterval = 0.1 }
+	coldStart := func(e *vetchtrail.EndpointView) {
+		e.Unavailable, e.UnavailableReason, e.AvailableIn = true, vetchtrail.ReasonColdStart, 0.3
+	}
+	rateLimited := func(e *vetchtrail.EndpointView) {
+		e.Unavailable, e.UnavailableReason, e.AvailableIn = true, vetchtrail.ReasonRateLimited, 0.6
+	}
 	stream := func(r *vetchtrail.Request) {
-		r.Route, r.Stream, r.Fresh = "r", true, true
+		r.Route, r.Stream, r.CallerCanRetry = "r", true, true
 		r.Prompt = []vetchtrail.PromptPart{{ID: 1, Tokens: 9000}, {ID: 2, Tokens: 1000}}
 	}
 	stayInRegion := vetchtrail.Weights{Tail: 1, Away: 3}
@@ -75,7 +79,7 @@
 		},
 		"prefers a faster endpoint": {
 			weights:   latencyFirst,
-			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Service, e.Prefill = 5, 0.001 }), endpoint("b", nil)},
+			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.ServiceTime, e.Prefill = 5, 0.001 }), endpoint("b", nil)},
 			kind:      vetchtrail.RunHere, name: "b", reason: vetchtrail.ReasonChosen,
 		},
 		"forwards from a busy region when latency counts most": {
@@ -87,12 +91,12 @@
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"waits when residency forbids forwarding": {
-			request: func(r *vetchtrail.Request) { r.Allowed = vetchtrail.RegionsOf(1) }, weights: latencyFirst,
+			request: func(r *vetchtrail.Request) { r.AllowedRegions = vetchtrail.RegionsOf(1) }, weights: latencyFirst,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
 		"forwards when residency forbids running here": {
-			request: func(r *vetchtrail.Request) { r.Allowed = vetchtrail.RegionsOf(2) }, weights: stayInRegion,
+			request: func(r *vetchtrail.Request) { r.AllowedRegions = vetchtrail.RegionsOf(2) }, weights: stayInRegion,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", nil)}, remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind: vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
@@ -116,7 +120,7 @@
 		},
 		"waits for an endpoint that refused for its load": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
-				e.Away, e.Why, e.Back = true, vetchtrail.ReasonRefused, 1
+				e.Unavailable, e.UnavailableReason, e.AvailableIn = true, vetchtrail.ReasonEndpointRefused, 1
 			})},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
@@ -125,19 +129,19 @@
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
 		"lets a retried stream take longer": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 50,
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry = false }, weights: latencyFirst, events: 50,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"refuses a retried stream that would end late": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 80,
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry = false }, weights: latencyFirst, events: 80,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
 		"refuses a less urgent stream before more urgent ones are too slow": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 50, urgentInterval: 0.4,
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry = false }, weights: latencyFirst, events: 50, urgentInterval: 0.4,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
 		"admits a less urgent stream while more urgent ones have time": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh = false }, weights: latencyFirst, events: 50, urgentInterval: 0.6,
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry = false }, weights: latencyFirst, events: 50, urgentInterval: 0.6,
 			endpoints: []vetchtrail.EndpointView{endpoint("a", slow)}, kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"admits a short stream at a slow endpoint": {
@@ -147,69 +151,75 @@
 		"forwards a stream to where streams are faster": {
 			request: stream, weights: latencyFirst, events: 50, endpoints: []vetchtrail.EndpointView{endpoint("a", slow)},
 			remotes: []vetchtrail.RemoteView{
-				remote("x", func(m *vetchtrail.RemoteView) { m.Gap = 0.1 }), remote("y", func(m *vetchtrail.RemoteView) { m.Gap = 0.01 }),
+				remote("x", func(m *vetchtrail.RemoteView) { m.EventInterval = 0.1 }), remote("y", func(m *vetchtrail.RemoteView) { m.EventInterval = 0.01 }),
 			},
 			kind: vetchtrail.RunElsewhere, name: "y", reason: vetchtrail.ReasonChosen,
 		},
 		"prefers an endpoint with the prompt cached to an idle one": {
 			request: stream, weights: vetchtrail.Weights{Tail: 1, Read: 3},
-			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Kept, e.Backlog = 9000, 1 }), endpoint("b", nil)},
+			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.CachedTokens, e.Backlog = 9000, 1 }), endpoint("b", nil)},
 			kind:      vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"leaves a busy endpoint with the prompt cached": {
 			request: stream, weights: vetchtrail.Weights{Tail: 1, Read: 3},
 			endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
-				e.Kept, e.Backlog, e.Prefill = 9000, 1, 3e-5 // as observed while it processes other prompts in between
+				e.CachedTokens, e.Backlog, e.Prefill = 9000, 1, 3e-5 // as observed while it processes other prompts in between
 			})},
 			remotes: []vetchtrail.RemoteView{remote("x", nil)},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
 		"refuses a first attempt that would miss its goal": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = true, now.Add(time.Second) },
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry, r.Goal = true, now.Add(time.Second) },
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
 		"admits a first attempt where waits are shorter than predicted": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = true, now.Add(time.Second) },
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry, r.Goal = true, now.Add(time.Second) },
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })}, ratio: 0.15,
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"admits a retry that would miss its goal": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = false, now.Add(time.Second) },
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry, r.Goal = false, now.Add(time.Second) },
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"refuses a retry whose caller would leave first": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.BeginBy = false, now.Add(2*time.Second) },
+			request: func(r *vetchtrail.Request) {
+				stream(r)
+				r.CallerCanRetry, r.FirstEventBy = false, now.Add(2*time.Second)
+			},
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
 		"admits a retry whose caller still waits": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.BeginBy = false, now.Add(5*time.Second) },
+			request: func(r *vetchtrail.Request) {
+				stream(r)
+				r.CallerCanRetry, r.FirstEventBy = false, now.Add(5*time.Second)
+			},
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"continues a stream that has begun": {
 			request: func(r *vetchtrail.Request) {
 				stream(r)
-				r.Fresh, r.Begun, r.BeginBy = false, true, now.Add(2*time.Second)
+				r.CallerCanRetry, r.ResponseStarted, r.FirstEventBy = false, true, now.Add(2*time.Second)
 			},
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 3 })},
 			kind: vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 		"refuses a first attempt that would miss its goal elsewhere too": {
-			request: func(r *vetchtrail.Request) { stream(r); r.Fresh, r.Goal = true, now.Add(time.Second) },
+			request: func(r *vetchtrail.Request) { stream(r); r.CallerCanRetry, r.Goal = true, now.Add(time.Second) },
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Backlog = 9 })},
-			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Wait = 3 })},
+			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.TimeToFirstToken = 3 })},
 			kind:    vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
 		"avoids an endpoint that fails often": {
-			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.Failing = 0.4 }), endpoint("b", nil)},
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) { e.ExcessFailureRate = 0.4 }), endpoint("b", nil)},
 			kind: vetchtrail.RunHere, name: "b", reason: vetchtrail.ReasonChosen,
 		},
 		"waits for an endpoint in its cold start": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", func(e *vetchtrail.EndpointView) {
-				e.Away, e.Why, e.Back = true, vetchtrail.ReasonCold, 0.2
+				e.Unavailable, e.UnavailableReason, e.AvailableIn = true, vetchtrail.ReasonColdStart, 0.2
 			})},
 			kind: vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
@@ -228,7 +238,7 @@
 		},
 		"refuses further requests that would wait for rate limits": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", rateLimited), endpoint("b", rateLimited)}, queueWait: 0.02,
-			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonLimited,
+			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonRateLimited,
 		},
 		"queues for a full endpoint without a rate limit": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", rateLimited), endpoint("b", atLimit)}, queueWait: 0.02,
@@ -240,17 +250,17 @@
 		},
 		"waits in a short queue": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, queueWait: 0.05,
-			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Wait = 2 })},
+			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.TimeToFirstToken = 2 })},
 			kind:    vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
 		"forwards from a long queue": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, queueWait: 5,
-			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Wait = 2 })},
+			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.TimeToFirstToken = 2 })},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
 		"waits when the other data centre is full too": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)},
-			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Own = 8 })},
+			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.InFlight = 8 })},
 			kind:    vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
 		"forwards when the round trip is shorter than the wait": {
@@ -276,13 +286,13 @@
 		},
 		"limits the load of a data centre in its warm-up": {
 			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", busy)},
-			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Own, m.Warmth = 2, 0.2 })},
+			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.InFlight, m.WarmUpShare = 2, 0.2 })},
 			kind:    vetchtrail.RunHere, name: "a", reason: vetchtrail.ReasonChosen,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v := &vetchtrail.View{Region: 1, Weights: c.weights, Endpoints: c.endpoints, Remotes: c.remotes, Excluded: c.excluded, Events: c.events, Line: c.queueWait, Waited: c.waited, UrgentPace: c.urgentInterval, Borne: c.ratio}
+			v := &vetchtrail.View{Region: 1, Weights: c.weights, Endpoints: c.endpoints, Remotes: c.remotes, Excluded: c.excluded, ExpectedEvents: c.events, QueueWait: c.queueWait, WaitExhausted: c.waited, UrgentInterval: c.urgentInterval, PredictionRatio: c.ratio}
 			d := Weighted{}.Decide(now, request(c.request), v, rand.New(rand.NewPCG(1, 1)))
 			assert.Equal(t, d.Kind, c.kind)
 			assert.Equal(t, d.Name, c.name)
@@ -307,32 +317,32 @@
 
 func checkDecision(rt *rapid.T, p vetchtrail.Policy) {
 	r := &vetchtrail.Request{
-		Allowed: vetchtrail.RegionSet(rapid.Uint64Range(0, 15).Draw(rt, "allowed")), Hops: rapid.IntRange(0, 1).Draw(rt, "hops"),
-		Deadline: now.Add(time.Duration(rapid.IntRange(-1, 20).Draw(rt, "left")) * time.Second), Tokens: rapid.IntRange(1, 9999).Draw(rt, "tokens"),
+		AllowedRegions: vetchtrail.RegionSet(rapid.Uint64Range(0, 15).Draw(rt, "allowed")), Hops: rapid.IntRange(0, 1).Draw(rt, "hops"),
+		Deadline: now.Add(time.Duration(rapid.IntRange(-1, 20).Draw(rt, "left")) * time.Second), EstimatedTokens: rapid.IntRange(1, 9999).Draw(rt, "tokens"),
 	}
 	v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1, Away: rapid.Float64Range(0, 5).Draw(rt, "away")}, Excluded: []string{"0"}}
 	for i := range rapid.IntRange(0, 5).Draw(rt, "endpoints") {
 		v.Endpoints = append(v.Endpoints, vetchtrail.EndpointView{
 			Name: fmt.Sprint(i), Region: vetchtrail.RegionID(rapid.IntRange(0, 3).Draw(rt, "region")), Slots: rapid.IntRange(0, 8).Draw(rt, "slots"),
-			Limit: rapid.IntRange(0, 8).Draw(rt, "limit"), Own: rapid.IntRange(0, 8).Draw(rt, "own"), Running: rapid.IntRange(0, 99).Draw(rt, "running"),
-			Age: time.Duration(rapid.IntRange(-1, 20).Draw(rt, "age")) * time.Second, Service: rapid.Float64Range(0, 9).Draw(rt, "service"),
-			Away: rapid.Bool().Draw(rt, "out"), Why: vetchtrail.ReasonDraining,
+			InFlightLimit: rapid.IntRange(0, 8).Draw(rt, "limit"), InFlight: rapid.IntRange(0, 8).Draw(rt, "own"), Running: rapid.IntRange(0, 99).Draw(rt, "running"),
+			ReportAge: time.Duration(rapid.IntRange(-1, 20).Draw(rt, "age")) * time.Second, ServiceTime: rapid.Float64Range(0, 9).Draw(rt, "service"),
+			Unavailable: rapid.Bool().Draw(rt, "out"), UnavailableReason: vetchtrail.ReasonDraining,
 		})
 	}
 	for i := range rapid.IntRange(0, 3).Draw(rt, "remotes") {
 		v.Remotes = append(v.Remotes, vetchtrail.RemoteView{
-			DataCentre: fmt.Sprint("r", i), Region: vetchtrail.RegionID(rapid.IntRange(0, 3).Draw(rt, "region")), Warmth: 1,
-			Free: rapid.IntRange(0, 4).Draw(rt, "free"), Own: rapid.IntRange(0, 4).Draw(rt, "own"), Reachable: rapid.Bool().Draw(rt, "reachable"),
+			DataCentre: fmt.Sprint("r", i), Region: vetchtrail.RegionID(rapid.IntRange(0, 3).Draw(rt, "region")), WarmUpShare: 1,
+			FreeSlots: rapid.IntRange(0, 4).Draw(rt, "free"), InFlight: rapid.IntRange(0, 4).Draw(rt, "own"), Reachable: rapid.Bool().Draw(rt, "reachable"),
 		})
 	}
 	d := p.Decide(now, r, v, rand.New(rand.NewPCG(1, 2)))
 	switch d.Kind {
 	case vetchtrail.RunHere:
 		e := v.Endpoints[d.Target]
-		assert.Assert(rt, r.Allowed.Has(e.Region) && !e.Away && e.Own < e.Limit && e.Name != "0" && now.Before(r.Deadline))
+		assert.Assert(rt, r.AllowedRegions.Has(e.Region) && !e.Unavailable && e.InFlight < e.InFlightLimit && e.Name != "0" && now.Before(r.Deadline))
 	case vetchtrail.RunElsewhere:
 		m := v.Remotes[d.Target]
-		assert.Assert(rt, r.Allowed.Has(m.Region) && m.Reachable && r.Hops == 0 && m.Own < m.Free && now.Before(r.Deadline))
+		assert.Assert(rt, r.AllowedRegions.Has(m.Region) && m.Reachable && r.Hops == 0 && m.InFlight < m.FreeSlots && now.Before(r.Deadline))
 	case vetchtrail.Refuse:
 		assert.Assert(rt, d.RetryAt.After(now) && d.Reason != "")
 	}
@@ -374,12 +384,12 @@
 func TestSlowEndpointsBeyondCachedCosts(t *testing.T) {
 	var endpoints []vetchtrail.EndpointView
 	for i := range maxCachedCosts + 50 {
-		endpoints = append(endpoints, endpoint(fmt.Sprintf("e%03d", i), func(e *vetchtrail.EndpointView) { e.Gap = 0.1 }))
+		endpoints = append(endpoints, endpoint(fmt.Sprintf("e%03d", i), func(e *vetchtrail.EndpointView) { e.EventInterval = 0.1 }))
 	}
-	endpoints[maxCachedCosts+20].Gap = 0.001
+	endpoints[maxCachedCosts+20].EventInterval = 0.001
 	for seed := range uint64(50) {
-		v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, Endpoints: endpoints, Events: 50}
-		d := Weighted{}.Decide(now, request(func(r *vetchtrail.Request) { r.Route, r.Fresh = "r", true }), v, rand.New(rand.NewPCG(seed, 1)))
+		v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, Endpoints: endpoints, ExpectedEvents: 50}
+		d := Weighted{}.Decide(now, request(func(r *vetchtrail.Request) { r.Route, r.CallerCanRetry = "r", true }), v, rand.New(rand.NewPCG(seed, 1)))
 		assert.Equal(t, d.Name, endpoints[maxCachedCosts+20].Name)
 	}
 }
--- a/request/policy/ratelimited_test.go
+++ b/request/policy/ratelimited_test.go
@@ -15,9 +15,13 @@
 // endpoints are rate-limited gets the time at which the first of them has requests left.
 // Any other time would make the caller retry too early or too late.
 func TestRetryAtWhenRateLimited(t *testing.T) {
-	v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, Line: 0.02, Endpoints: []vetchtrail.EndpointView{
-		endpoint("a", func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonLimited, 3 }),
-		endpoint("b", func(e *vetchtrail.EndpointView) { e.Away, e.Why, e.Back = true, vetchtrail.ReasonLimited, 0.7 }),
+	v := &vetchtrail.View{Region: 1, Weights: vetchtrail.Weights{Tail: 1}, QueueWait: 0.02, Endpoints: []vetchtrail.EndpointView{
+		endpoint("a", func(e *vetchtrail.EndpointView) {
+			e.Unavailable, e.UnavailableReason, e.AvailableIn = true, vetchtrail.ReasonRateLimited, 3
+		}),
+		endpoint("b", func(e *vetchtrail.EndpointView) {
+			e.Unavailable, e.UnavailableReason, e.AvailableIn = true, vetchtrail.ReasonRateLimited, 0.7
+		}),
 	}}
 	d := Weighted{}.Decide(now, request(nil), v, rand.New(rand.NewPCG(1, 1)))
 	assert.Equal(t, d.RetryAt.Sub(now), 700*time.Millisecond)
@@ -32,7 +36,7 @@
 			r, v, rnd := request(nil), view(270), rand.New(rand.NewPCG(1, 2))
 			for i := range v.Endpoints {
 				if e := &v.Endpoints[i]; share > 0 && i%share == 0 {
-					e.Away, e.Why, e.Back, e.Limited, e.Rate = true, vetchtrail.ReasonLimited, 0.5, true, 2
+					e.Unavailable, e.UnavailableReason, e.AvailableIn, e.RateLimited, e.Rate = true, vetchtrail.ReasonRateLimited, 0.5, true, 2
 				}
 			}
 			b.ReportAllocs()
--- a/request/policy/refusal.go
+++ b/request/policy/refusal.go
@@ -21,11 +21,11 @@
 // refusalReason returns the reason that a caller receives when its request can neither
 // run nor wait anywhere.
 func refusalReason(r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
-	if r.Allowed == 0 {
+	if r.AllowedRegions == 0 {
 		return vetchtrail.ReasonResidency
 	}
 	for i := range v.Endpoints {
-		if r.Allowed.Has(v.Endpoints[i].Region) {
+		if r.AllowedRegions.Has(v.Endpoints[i].Region) {
 			return vetchtrail.ReasonOverCapacity
 		}
 	}
@@ -34,7 +34,7 @@
 		switch unusableRemoteReason(&v.Remotes[i], r, v) {
 		case vetchtrail.ReasonFull:
 			return vetchtrail.ReasonOverCapacity
-		case vetchtrail.ReasonUnreachable, vetchtrail.ReasonStale:
+		case vetchtrail.ReasonUnreachable, vetchtrail.ReasonReportStale:
 			reason = vetchtrail.ReasonUnreachable
 		}
 	}
--- a/request/policy/remote.go
+++ b/request/policy/remote.go
@@ -22,21 +22,21 @@
 // cost. The index is -1 if none can be used.
 func bestRemote(d *vetchtrail.Decision, ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) (index int, cost float64) {
 	index, cost = -1, math.Inf(1)
-	if ev.off.Has(vetchtrail.Forwarding) {
+	if ev.off.Has(vetchtrail.MechanismForwarding) {
 		return index, cost
 	}
 	for i := range v.Remotes {
 		m := &v.Remotes[i]
 		if reason := unusableRemoteReason(m, r, v); reason != "" {
-			d.Note(m.DataCentre, 0, reason)
+			d.AddCandidate(m.DataCentre, 0, reason)
 			continue
 		}
-		if streamTooSlow(ev, m.Gap, 2*m.Delay.Seconds()+m.Wait, r, v) {
-			d.Note(m.DataCentre, m.Gap, vetchtrail.ReasonSlow)
+		if streamTooSlow(ev, m.EventInterval, 2*m.Delay.Seconds()+m.TimeToFirstToken, r, v) {
+			d.AddCandidate(m.DataCentre, m.EventInterval, vetchtrail.ReasonSlow)
 			continue
 		}
-		c := v.Weights.Tail*(2*m.Delay.Seconds()+m.Wait+digestAgePenalty*m.Age.Seconds()) + crossRegionCost(m, v) + idleCost(ev, r, v)
-		d.Note(m.DataCentre, c, vetchtrail.ReasonCost)
+		c := v.Weights.Tail*(2*m.Delay.Seconds()+m.TimeToFirstToken+digestAgePenalty*m.DigestAge.Seconds()) + crossRegionCost(m, v) + idleCost(ev, r, v)
+		d.AddCandidate(m.DataCentre, c, vetchtrail.ReasonCost)
 		if c < cost {
 			index, cost = i, c
 		}
@@ -52,7 +52,7 @@
 	}
 	e := &v.Endpoints[0]
 	prefill := idlePrefillTime(remoteUncachedTokens(ev, r, v), e, v)
-	return v.Weights.Tail*(e.Base+prefill+e.Service*serviceTimeWeight) + v.Weights.Cost*(prefill+e.Service) + v.Weights.Read*prefill
+	return v.Weights.Tail*(e.BaseLatency+prefill+e.ServiceTime*serviceTimeWeight) + v.Weights.Cost*(prefill+e.ServiceTime) + v.Weights.Read*prefill
 }
 
 // crossRegionCost returns the cost of forwarding a request out of this host's region. A
@@ -70,15 +70,15 @@
 	switch {
 	case r.Hops >= vetchtrail.MaxHops:
 		return vetchtrail.ReasonHops
-	case !r.Allowed.Has(m.Region):
+	case !r.AllowedRegions.Has(m.Region):
 		return vetchtrail.ReasonResidency
 	case !m.Reachable:
 		return vetchtrail.ReasonUnreachable
-	case m.Age > maxReportAge:
-		return vetchtrail.ReasonStale
+	case m.DigestAge > maxReportAge:
+		return vetchtrail.ReasonReportStale
 	case len(v.Excluded) > 0 && slices.Contains(v.Excluded, m.DataCentre):
-		return vetchtrail.ReasonExcluded
-	case float64(m.Own) >= float64(m.Free)*m.Warmth:
+		return vetchtrail.ReasonTriedBefore
+	case float64(m.InFlight) >= float64(m.FreeSlots)*m.WarmUpShare:
 		return vetchtrail.ReasonFull
 	}
 	return ""
@@ -95,7 +95,7 @@
 // the request instead if its first token would come too late.
 func runElsewhere(d *vetchtrail.Decision, ev *evaluation, index int, cost float64, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Decision {
 	m := &v.Remotes[index]
-	d.Wait = 2*m.Delay + cappedDuration(m.Wait)
+	d.Wait = 2*m.Delay + cappedDuration(m.TimeToFirstToken)
 	if ev.now.Add(d.Wait).After(r.Deadline) {
 		return refuse(d, vetchtrail.ReasonDeadline, ev.now, d.Wait)
 	}
--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -61,22 +61,22 @@
 		return refuse(&d, vetchtrail.ReasonDeadline, now, 0)
 	}
 	evaluate(&ev, &d, now, r, v)
-	ev.wait = max(ev.wait, v.Line)
+	ev.wait = max(ev.wait, v.QueueWait)
 	remote, remoteCost := bestRemote(&d, &ev, r, v)
 	if ev.available > 0 && (remote < 0 || ev.bestCost*remoteMargin <= remoteCost) {
 		return runHere(&d, &ev, now, r, v, rnd)
 	}
-	if remote >= 0 && (ev.waitable == 0 || v.Waited || worthForwarding(&ev, r, v, remoteCost)) {
+	if remote >= 0 && (ev.waitable == 0 || v.WaitExhausted || worthForwarding(&ev, r, v, remoteCost)) {
 		return runElsewhere(&d, &ev, remote, remoteCost, r, v)
 	}
-	if ev.waitable > 0 && ev.waitable == ev.pausedOrLimited && now.Add(exactDuration(ev.wait)).After(r.WaitUntil()) {
+	if ev.waitable > 0 && ev.waitable == ev.pausedOrLimited && now.Add(exactDuration(ev.wait)).After(r.QueueDeadline()) {
 		return refusePaused(&d, &ev, now)
 	}
-	if ev.waitable > 0 && ev.slow == 0 && !v.Waited && !queuedForRateLimits(&ev, v) && !ev.off.Has(vetchtrail.Waiting) {
+	if ev.waitable > 0 && ev.slow == 0 && !v.WaitExhausted && !queuedForRateLimits(&ev, v) && !ev.off.Has(vetchtrail.MechanismQueueing) {
 		return waitHere(&d, &ev, now, r, v)
 	}
 	if ev.waitable > 0 && ev.waitable == ev.rateLimited {
-		return refuse(&d, vetchtrail.ReasonLimited, now, cappedDuration(ev.wait))
+		return refuse(&d, vetchtrail.ReasonRateLimited, now, cappedDuration(ev.wait))
 	}
 	return refuse(&d, refusalReason(r, v), now, retryDelay(now, r))
 }
@@ -93,7 +93,7 @@
 // rate-limited and other requests already wait for them. The rates don't grow with the
 // queue, so a request that joined it would probably be refused too, only later.
 func queuedForRateLimits(ev *evaluation, v *vetchtrail.View) bool {
-	return ev.waitable == ev.rateLimited && v.Line > 0
+	return ev.waitable == ev.rateLimited && v.QueueWait > 0
 }
 
 // evaluate calculates the cost of each endpoint that can take the request now, and finds
@@ -106,33 +106,33 @@
 		e := &v.Endpoints[i]
 		if reason := unusableReason(e, r, v); reason != "" {
 			ev.cacheCost(i, math.MaxFloat64)
-			d.Note(e.Name, 0, reason)
+			d.AddCandidate(e.Name, 0, reason)
 			switch reason {
-			case vetchtrail.ReasonLimited:
+			case vetchtrail.ReasonRateLimited:
 				ev.rateLimited++
 				fallthrough
 			case vetchtrail.ReasonPaused:
 				ev.pausedOrLimited++
 				fallthrough
-			case vetchtrail.ReasonRefused, vetchtrail.ReasonCold:
+			case vetchtrail.ReasonEndpointRefused, vetchtrail.ReasonColdStart:
 				ev.waitable++
-				ev.wait = min(ev.wait, e.Back)
+				ev.wait = min(ev.wait, e.AvailableIn)
 			}
 			continue
 		}
 		requests := estimateRequests(e, ev.otherRequests)
-		if streamTooSlow(ev, e.Gap, timeToFirstToken(e, r, requests), r, v) {
+		if streamTooSlow(ev, e.EventInterval, timeToFirstToken(e, r, requests), r, v) {
 			ev.slow++
 			ev.cacheCost(i, math.MaxFloat64)
-			d.Note(e.Name, e.Gap, vetchtrail.ReasonSlow)
+			d.AddCandidate(e.Name, e.EventInterval, vetchtrail.ReasonSlow)
 			continue
 		}
-		if e.Own >= e.Limit {
-			wait := startDelay(e, requests) + e.Service/float64(max(e.Slots, 1))
+		if e.InFlight >= e.InFlightLimit {
+			wait := startDelay(e, requests) + e.ServiceTime/float64(max(e.Slots, 1))
 			ev.waitable++
 			ev.wait = min(ev.wait, wait)
 			ev.cacheCost(i, math.MaxFloat64)
-			d.Note(e.Name, wait, vetchtrail.ReasonFull)
+			d.AddCandidate(e.Name, wait, vetchtrail.ReasonFull)
 			continue
 		}
 		ev.available++
@@ -161,11 +161,11 @@
 		return ev.costs[i]
 	}
 	e := &v.Endpoints[i]
-	if unusableReason(e, r, v) != "" || e.Own >= e.Limit {
+	if unusableReason(e, r, v) != "" || e.InFlight >= e.InFlightLimit {
 		return math.MaxFloat64
 	}
 	requests := estimateRequests(e, ev.otherRequests)
-	if streamTooSlow(ev, e.Gap, timeToFirstToken(e, r, requests), r, v) {
+	if streamTooSlow(ev, e.EventInterval, timeToFirstToken(e, r, requests), r, v) {
 		return math.MaxFloat64
 	}
 	return endpointCost(ev, e, r, v, requests)
@@ -175,12 +175,12 @@
 // endpoint can be used. It doesn't check this host's limit of requests there.
 func unusableReason(e *vetchtrail.EndpointView, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
 	switch {
-	case !r.Allowed.Has(e.Region):
+	case !r.AllowedRegions.Has(e.Region):
 		return vetchtrail.ReasonResidency
-	case e.Away:
-		return e.Why
+	case e.Unavailable:
+		return e.UnavailableReason
 	case len(v.Excluded) > 0 && slices.Contains(v.Excluded, e.Name):
-		return vetchtrail.ReasonExcluded
+		return vetchtrail.ReasonTriedBefore
 	}
 	return ""
 }
@@ -199,9 +199,9 @@
 	}
 	d.Kind, d.Target, d.Name, d.Cost = vetchtrail.RunHere, chosen, e.Name, ev.cost(chosen, r, v)
 	d.Reason = vetchtrail.ReasonChosen
-	d.Backlog, d.Holds, d.Age, d.Gap = cappedDuration(e.Backlog), e.Kept, e.Age, cappedDuration(e.Gap)
-	d.Running, d.Queued, d.Own = e.Running, e.Queued, e.Own
-	d.Limited, d.Rate, d.Left = e.Limited, e.Rate, e.Left
+	d.Backlog, d.CachedTokens, d.ReportAge, d.EventInterval = cappedDuration(e.Backlog), e.CachedTokens, e.ReportAge, cappedDuration(e.EventInterval)
+	d.Running, d.Queued, d.InFlight = e.Running, e.Queued, e.InFlight
+	d.RateLimited, d.Rate, d.RateLeft = e.RateLimited, e.Rate, e.RateLeft
 	return *d
 }
 
@@ -218,7 +218,7 @@
 		if cost == math.MaxFloat64 {
 			continue
 		}
-		d.Note(v.Endpoints[i].Name, cost, vetchtrail.ReasonCost)
+		d.AddCandidate(v.Endpoints[i].Name, cost, vetchtrail.ReasonCost)
 		closeness := 1 - (cost-ev.bestCost)*inverseRange
 		if closeness <= 0 {
 			continue
@@ -239,7 +239,7 @@
 // costSpread returns the difference up to which two costs count as equal. It is
 // proportional to the endpoint's service time and to the service's weight of latency.
 func costSpread(e *vetchtrail.EndpointView, tailWeight float64) float64 {
-	return max(costSpreadShare*e.Service*max(tailWeight, 0.1), 1e-6)
+	return max(costSpreadShare*e.ServiceTime*max(tailWeight, 0.1), 1e-6)
 }
 
 // waitHere decides that a request waits for capacity here. It refuses the request instead
--- a/request/quarantine/detect.go
+++ b/request/quarantine/detect.go
@@ -67,9 +67,9 @@
 	strategy  Strategy
 	now       time.Time
 	history   *CrashHistory
-	known     map[vetchtrail.Digest]vetchtrail.Hold
+	known     map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry
 	explained map[*mergedCrash]bool
-	detected  []vetchtrail.Digest // requests found so far
+	detected  []vetchtrail.ContentHash // requests found so far
 }
 
 // explainKnown marks as explained all crashes at which a known poison request was present, whether
@@ -88,7 +88,7 @@
 
 // tally is the evidence against one request.
 type tally struct {
-	contentHash  vetchtrail.Digest
+	contentHash  vetchtrail.ContentHash
 	crashes      []involvement
 	independent  int // crashes, where those with a common cause count as one
 	notStreaming int // crashes at which its response was not streaming yet
@@ -98,7 +98,7 @@
 // strong ones are all returned.
 func (d *detection) strongest() []tally {
 	var out []tally
-	consider := func(hash vetchtrail.Digest, req *requestHistory) {
+	consider := func(hash vetchtrail.ContentHash, req *requestHistory) {
 		t, enough := d.tally(hash, req)
 		switch {
 		case !enough:
@@ -134,7 +134,7 @@
 func (t *tally) halfCrashes() int { return t.independent + min(t.independent, t.notStreaming) }
 
 // tally collects the evidence against a request and reports whether it is enough to quarantine it.
-func (d *detection) tally(hash vetchtrail.Digest, req *requestHistory) (tally, bool) {
+func (d *detection) tally(hash vetchtrail.ContentHash, req *requestHistory) (tally, bool) {
 	t := tally{contentHash: hash}
 	entry, known := d.known[hash]
 	if slices.Contains(d.detected, hash) || known && !entry.Released && d.now.Before(entry.Until) {
--- a/request/quarantine/entries.go
+++ b/request/quarantine/entries.go
@@ -42,12 +42,14 @@
 // for concurrent use; Lookup takes no lock.
 type Entries struct {
 	mu     sync.Mutex
-	byHash map[vetchtrail.Digest]vetchtrail.Hold
-	active atomic.Pointer[map[vetchtrail.Digest]vetchtrail.Hold] // entries in force at the last refresh; read without the lock
+	byHash map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry
+	active atomic.Pointer[map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry] // entries in force at the last refresh; read without the lock
 }
 
 // NewEntries returns an Entries without entries.
-func NewEntries() *Entries { return &Entries{byHash: map[vetchtrail.Digest]vetchtrail.Hold{}} }
+func NewEntries() *Entries {
+	return &Entries{byHash: map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry{}}
+}
 
 // AnyActive reports whether an entry may be in force. If not, callers needn't compute the content
 // hash of each request.
@@ -58,34 +60,34 @@
 
 // Lookup returns the entry of a request and whether it is in force. It calls now only if there is
 // an entry.
-func (e *Entries) Lookup(hash vetchtrail.Digest, now func() time.Time) (vetchtrail.Hold, bool) {
+func (e *Entries) Lookup(hash vetchtrail.ContentHash, now func() time.Time) (vetchtrail.QuarantineEntry, bool) {
 	active := e.active.Load()
 	if active == nil {
-		return vetchtrail.Hold{}, false
+		return vetchtrail.QuarantineEntry{}, false
 	}
 	entry, ok := (*active)[hash]
 	return entry, ok && now().Before(entry.Until)
 }
 
 // known returns a copy of all remembered entries, in force or expired.
-func (e *Entries) known() map[vetchtrail.Digest]vetchtrail.Hold {
+func (e *Entries) known() map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.byHash)
 }
 
 // Add quarantines a request that was present at so many crashes.
-func (e *Entries) Add(hash vetchtrail.Digest, crashes int, now time.Time) vetchtrail.Hold {
+func (e *Entries) Add(hash vetchtrail.ContentHash, crashes int, now time.Time) vetchtrail.QuarantineEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	entry := vetchtrail.Hold{Digest: hash, Strike: e.byHash[hash].Strike + 1, Ends: crashes, Since: now}
-	entry.Until = now.Add(HoldTime(entry.Strike))
+	entry := vetchtrail.QuarantineEntry{ContentHash: hash, Count: e.byHash[hash].Count + 1, Crashes: crashes, Since: now}
+	entry.Until = now.Add(HoldTime(entry.Count))
 	e.set(entry, now)
 	return entry
 }
 
 // Release ends the quarantine of a request. It returns false if the request isn't quarantined.
-func (e *Entries) Release(hash vetchtrail.Digest, now time.Time) (vetchtrail.Hold, bool) {
+func (e *Entries) Release(hash vetchtrail.ContentHash, now time.Time) (vetchtrail.QuarantineEntry, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	entry, ok := e.byHash[hash]
@@ -101,17 +103,17 @@
 // two entries of one request, the one with the higher count wins. If the counts are equal, a
 // release wins, and the earlier expiry: a host that has read the entry from the platform doesn't
 // know how old it is and may expect it to expire too late. The order of merges makes no difference.
-func (e *Entries) Merge(in vetchtrail.Hold, now time.Time) bool {
+func (e *Entries) Merge(in vetchtrail.QuarantineEntry, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	old, ok := e.byHash[in.Digest]
+	old, ok := e.byHash[in.ContentHash]
 	switch {
-	case ok && in.Strike < old.Strike:
+	case ok && in.Count < old.Count:
 		return false
-	case ok && in.Strike == old.Strike:
+	case ok && in.Count == old.Count:
 		merged := old
 		merged.Released = old.Released || in.Released
-		merged.Ends = max(old.Ends, in.Ends)
+		merged.Crashes = max(old.Crashes, in.Crashes)
 		merged.Until = vetchtrail.Earlier(old.Until, in.Until)
 		released := merged.Released != old.Released
 		e.set(merged, now)
@@ -122,8 +124,8 @@
 }
 
 // set stores an entry. The caller holds the lock.
-func (e *Entries) set(entry vetchtrail.Hold, now time.Time) {
-	e.byHash[entry.Digest] = entry
+func (e *Entries) set(entry vetchtrail.QuarantineEntry, now time.Time) {
+	e.byHash[entry.ContentHash] = entry
 	e.refresh(now)
 }
 
@@ -141,7 +143,7 @@
 // refresh rebuilds the look-up map and removes entries that are too old or too many. The caller
 // holds the lock.
 func (e *Entries) refresh(now time.Time) {
-	active := make(map[vetchtrail.Digest]vetchtrail.Hold, len(e.byHash))
+	active := make(map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry, len(e.byHash))
 	for hash, entry := range e.byHash {
 		switch {
 		case now.Sub(entry.Until) > entryRetention:
@@ -159,27 +161,27 @@
 }
 
 // firstToExpire returns the request whose entry expires first. The caller holds the lock.
-func (e *Entries) firstToExpire() vetchtrail.Digest {
-	var first vetchtrail.Hold
+func (e *Entries) firstToExpire() vetchtrail.ContentHash {
+	var first vetchtrail.QuarantineEntry
 	for _, entry := range e.byHash {
 		if first.Until.IsZero() || entry.Until.Before(first.Until) {
 			first = entry
 		}
 	}
-	return first.Digest
+	return first.ContentHash
 }
 
 // All returns the remembered entries, ordered by content hash.
-func (e *Entries) All(now time.Time) []vetchtrail.Hold {
+func (e *Entries) All(now time.Time) []vetchtrail.QuarantineEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]vetchtrail.Hold, 0, len(e.byHash))
+	out := make([]vetchtrail.QuarantineEntry, 0, len(e.byHash))
 	for _, entry := range e.byHash {
 		if now.Sub(entry.Until) <= entryRetention {
 			out = append(out, entry)
 		}
 	}
-	slices.SortFunc(out, func(a, b vetchtrail.Hold) int { return slices.Compare(a.Digest[:], b.Digest[:]) })
+	slices.SortFunc(out, func(a, b vetchtrail.QuarantineEntry) int { return slices.Compare(a.ContentHash[:], b.ContentHash[:]) })
 	return out
 }
 
@@ -187,9 +189,9 @@
 func (e *Entries) Version(now time.Time) uint64 {
 	sum := uint64(0)
 	for _, entry := range e.All(now) {
-		var text [len(entry.Digest) + 5]byte
-		n := copy(text[:], entry.Digest[:])
-		binary.BigEndian.PutUint32(text[n:], entry.Strike)
+		var text [len(entry.ContentHash) + 5]byte
+		n := copy(text[:], entry.ContentHash[:])
+		binary.BigEndian.PutUint32(text[n:], entry.Count)
 		if entry.Released {
 			text[n+4] = 1
 		}
--- a/request/quarantine/history.go
+++ b/request/quarantine/history.go
@@ -32,7 +32,7 @@
 
 // InFlight is a request that was in flight at an endpoint when the endpoint crashed.
 type InFlight struct {
-	ContentHash vetchtrail.Digest
+	ContentHash vetchtrail.ContentHash
 	// Streaming is set if the response had been streaming for some time. This is weaker evidence: a
 	// request that crashes endpoints as they start it gets no response.
 	Streaming bool
@@ -71,13 +71,13 @@
 // not safe for concurrent use.
 type CrashHistory struct {
 	crashes  []*mergedCrash // in the order of their first reports
-	requests map[vetchtrail.Digest]*requestHistory
-	repeated map[vetchtrail.Digest]*requestHistory // requests with more than one crash
+	requests map[vetchtrail.ContentHash]*requestHistory
+	repeated map[vetchtrail.ContentHash]*requestHistory // requests with more than one crash
 }
 
 // NewCrashHistory returns an empty history.
 func NewCrashHistory() *CrashHistory {
-	return &CrashHistory{requests: map[vetchtrail.Digest]*requestHistory{}, repeated: map[vetchtrail.Digest]*requestHistory{}}
+	return &CrashHistory{requests: map[vetchtrail.ContentHash]*requestHistory{}, repeated: map[vetchtrail.ContentHash]*requestHistory{}}
 }
 
 // RecordCrash merges one host's report of a crash. Each host reports the requests that it had sent
@@ -141,7 +141,7 @@
 
 // RecordServed records that an endpoint served a request completely at a time. This clears the
 // request of all earlier crashes.
-func (h *CrashHistory) RecordServed(hash vetchtrail.Digest, at time.Time) {
+func (h *CrashHistory) RecordServed(hash vetchtrail.ContentHash, at time.Time) {
 	req, ok := h.requests[hash]
 	if !ok {
 		return
@@ -153,7 +153,7 @@
 
 // updateRepeated removes a request that has fewer than two crashes left from the index of repeated
 // crashes.
-func (h *CrashHistory) updateRepeated(hash vetchtrail.Digest, req *requestHistory) {
+func (h *CrashHistory) updateRepeated(hash vetchtrail.ContentHash, req *requestHistory) {
 	if len(req.crashes) < 2 {
 		delete(h.repeated, hash)
 	}
@@ -189,7 +189,7 @@
 
 // Suspect is a request with the number of crashes that count against it.
 type Suspect struct {
-	Digest vetchtrail.Digest
+	Digest vetchtrail.ContentHash
 	Ends   int
 }
 
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -34,7 +34,7 @@
 	}
 	var bad error
 	for _, entry := range in.Entries {
-		if _, err := vetchtrail.ParseDigest(entry.ContentHash); err != nil || entry.Count == 0 {
+		if _, err := vetchtrail.ParseContentHash(entry.ContentHash); err != nil || entry.Count == 0 {
 			bad = errors.Errorf("quarantine.ParseKept: invalid entry: content hash %q, count %d", entry.ContentHash, entry.Count)
 			continue
 		}
@@ -49,19 +49,19 @@
 // Put adds entries and removes those of the requests in drop. An entry replaces the one of the same
 // request, unless that one has a higher count. If there are too many, those added first are
 // removed.
-func (k *Kept) Put(entries []vetchtrail.Hold, drop []vetchtrail.Digest) {
+func (k *Kept) Put(entries []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
 	for _, d := range drop {
 		k.remove(d.String())
 	}
 	for _, entry := range entries {
-		hash := entry.Digest.String()
+		hash := entry.ContentHash.String()
 		i := slices.IndexFunc(k.Entries, func(old PersistedEntry) bool { return old.ContentHash == hash })
-		if i >= 0 && k.Entries[i].Count > entry.Strike {
+		if i >= 0 && k.Entries[i].Count > entry.Count {
 			continue
 		}
-		released := entry.Released || i >= 0 && k.Entries[i].Count == entry.Strike && k.Entries[i].Released
+		released := entry.Released || i >= 0 && k.Entries[i].Count == entry.Count && k.Entries[i].Released
 		k.remove(hash)
-		k.Entries = append(k.Entries, PersistedEntry{ContentHash: hash, Count: entry.Strike, Crashes: entry.Ends, Released: released})
+		k.Entries = append(k.Entries, PersistedEntry{ContentHash: hash, Count: entry.Count, Crashes: entry.Crashes, Released: released})
 	}
 	k.Entries = k.Entries[max(0, len(k.Entries)-maxEntries):]
 }
@@ -72,15 +72,15 @@
 
 // From returns the entries for a host that reads them now. As their age isn't persisted, each one
 // starts now; hosts that know its real age correct this when they exchange entries.
-func (k *Kept) From(now time.Time) []vetchtrail.Hold {
-	out := make([]vetchtrail.Hold, 0, len(k.Entries))
+func (k *Kept) From(now time.Time) []vetchtrail.QuarantineEntry {
+	out := make([]vetchtrail.QuarantineEntry, 0, len(k.Entries))
 	for _, entry := range k.Entries {
-		hash, err := vetchtrail.ParseDigest(entry.ContentHash)
+		hash, err := vetchtrail.ParseContentHash(entry.ContentHash)
 		if err != nil {
 			continue
 		}
-		out = append(out, vetchtrail.Hold{
-			Digest: hash, Strike: entry.Count, Ends: entry.Crashes, Since: now, Until: now.Add(HoldTime(entry.Count)), Released: entry.Released,
+		out = append(out, vetchtrail.QuarantineEntry{
+			ContentHash: hash, Count: entry.Count, Crashes: entry.Crashes, Since: now, Until: now.Add(HoldTime(entry.Count)), Released: entry.Released,
 		})
 	}
 	return out
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -152,10 +152,10 @@
 // entries, in any order and any number of times, have the same list.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		reported := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) vetchtrail.Hold {
+		reported := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) vetchtrail.QuarantineEntry {
 			count := uint32(rapid.IntRange(1, 3).Draw(rt, "count"))
-			return vetchtrail.Hold{
-				Digest: hashOf(uint64(rapid.IntRange(1, 3).Draw(rt, "request"))), Strike: count, Ends: 3,
+			return vetchtrail.QuarantineEntry{
+				ContentHash: hashOf(uint64(rapid.IntRange(1, 3).Draw(rt, "request"))), Count: count, Crashes: 3,
 				Until: simStart.Add(time.Duration(rapid.IntRange(1, 600).Draw(rt, "until")) * time.Second), Released: rapid.Bool().Draw(rt, "released"),
 			}
 		}), 1, 12).Draw(rt, "reported")
@@ -197,23 +197,23 @@
 // TestPersistedEntries checks what is persisted after a second host has written: higher counts and
 // releases win, whichever host wrote them.
 func TestPersistedEntries(t *testing.T) {
-	entry := func(n uint64, count uint32, released bool) vetchtrail.Hold {
-		return vetchtrail.Hold{Digest: hashOf(n), Strike: count, Ends: 3, Released: released}
+	entry := func(n uint64, count uint32, released bool) vetchtrail.QuarantineEntry {
+		return vetchtrail.QuarantineEntry{ContentHash: hashOf(n), Count: count, Crashes: 3, Released: released}
 	}
 	cases := map[string]struct {
-		persisted []vetchtrail.Hold
-		put       []vetchtrail.Hold
-		drop      []vetchtrail.Digest
+		persisted []vetchtrail.QuarantineEntry
+		put       []vetchtrail.QuarantineEntry
+		drop      []vetchtrail.ContentHash
 		want      []PersistedEntry
 	}{
 		"none":                     {nil, nil, nil, nil},
-		"one":                      {nil, []vetchtrail.Hold{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, false}}},
-		"second request":           {[]vetchtrail.Hold{entry(1, 1, false)}, []vetchtrail.Hold{entry(2, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, false}, {hashOf(2).String(), 1, 3, false}}},
-		"higher count":             {[]vetchtrail.Hold{entry(1, 1, true)}, []vetchtrail.Hold{entry(1, 2, false)}, nil, []PersistedEntry{{hashOf(1).String(), 2, 3, false}}},
-		"lower count":              {[]vetchtrail.Hold{entry(1, 2, false)}, []vetchtrail.Hold{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 2, 3, false}}},
-		"released":                 {[]vetchtrail.Hold{entry(1, 1, false)}, []vetchtrail.Hold{entry(1, 1, true)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, true}}},
-		"released by another host": {[]vetchtrail.Hold{entry(1, 1, true)}, []vetchtrail.Hold{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, true}}},
-		"expired":                  {[]vetchtrail.Hold{entry(1, 1, false)}, nil, []vetchtrail.Digest{hashOf(1)}, nil},
+		"one":                      {nil, []vetchtrail.QuarantineEntry{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, false}}},
+		"second request":           {[]vetchtrail.QuarantineEntry{entry(1, 1, false)}, []vetchtrail.QuarantineEntry{entry(2, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, false}, {hashOf(2).String(), 1, 3, false}}},
+		"higher count":             {[]vetchtrail.QuarantineEntry{entry(1, 1, true)}, []vetchtrail.QuarantineEntry{entry(1, 2, false)}, nil, []PersistedEntry{{hashOf(1).String(), 2, 3, false}}},
+		"lower count":              {[]vetchtrail.QuarantineEntry{entry(1, 2, false)}, []vetchtrail.QuarantineEntry{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 2, 3, false}}},
+		"released":                 {[]vetchtrail.QuarantineEntry{entry(1, 1, false)}, []vetchtrail.QuarantineEntry{entry(1, 1, true)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, true}}},
+		"released by another host": {[]vetchtrail.QuarantineEntry{entry(1, 1, true)}, []vetchtrail.QuarantineEntry{entry(1, 1, false)}, nil, []PersistedEntry{{hashOf(1).String(), 1, 3, true}}},
+		"expired":                  {[]vetchtrail.QuarantineEntry{entry(1, 1, false)}, nil, []vetchtrail.ContentHash{hashOf(1)}, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -239,7 +239,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		k, err := ParseKept(text)
 		for _, h := range k.From(simStart) {
-			assert.Assert(t, h.Strike > 0 && h.Until.After(simStart) && h.Until.Sub(simStart) <= maxDuration, "%v %v", h, err)
+			assert.Assert(t, h.Count > 0 && h.Until.After(simStart) && h.Until.Sub(simStart) <= maxDuration, "%v %v", h, err)
 		}
 	})
 }
--- a/request/quarantine/simulation_test.go
+++ b/request/quarantine/simulation_test.go
@@ -34,11 +34,11 @@
 	poisonDelay       time.Duration // mean time from a poison request's first byte to the crash
 	unrelatedInterval time.Duration // mean time between unrelated crashes; 0: none
 
-	poisonCrashes     map[vetchtrail.Digest]int // crashes by poison request
-	unrelatedCrashes  int                       // number of unrelated crashes
-	quarantinedPoison map[vetchtrail.Digest]time.Time
+	poisonCrashes     map[vetchtrail.ContentHash]int // crashes by poison request
+	unrelatedCrashes  int                            // number of unrelated crashes
+	quarantinedPoison map[vetchtrail.ContentHash]time.Time
 	crashesNeeded     []int // crashes by each poison request until it was quarantined
-	falsePositives    map[vetchtrail.Digest]bool
+	falsePositives    map[vetchtrail.ContentHash]bool
 	falselyRefused    int // harmless requests refused as quarantined
 	served            int
 	lost              int
@@ -54,7 +54,7 @@
 
 // simRequest is one caller's request, over all its attempts.
 type simRequest struct {
-	contentHash vetchtrail.Digest
+	contentHash vetchtrail.ContentHash
 	poison      bool
 	attempts    int
 	respondedAt time.Time // when its response began; zero: not yet
@@ -66,8 +66,8 @@
 	sim.schedule.Put(sim.now.Add(d), do)
 }
 
-func hashOf(n uint64) vetchtrail.Digest {
-	var hash vetchtrail.Digest
+func hashOf(n uint64) vetchtrail.ContentHash {
+	var hash vetchtrail.ContentHash
 	binary.BigEndian.PutUint64(hash[:], n)
 	return hash
 }
@@ -87,7 +87,7 @@
 	sim := &simulation{
 		strategy: s, rnd: rand.New(rand.NewPCG(seed, 11)), now: simStart, history: NewCrashHistory(), entries: NewEntries(),
 		unrelatedInterval: unrelatedInterval,
-		poisonCrashes:     map[vetchtrail.Digest]int{}, quarantinedPoison: map[vetchtrail.Digest]time.Time{}, falsePositives: map[vetchtrail.Digest]bool{},
+		poisonCrashes:     map[vetchtrail.ContentHash]int{}, quarantinedPoison: map[vetchtrail.ContentHash]time.Time{}, falsePositives: map[vetchtrail.ContentHash]bool{},
 	}
 	for n := range endpoints {
 		sim.endpoints = append(sim.endpoints, &simEndpoint{name: fmt.Sprint("e", n)})
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -70,7 +70,7 @@
 	defer l.mu.Unlock()
 	l.joined++
 	w := &Waiter{
-		priority: r.Priority, deadline: r.WaitUntil(), sequence: l.joined,
+		priority: r.Priority, deadline: r.QueueDeadline(), sequence: l.joined,
 		startTag: max(l.virtualTime, l.finishTags[r.Workspace]),
 		ready:    make(chan struct{}, 1), dropped: make(chan struct{}),
 	}
--- a/route.go
+++ b/route.go
@@ -26,8 +26,8 @@
 	Keyed bool // callers must send the key of a workspace
 }
 
-// Repeats returns whether a request of the route may run more than once.
-func (r *Route) Repeats() bool {
+// Repeatable returns whether a request of the route may run more than once.
+func (r *Route) Repeatable() bool {
 	return r.Kind == RouteSafe || (r.Kind == RouteStream && r.Resumable)
 }
 
--- a/schema/convert.go
+++ b/schema/convert.go
@@ -203,22 +203,22 @@
 func FromRequest(r *vetchtrail.Request, now time.Time) *ForwardRequest {
 	return &ForwardRequest{
 		Id: r.ID, Service: r.Service, Kind: uint32(r.Kind), Workspace: r.Workspace,
-		Home: uint32(r.Home), Entry: uint32(r.Entry), Allowed: uint64(r.Allowed),
+		Home: uint32(r.HomeRegion), Entry: uint32(r.EntryRegion), Allowed: uint64(r.AllowedRegions),
 		Priority: int32(r.Priority), Remaining: int64(r.Deadline.Sub(now)), Hops: int32(r.Hops), Revision: r.Revision,
 		Method: r.Method, Path: r.Path, Header: FromHeader(r.Header), Body: r.Body,
-		Stream: r.Stream, Tokens: int32(r.Tokens), Key: r.Key, Repeats: r.Repeats,
-		Resume: &StreamPosition{Endpoint: r.Resume.Endpoint, Stream: r.Resume.Stream, Offset: int32(r.Resume.Offset)},
-		Route:  r.Route, GoalRemaining: remaining(r.Goal, now), Prompt: fromPrompt(r.Prompt), Resumable: r.Resumable, LastEvent: r.LastEvent,
-		Begun: r.Begun, PatienceRemaining: remaining(r.Patience, now),
-		AnswerTokens: uint32(r.AnswerTokens), MostTokens: uint32(r.MostTokens), Fresh: r.Fresh,
-		BeginRemaining: remaining(r.BeginBy, now), Digest: contentHashOf(r),
+		Stream: r.Stream, Tokens: int32(r.EstimatedTokens), Key: r.IdempotencyKey, Repeats: r.Repeatable,
+		Resume: &StreamPosition{Endpoint: r.ResumeAt.Endpoint, Stream: r.ResumeAt.Stream, Offset: int32(r.ResumeAt.Offset)},
+		Route:  r.Route, GoalRemaining: remaining(r.Goal, now), Prompt: fromPrompt(r.Prompt), Resumable: r.Resumable, LastEvent: r.LastEventID,
+		Begun: r.ResponseStarted, PatienceRemaining: remaining(r.QueueUntil, now),
+		AnswerTokens: uint32(r.ExpectedTokens), MostTokens: uint32(r.MaxTokens), Fresh: r.CallerCanRetry,
+		BeginRemaining: remaining(r.FirstEventBy, now), Digest: contentHashOf(r),
 	}
 }
 
 // contentHashOf returns the content hash of a request if it is known already, so
 // that the receiver need not compute it again.
 func contentHashOf(r *vetchtrail.Request) []byte {
-	hash, ok := r.KnownDigest()
+	hash, ok := r.KnownContentHash()
 	if !ok {
 		return nil
 	}
@@ -267,20 +267,20 @@
 	position := m.GetResume()
 	r := &vetchtrail.Request{
 		ID: m.GetId(), Service: m.GetService(), Kind: vetchtrail.ServiceKind(m.GetKind()), Workspace: m.GetWorkspace(),
-		Home: vetchtrail.RegionID(m.GetHome()), Entry: vetchtrail.RegionID(m.GetEntry()),
-		Allowed: vetchtrail.RegionSet(m.GetAllowed()), Priority: int8(m.GetPriority()),
+		HomeRegion: vetchtrail.RegionID(m.GetHome()), EntryRegion: vetchtrail.RegionID(m.GetEntry()),
+		AllowedRegions: vetchtrail.RegionSet(m.GetAllowed()), Priority: int8(m.GetPriority()),
 		Deadline: now.Add(time.Duration(m.GetRemaining())), Hops: int(m.GetHops()), Revision: m.GetRevision(),
 		Method: m.GetMethod(), Path: m.GetPath(), Header: ToHeader(m.GetHeader()), Body: m.GetBody(),
-		Stream: m.GetStream(), Tokens: int(m.GetTokens()), Key: m.GetKey(), Repeats: m.GetRepeats(),
-		Resume: vetchtrail.StreamPosition{Endpoint: position.GetEndpoint(), Stream: position.GetStream(), Offset: int(position.GetOffset())},
-		Route:  m.GetRoute(), Goal: timeAfter(m.GetGoalRemaining(), now), Prompt: toPrompt(m.GetPrompt()),
-		Resumable: m.GetResumable(), LastEvent: m.GetLastEvent(),
-		Begun: m.GetBegun(), Patience: timeAfter(m.GetPatienceRemaining(), now),
-		AnswerTokens: int(m.GetAnswerTokens()), MostTokens: int(m.GetMostTokens()), Fresh: m.GetFresh(),
-		BeginBy: timeAfter(m.GetBeginRemaining(), now),
+		Stream: m.GetStream(), EstimatedTokens: int(m.GetTokens()), IdempotencyKey: m.GetKey(), Repeatable: m.GetRepeats(),
+		ResumeAt: vetchtrail.StreamPosition{Endpoint: position.GetEndpoint(), Stream: position.GetStream(), Offset: int(position.GetOffset())},
+		Route:    m.GetRoute(), Goal: timeAfter(m.GetGoalRemaining(), now), Prompt: toPrompt(m.GetPrompt()),
+		Resumable: m.GetResumable(), LastEventID: m.GetLastEvent(),
+		ResponseStarted: m.GetBegun(), QueueUntil: timeAfter(m.GetPatienceRemaining(), now),
+		ExpectedTokens: int(m.GetAnswerTokens()), MaxTokens: int(m.GetMostTokens()), CallerCanRetry: m.GetFresh(),
+		FirstEventBy: timeAfter(m.GetBeginRemaining(), now),
 	}
 	if hash, err := ToDigest(m.GetDigest()); err == nil {
-		r.Digested(hash)
+		r.SetContentHash(hash)
 	}
 	return r, nil
 }
@@ -307,7 +307,7 @@
 func FromOutcome(o vetchtrail.Outcome, now time.Time) *Outcome {
 	m := &Outcome{
 		Kind: uint32(o.Kind), Status: int32(o.Status), Step: string(o.Step), Peer: o.Peer,
-		Reason: string(o.Reason), RetryAfter: remaining(o.RetryAt, now), Begun: o.Begun,
+		Reason: string(o.Reason), RetryAfter: remaining(o.RetryAt, now), Begun: o.ResponseStarted,
 	}
 	if o.Err != nil {
 		m.Error = o.Err.Error()
@@ -319,7 +319,7 @@
 func ToOutcome(m *Outcome, now time.Time) vetchtrail.Outcome {
 	o := vetchtrail.Outcome{
 		Kind: vetchtrail.OutcomeKind(m.GetKind()), Status: int(m.GetStatus()), Step: vetchtrail.Step(m.GetStep()),
-		Peer: m.GetPeer(), Reason: vetchtrail.Reason(m.GetReason()), RetryAt: timeAfter(m.GetRetryAfter(), now), Begun: m.GetBegun(),
+		Peer: m.GetPeer(), Reason: vetchtrail.Reason(m.GetReason()), RetryAt: timeAfter(m.GetRetryAfter(), now), ResponseStarted: m.GetBegun(),
 	}
 	if m.GetError() != "" {
 		o.Err = errors.New(m.GetError())
--- a/schema/convert_test.go
+++ b/schema/convert_test.go
@@ -19,13 +19,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := &vetchtrail.Request{
-				ID: "x", Workspace: "w", Credential: vetchtrail.HashKey("secret"), Fresh: c.fresh, Deadline: senderNow.Add(9 * time.Second),
-				Goal: senderNow.Add(time.Second), BeginBy: senderNow.Add(3 * time.Second),
+				ID: "x", Workspace: "w", Credential: vetchtrail.HashKey("secret"), CallerCanRetry: c.fresh, Deadline: senderNow.Add(9 * time.Second),
+				Goal: senderNow.Add(time.Second), FirstEventBy: senderNow.Add(3 * time.Second),
 			}
 			got, err := ToRequest(FromRequest(r, senderNow), receiverNow)
 			assert.NilError(t, err)
-			assert.Equal(t, got.Fresh, c.fresh)
-			assert.Equal(t, got.BeginBy, receiverNow.Add(3*time.Second))
+			assert.Equal(t, got.CallerCanRetry, c.fresh)
+			assert.Equal(t, got.FirstEventBy, receiverNow.Add(3*time.Second))
 			assert.Equal(t, got.Deadline, receiverNow.Add(9*time.Second))
 			assert.Equal(t, got.Workspace, "w")
 			assert.Equal(t, got.Credential, vetchtrail.KeyHash{}, "the hash of the caller's key was forwarded")
--- a/schema/leaving.go
+++ b/schema/leaving.go
@@ -19,10 +19,10 @@
 
 // ToLeaves returns what a message that arrived now reports, and the start time of
 // the process instance that is leaving; zero: not known.
-func ToLeaves(m *EndpointLeaves, now time.Time) (n vetchtrail.Notice, startedAt time.Time) {
+func ToLeaves(m *EndpointLeaves, now time.Time) (n vetchtrail.Availability, startedAt time.Time) {
 	if m.GetBorn() != 0 {
 		startedAt = time.Unix(0, m.GetBorn())
 	}
 	announcedAt := now.Add(-time.Duration(m.GetAgeMillis()) * time.Millisecond)
-	return vetchtrail.Notice{Leaving: true, Asked: announcedAt, Heard: announcedAt}, startedAt
+	return vetchtrail.Availability{Leaving: true, RequestedAt: announcedAt, ReceivedAt: announcedAt}, startedAt
 }
--- a/schema/listing.go
+++ b/schema/listing.go
@@ -14,11 +14,11 @@
 // quarantine entries as their distance from bootNow: the same moment on the
 // clock that also runs while the machine is suspended.
 func FromListing(l *vetchtrail.Listing, now, bootNow time.Time) *Listing {
-	m := &Listing{Revision: l.Revision, Seen: l.Seen, Age: int64(now.Sub(l.At))}
+	m := &Listing{Revision: l.Revision, Seen: l.ConfirmedRevision, Age: int64(now.Sub(l.ReadAt))}
 	m.setEndpoints(l.Endpoints, now)
-	m.Holds = FromHolds(l.Holds, bootNow)
+	m.Holds = FromHolds(l.Quarantined, bootNow)
 	for _, h := range l.Hosts {
-		m.Hosts = append(m.Hosts, &ListedHost{Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Peers: h.Peers.String()})
+		m.Hosts = append(m.Hosts, &ListedHost{Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Peers: h.PeerAddr.String()})
 	}
 	return m
 }
@@ -67,7 +67,7 @@
 // has Since, its endpoints are only those that differ from the listing of that
 // revision.
 func ToListing(m *Listing, now, bootNow time.Time) (vetchtrail.Listing, error) {
-	l := vetchtrail.Listing{Revision: m.GetRevision(), Seen: m.GetSeen(), At: now.Add(-time.Duration(m.GetAge()))}
+	l := vetchtrail.Listing{Revision: m.GetRevision(), ConfirmedRevision: m.GetSeen(), ReadAt: now.Add(-time.Duration(m.GetAge()))}
 	l.Endpoints = make([]*vetchtrail.Endpoint, 0, len(m.GetEndpoints()))
 	for _, listed := range m.GetEndpoints() {
 		e, err := toListed(listed, m.GetKinds(), now)
@@ -77,7 +77,7 @@
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	var err error
-	if l.Holds, err = ToHolds(m.GetHolds(), bootNow); err != nil {
+	if l.Quarantined, err = ToHolds(m.GetHolds(), bootNow); err != nil {
 		return l, errors.Wrap(err, "schema.ToListing")
 	}
 	for _, listed := range m.GetHosts() {
@@ -86,7 +86,7 @@
 			return l, errors.Wrapf(err, "schema.ToListing: peer address of host %s", listed.GetName())
 		}
 		l.Hosts = append(l.Hosts, vetchtrail.Host{
-			Name: listed.GetName(), Region: listed.GetRegion(), DataCentre: listed.GetDataCentre(), Peers: addr,
+			Name: listed.GetName(), Region: listed.GetRegion(), DataCentre: listed.GetDataCentre(), PeerAddr: addr,
 		})
 	}
 	return l, nil
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -11,7 +11,7 @@
 const (
 	// contentHashBytes is the length of a request's content hash, which
 	// messages call its digest.
-	contentHashBytes = len(vetchtrail.Digest{})
+	contentHashBytes = len(vetchtrail.ContentHash{})
 	// maxTimesQuarantined limits how often another host may report that a
 	// request was quarantined. Each time doubles the length of a quarantine.
 	maxTimesQuarantined = 1 << 16
@@ -23,7 +23,7 @@
 // FromHolds returns the messages for quarantine entries. Moments are sent as
 // their distance from now, which is on the clock that also runs while the
 // machine is suspended, as the entries are.
-func FromHolds(holds []vetchtrail.Hold, now time.Time) []*Hold {
+func FromHolds(holds []vetchtrail.QuarantineEntry, now time.Time) []*Hold {
 	out := make([]*Hold, 0, len(holds))
 	for _, h := range holds {
 		out = append(out, FromHold(h, now))
@@ -32,17 +32,17 @@
 }
 
 // FromHold returns the message for a quarantine entry, as FromHolds does.
-func FromHold(h vetchtrail.Hold, now time.Time) *Hold {
+func FromHold(h vetchtrail.QuarantineEntry, now time.Time) *Hold {
 	return &Hold{
-		Digest: h.Digest[:], Strike: h.Strike, Ends: uint32(h.Ends), Age: int64(now.Sub(h.Since)),
+		Digest: h.ContentHash[:], Strike: h.Count, Ends: uint32(h.Crashes), Age: int64(now.Sub(h.Since)),
 		Remaining: int64(h.Until.Sub(now)), Released: h.Released,
 	}
 }
 
 // ToHolds returns the quarantine entries of messages that arrived now. If one of
 // them is invalid, it returns an error and no entries.
-func ToHolds(in []*Hold, now time.Time) ([]vetchtrail.Hold, error) {
-	out := make([]vetchtrail.Hold, 0, len(in))
+func ToHolds(in []*Hold, now time.Time) ([]vetchtrail.QuarantineEntry, error) {
+	out := make([]vetchtrail.QuarantineEntry, 0, len(in))
 	for _, m := range in {
 		h, err := ToHold(m, now)
 		if err != nil {
@@ -54,24 +54,24 @@
 }
 
 // ToHold returns the quarantine entry of a message that arrived now.
-func ToHold(m *Hold, now time.Time) (vetchtrail.Hold, error) {
+func ToHold(m *Hold, now time.Time) (vetchtrail.QuarantineEntry, error) {
 	hash, err := ToDigest(m.GetDigest())
 	if err != nil {
-		return vetchtrail.Hold{}, errors.Wrap(err, "schema.ToHold")
+		return vetchtrail.QuarantineEntry{}, errors.Wrap(err, "schema.ToHold")
 	}
 	if m.GetStrike() == 0 || m.GetStrike() > maxTimesQuarantined {
-		return vetchtrail.Hold{}, errors.Errorf("schema.ToHold: strike %d is out of range", m.GetStrike())
+		return vetchtrail.QuarantineEntry{}, errors.Errorf("schema.ToHold: strike %d is out of range", m.GetStrike())
 	}
-	return vetchtrail.Hold{
-		Digest: hash, Strike: m.GetStrike(), Ends: int(m.GetEnds()), Since: now.Add(-time.Duration(max(0, m.GetAge()))),
+	return vetchtrail.QuarantineEntry{
+		ContentHash: hash, Count: m.GetStrike(), Crashes: int(m.GetEnds()), Since: now.Add(-time.Duration(max(0, m.GetAge()))),
 		Until: now.Add(time.Duration(m.GetRemaining())), Released: m.GetReleased(),
 	}, nil
 }
 
 // ToDigest returns the content hash of a request from its bytes in a message.
-func ToDigest(in []byte) (vetchtrail.Digest, error) {
+func ToDigest(in []byte) (vetchtrail.ContentHash, error) {
 	if len(in) != contentHashBytes {
-		return vetchtrail.Digest{}, ErrContentHash
+		return vetchtrail.ContentHash{}, ErrContentHash
 	}
-	return vetchtrail.Digest(in), nil
+	return vetchtrail.ContentHash(in), nil
 }
--- a/schema/rate.go
+++ b/schema/rate.go
@@ -17,7 +17,7 @@
 // an endpoint advertised in an answer. The moments of the request and of the
 // answer are sent as their ages at now.
 func FromRateLimit(name string, startedAt time.Time, l vetchtrail.RateLimit, now time.Time) *EndpointRate {
-	m := &EndpointRate{Endpoint: name, Named: l.Named, Rate: l.Rate, AskedAge: int64(now.Sub(l.Asked)), HeardAge: int64(now.Sub(l.Heard))}
+	m := &EndpointRate{Endpoint: name, Named: l.Advertised, Rate: l.Rate, AskedAge: int64(now.Sub(l.RequestedAt)), HeardAge: int64(now.Sub(l.ReceivedAt))}
 	if !startedAt.IsZero() {
 		m.Born = startedAt.UnixNano()
 	}
@@ -34,5 +34,5 @@
 	if m.GetBorn() != 0 {
 		startedAt = time.Unix(0, m.GetBorn())
 	}
-	return vetchtrail.RateLimit{Named: m.GetNamed(), Rate: m.GetRate(), Asked: now.Add(-requestAge), Heard: now.Add(-answerAge)}, startedAt, nil
+	return vetchtrail.RateLimit{Advertised: m.GetNamed(), Rate: m.GetRate(), RequestedAt: now.Add(-requestAge), ReceivedAt: now.Add(-answerAge)}, startedAt, nil
 }
--- a/schema/rate_test.go
+++ b/schema/rate_test.go
@@ -17,10 +17,10 @@
 	sent := time.Unix(1_800_000_000, 0)
 	arrived := sent.Add(time.Hour) // on the receiver's clock
 	startedAt := sent.Add(-time.Minute)
-	l := vetchtrail.RateLimit{Named: true, Rate: 1.9, Asked: sent.Add(-3 * time.Second), Heard: sent.Add(-2 * time.Second)}
+	l := vetchtrail.RateLimit{Advertised: true, Rate: 1.9, RequestedAt: sent.Add(-3 * time.Second), ReceivedAt: sent.Add(-2 * time.Second)}
 	got, gotStartedAt, err := ToRateLimit(FromRateLimit("e", startedAt, l, sent), arrived)
 	assert.NilError(t, err)
-	assert.Equal(t, got, vetchtrail.RateLimit{Named: true, Rate: 1.9, Asked: arrived.Add(-3 * time.Second), Heard: arrived.Add(-2 * time.Second)})
+	assert.Equal(t, got, vetchtrail.RateLimit{Advertised: true, Rate: 1.9, RequestedAt: arrived.Add(-3 * time.Second), ReceivedAt: arrived.Add(-2 * time.Second)})
 	assert.Assert(t, gotStartedAt.Equal(startedAt))
 	_, gotStartedAt, err = ToRateLimit(FromRateLimit("e", time.Time{}, l, sent), arrived)
 	assert.NilError(t, err)
--- a/service.go
+++ b/service.go
@@ -20,8 +20,8 @@
 
 // Kinds of services.
 const (
-	KindModel ServiceKind = iota
-	KindPlain
+	ServiceModel ServiceKind = iota
+	ServicePlain
 )
 
 var serviceKindNames = [...]string{"model", "plain"}
--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -298,7 +298,7 @@
 		return err
 	}
 	l.lastAnswer.Store(time.Now().UnixNano())
-	e, err := l.store.Wait(ctx, key, max(existing.Index, 1), time.Now().Add(WatchTime))
+	e, err := l.store.Wait(ctx, key, max(existing.ModifyIndex, 1), time.Now().Add(WatchTime))
 	if errors.Is(err, vetchtrail.ErrNotFound) {
 		l.lastAnswer.Store(time.Now().UnixNano())
 		// The key never appears if other hosts have moved on so far that its
--- a/version/changelog/changelog_test.go
+++ b/version/changelog/changelog_test.go
@@ -21,7 +21,7 @@
 // calls fail.
 type fakeStore struct {
 	mu          sync.Mutex
-	entries     map[string]vetchtrail.Entry
+	entries     map[string]vetchtrail.StoreEntry
 	index       uint64
 	lostAnswers int // how many of the next writes take effect but return an error
 	failures    int // how many of the next calls fail without effect
@@ -38,15 +38,15 @@
 	return false
 }
 
-func (s *fakeStore) Get(_ context.Context, key string) (vetchtrail.Entry, error) {
+func (s *fakeStore) Get(_ context.Context, key string) (vetchtrail.StoreEntry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fails() {
-		return vetchtrail.Entry{}, errors.New("outage")
+		return vetchtrail.StoreEntry{}, errors.New("outage")
 	}
 	e, ok := s.entries[key]
 	if !ok {
-		return vetchtrail.Entry{}, vetchtrail.ErrNotFound
+		return vetchtrail.StoreEntry{}, vetchtrail.ErrNotFound
 	}
 	return e, nil
 }
@@ -58,11 +58,11 @@
 		return errors.New("outage")
 	}
 	s.writes++
-	if s.entries[key].Index != index {
+	if s.entries[key].ModifyIndex != index {
 		return vetchtrail.ErrConflict
 	}
 	s.index++
-	s.entries[key] = vetchtrail.Entry{Key: key, Value: value, Index: s.index}
+	s.entries[key] = vetchtrail.StoreEntry{Key: key, Value: value, ModifyIndex: s.index}
 	if s.lostAnswers > 0 {
 		s.lostAnswers--
 		return errors.New("answer lost")
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (s *fakeStore) Wait(ctx context.Context, key string, _ uint64, _ time.Time) (vetchtrail.Entry, error) {
+func (s *fakeStore) Wait(ctx context.Context, key string, _ uint64, _ time.Time) (vetchtrail.StoreEntry, error) {
 	return s.Get(ctx, key)
 }
 
@@ -99,7 +99,7 @@
 func TestLogConsistency(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
-		store := &fakeStore{entries: map[string]vetchtrail.Entry{}}
+		store := &fakeStore{entries: map[string]vetchtrail.StoreEntry{}}
 		hosts := []*Log{newLog(store), newLog(store), newLog(store)}
 		accepted, rejected := map[string]uint64{}, map[string]bool{}
 		n := 0
@@ -168,7 +168,7 @@
 // it, and from the snapshot that a peer serves.
 func TestSnapshot(t *testing.T) {
 	ctx := context.Background()
-	store := &fakeStore{entries: map[string]vetchtrail.Entry{}}
+	store := &fakeStore{entries: map[string]vetchtrail.StoreEntry{}}
 	l := newLog(store)
 	const changes = 5*SnapshotEvery + 3
 	for n := range changes {
@@ -196,7 +196,7 @@
 	for _, size := range []int{1000, 10000, 38000} {
 		b.Run(fmt.Sprintf("workspaces=%d", size), func(b *testing.B) {
 			ctx := context.Background()
-			store := &fakeStore{entries: map[string]vetchtrail.Entry{}}
+			store := &fakeStore{entries: map[string]vetchtrail.StoreEntry{}}
 			l := newLog(store)
 			var edits []vetchtrail.Edit
 			for n := range size {
@@ -222,7 +222,7 @@
 // the host learned from a peer in between.
 func TestExpectedRevision(t *testing.T) {
 	const rounds = 3000
-	s := &fakeStore{entries: map[string]vetchtrail.Entry{}}
+	s := &fakeStore{entries: map[string]vetchtrail.StoreEntry{}}
 	local, remote := newLog(s), newLog(s)
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -25,7 +25,7 @@
 
 func check(c vetchtrail.Change, current *rules.Rules) error {
 	if c.Expect != 0 && c.Expect != current.Revision() {
-		return &vetchtrail.ConflictError{Expect: c.Expect, Now: current.Revision()}
+		return &vetchtrail.ConflictError{Expect: c.Expect, Current: current.Revision()}
 	}
 	_, err := current.Apply(c)
 	return err
@@ -67,7 +67,7 @@
 		}
 	}
 	// Another host won every revision that was tried.
-	return 0, &vetchtrail.ConflictError{Expect: c.Revision - 1, Now: l.Revision()}
+	return 0, &vetchtrail.ConflictError{Expect: c.Revision - 1, Current: l.Revision()}
 }
 
 // acceptedRevision returns the revision of the change in memory that has the id.
@@ -103,7 +103,7 @@
 			if err == nil {
 				return same, nil
 			}
-		case errors.Is(err, vetchtrail.ErrLimited):
+		case errors.Is(err, vetchtrail.ErrRateLimited):
 			// The store rejected the write for its rate limit: it had no effect.
 		default:
 			mayBeWritten = true
@@ -187,7 +187,7 @@
 	if err != nil && !errors.Is(err, vetchtrail.ErrNotFound) {
 		return err
 	}
-	index := old.Index
+	index := old.ModifyIndex
 	if err != nil {
 		index = 0
 	}
--- a/version/rules/apply.go
+++ b/version/rules/apply.go
@@ -44,7 +44,7 @@
 	b := builder{next: r.copy()}
 	for i, e := range edits {
 		if item, text := b.applyEdit(e); text != "" {
-			return nil, &vetchtrail.ChangeError{Edit: i, Item: item, Text: text}
+			return nil, &vetchtrail.ChangeError{EditIndex: i, Item: item, Text: text}
 		}
 	}
 	b.next.routesByHost = indexRoutes(b.next)
@@ -249,11 +249,11 @@
 	for _, e := range r.endpoints {
 		s, ok := r.services[e.Service]
 		if !ok {
-			return &vetchtrail.ChangeError{Edit: editIndex, Item: "endpoint " + e.Name, Text: "its service " + e.Service + " was removed"}
+			return &vetchtrail.ChangeError{EditIndex: editIndex, Item: "endpoint " + e.Name, Text: "its service " + e.Service + " was removed"}
 		}
 		g, ok := r.regions[e.Region]
 		if !ok {
-			return &vetchtrail.ChangeError{Edit: editIndex, Item: "endpoint " + e.Name, Text: "its region " + e.Region + " was removed"}
+			return &vetchtrail.ChangeError{EditIndex: editIndex, Item: "endpoint " + e.Name, Text: "its region " + e.Region + " was removed"}
 		}
 		if !e.Draining && (s.allowed == 0 || s.allowed.Has(g.ID)) {
 			served[e.Service] = true
@@ -262,11 +262,11 @@
 	for name, s := range r.services {
 		for _, n := range s.Allowed {
 			if _, ok := r.regions[n]; !ok {
-				return &vetchtrail.ChangeError{Edit: editIndex, Item: "service " + name, Text: "its region " + n + " was removed"}
+				return &vetchtrail.ChangeError{EditIndex: editIndex, Item: "service " + name, Text: "its region " + n + " was removed"}
 			}
 		}
 		if !served[name] {
-			return &vetchtrail.ChangeError{Edit: editIndex, Item: "service " + name, Text: "would be left without an allowed endpoint that is not draining"}
+			return &vetchtrail.ChangeError{EditIndex: editIndex, Item: "service " + name, Text: "would be left without an allowed endpoint that is not draining"}
 		}
 	}
 	return nil
--- a/version/rules/route.go
+++ b/version/rules/route.go
@@ -68,13 +68,13 @@
 	}
 	w, ok := r.workspaces[workspaceShardOf(workspaceName)][workspaceName]
 	if !ok {
-		return Judgement{}, vetchtrail.ReasonNoWorkspace
+		return Judgement{}, vetchtrail.ReasonUnknownWorkspace
 	}
 	if w.home != noHome {
 		j.Home = vetchtrail.RegionID(w.home)
 	}
 	if w.allowed != 0 && j.Allowed&w.allowed == 0 {
-		return Judgement{}, vetchtrail.ReasonNoHome
+		return Judgement{}, vetchtrail.ReasonNoCommonHome
 	}
 	if w.allowed != 0 {
 		j.Allowed &= w.allowed
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -113,13 +113,13 @@
 	}{
 		"no key needed":            {"open", "", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
 		"key needed":               {"keyed", "usual", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
-		"key needed, no workspace": {"keyed", "", Judgement{}, vetchtrail.ReasonNoWorkspace},
-		"workspace removed":        {"keyed", "gone", Judgement{}, vetchtrail.ReasonNoWorkspace},
+		"key needed, no workspace": {"keyed", "", Judgement{}, vetchtrail.ReasonUnknownWorkspace},
+		"workspace removed":        {"keyed", "gone", Judgement{}, vetchtrail.ReasonUnknownWorkspace},
 		"priority before rank":     {"keyed", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 2}, ""},
 		"rank below the last":      {"low", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 1}, ""},
 		"workspace's region":       {"keyed", "northern", Judgement{Allowed: vetchtrail.RegionsOf(1), Priority: -1}, ""},
 		"home of the route":        {"south", "usual", Judgement{Allowed: vetchtrail.RegionsOf(0)}, ""},
-		"no common region":         {"south", "northern", Judgement{}, vetchtrail.ReasonNoHome},
+		"no common region":         {"south", "northern", Judgement{}, vetchtrail.ReasonNoCommonHome},
 		"route removed":            {"none", "usual", Judgement{}, vetchtrail.ReasonNoRoute},
 	}
 	for name, c := range cases {
--- a/workspace.go
+++ b/workspace.go
@@ -21,8 +21,8 @@
 	Quota  Quota
 }
 
-// MaxKey is the maximum length of a caller's key, in bytes.
-const MaxKey = 128
+// MaxKeyBytes is the maximum length of a caller's key, in bytes.
+const MaxKeyBytes = 128
 
 // KeyHash is the hash of a caller's key. The configuration and its log contain only this
 // hash, never the key. It is the first half of a SHA-256 sum, which makes it infeasible to
@@ -32,7 +32,7 @@
 // HashKey returns the hash of a caller's key. Only the first MaxKey bytes count; CheckKey
 // rejects longer keys before.
 func HashKey(key string) KeyHash {
-	var text [MaxKey]byte // on the stack, so that a look-up allocates nothing
+	var text [MaxKeyBytes]byte // on the stack, so that a look-up allocates nothing
 	n := copy(text[:], key)
 	sum := sha256.Sum256(text[:n])
 	return KeyHash(sum[:len(KeyHash{})])
@@ -40,9 +40,9 @@
 
 // Errors of callers' keys.
 var (
-	ErrNoKey   = errors.New("the request has no key")
-	ErrLongKey = errors.New("the key is too long")
-	ErrOddKey  = errors.New("the key contains invalid characters or was sent more than once")
+	ErrNoKey      = errors.New("the request has no key")
+	ErrLongKey    = errors.New("the key is too long")
+	ErrInvalidKey = errors.New("the key contains invalid characters or was sent more than once")
 )
 
 // CheckKey returns an error if the text can't be a key: if it is empty, is longer than MaxKey
@@ -52,12 +52,12 @@
 	switch {
 	case key == "":
 		return ErrNoKey
-	case len(key) > MaxKey:
+	case len(key) > MaxKeyBytes:
 		return ErrLongKey
 	}
 	for i := range len(key) {
 		if c := key[i]; c <= ' ' || c > '~' || c == ',' || c == ';' || c == '"' {
-			return ErrOddKey
+			return ErrInvalidKey
 		}
 	}
 	return nil
--- a/workspace_test.go
+++ b/workspace_test.go
@@ -18,12 +18,12 @@
 		"usual key":      {"jbvk9m68k7b2ex5wa5xw", nil},
 		"base64":         {"YWJj+/==", nil},
 		"empty":          {"", ErrNoKey},
-		"too long":       {strings.Repeat("k", MaxKey+1), ErrLongKey},
-		"maximum length": {strings.Repeat("k", MaxKey), nil},
-		"two values":     {"one,two", ErrOddKey},
-		"space":          {"one two", ErrOddKey},
-		"control byte":   {"one\x00", ErrOddKey},
-		"not ASCII":      {"ключ", ErrOddKey},
+		"too long":       {strings.Repeat("k", MaxKeyBytes+1), ErrLongKey},
+		"maximum length": {strings.Repeat("k", MaxKeyBytes), nil},
+		"two values":     {"one,two", ErrInvalidKey},
+		"space":          {"one two", ErrInvalidKey},
+		"control byte":   {"one\x00", ErrInvalidKey},
+		"not ASCII":      {"ключ", ErrInvalidKey},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -37,10 +37,10 @@
 func FuzzKey(f *testing.F) {
 	f.Add("jbvk9m68k7b2ex5wa5xw")
 	f.Add("a,b")
-	f.Add(strings.Repeat("k", MaxKey+1))
+	f.Add(strings.Repeat("k", MaxKeyBytes+1))
 	f.Fuzz(func(t *testing.T, key string) {
 		if err := CheckKey(key); err != nil {
-			assert.Assert(t, errors.Is(err, ErrNoKey) || errors.Is(err, ErrLongKey) || errors.Is(err, ErrOddKey))
+			assert.Assert(t, errors.Is(err, ErrNoKey) || errors.Is(err, ErrLongKey) || errors.Is(err, ErrInvalidKey))
 			return
 		}
 		h := HashKey(key)
@@ -60,14 +60,14 @@
 		req   Request
 		want  float64
 	}{
-		"requests":           {Quota{Rate: 1}, Request{Tokens: 900, MostTokens: 100}, 1},
-		"tokens":             {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{Tokens: 900, MostTokens: 100}, 1000},
+		"requests":           {Quota{Rate: 1}, Request{EstimatedTokens: 900, MaxTokens: 100}, 1},
+		"tokens":             {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{EstimatedTokens: 900, MaxTokens: 100}, 1000},
 		"no token counts":    {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{}, 200},
-		"prompt tokens only": {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{Tokens: 7}, 7},
+		"prompt tokens only": {Quota{Rate: 1, Unit: UnitTokens, Plain: 200}, Request{EstimatedTokens: 7}, 7},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, c.quota.Charge(&c.req), c.want)
+			assert.Equal(t, c.quota.Cost(&c.req), c.want)
 		})
 	}
 }
