--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -23,7 +23,7 @@
 func (s *Server) authenticate(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	o, ok := s.findWorkspace(c, r)
 	if !ok {
-		s.cfg.Runner.Rejected(r, o)
+		s.cfg.Runner.RecordRejection(r, o)
 	}
 	return o, ok
 }
@@ -64,7 +64,7 @@
 	}
 	if current.Locked(r.Workspace) {
 		o := unauthorized(vetchtrail.ErrNoKey)
-		s.cfg.Runner.Rejected(r, o)
+		s.cfg.Runner.RecordRejection(r, o)
 		return o, false
 	}
 	return vetchtrail.Outcome{}, true
--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -38,11 +38,11 @@
 type Runner interface {
 	// Run runs r, writes the response to a and returns when the request has ended.
 	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
-	// Starting returns the outcome of a request that arrived before this host had a
+	// StartingOutcome returns the outcome of a request that arrived before this host had a
 	// configuration.
-	Starting(r *vetchtrail.Request) vetchtrail.Outcome
-	// Rejected records a request whose caller could not be authenticated.
-	Rejected(r *vetchtrail.Request, o vetchtrail.Outcome)
+	StartingOutcome(r *vetchtrail.Request) vetchtrail.Outcome
+	// RecordRejection records a request whose caller could not be authenticated.
+	RecordRejection(r *vetchtrail.Request, o vetchtrail.Outcome)
 }
 
 // Config configures a Server.
@@ -50,7 +50,7 @@
 	Runner     Runner
 	Rules      func() *rules.Rules
 	Membership *membership.Membership
-	Keeper     *once.Keeper
+	Keeper     *once.Registry
 	BodyLimit  int                // of a request's body, in bytes
 	Explain    bool               // name the endpoint in a response header
 	Region     string             // this host's region
@@ -152,7 +152,7 @@
 // runUnrouted runs a request that belongs to no route and writes its response.
 func (s *Server) runUnrouted(c fiber.Ctx, r *vetchtrail.Request) error {
 	if state := s.cfg.Membership.Self().State; state == vetchtrail.HostStarting {
-		return s.writeProblem(c, s.cfg.Runner.Starting(r))
+		return s.writeProblem(c, s.cfg.Runner.StartingOutcome(r))
 	}
 	p, begun := s.startRequest(c, r)
 	if !begun {
--- a/connection/caller/server_test.go
+++ b/connection/caller/server_test.go
@@ -30,11 +30,11 @@
 	return f(ctx, r, a)
 }
 
-func (f fakeRunner) Starting(*vetchtrail.Request) vetchtrail.Outcome {
+func (f fakeRunner) StartingOutcome(*vetchtrail.Request) vetchtrail.Outcome {
 	return vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Status: 503, Reason: vetchtrail.ReasonStarting}
 }
 
-func (f fakeRunner) Rejected(*vetchtrail.Request, vetchtrail.Outcome) {}
+func (f fakeRunner) RecordRejection(*vetchtrail.Request, vetchtrail.Outcome) {}
 
 // serve starts a server with one model service and one plain service, and returns its
 // address.
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -194,13 +194,15 @@
 	d.notices = notices.New(notices.Config{Observer: d.rateLimits, Table: d.table, Log: d.log})
 	d.endpoints = endpoint.New(endpoint.Config{
 		Dialect: dialect, Observer: d.notices,
-		Guard: func(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason { return d.dispatcher.Guard(e, r) },
+		Guard: func(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason {
+			return d.dispatcher.CheckBeforeSend(e, r)
+		},
 	})
 	d.newQuarantines(off)
 	d.dispatcher = dispatch.New(dispatch.Config{
-		Self: d.self, Policy: p, Rules: d.changes.Rules, Table: d.table, Membership: d.membership,
-		Endpoints: d.endpoints, Peers: d.peers, Keeper: idempotencyKeys, Journal: d.journal, Seed: d.seed(),
-		Budget: d.budget(d.cfg.Retries), Quotas: d.quotas, Quarantine: d.quarantines, Permits: d.rateLimits, Off: off,
+		Self: d.self, Policy: p, Rules: d.changes.Rules, Endpoints: d.table, Membership: d.membership,
+		EndpointCaller: d.endpoints, Peers: d.peers, IssuedKeys: idempotencyKeys, Journal: d.journal, Seed: d.seed(),
+		RetryBudget: d.budget(d.cfg.Retries), Quotas: d.quotas, Quarantine: d.quarantines, RateLimits: d.rateLimits, Disabled: off,
 	})
 	d.callers = caller.New(caller.Config{
 		Runner: d.dispatcher, Rules: d.changes.Rules, Membership: d.membership, Keeper: idempotencyKeys,
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -208,7 +208,7 @@
 	entries, suspects := o.d.quarantines.Holds()
 	out := &schema.QuarantineReply{Holds: schema.FromHolds(entries, clock.Boot())}
 	for _, s := range suspects {
-		out.Suspects = append(out.Suspects, &schema.Suspect{Digest: s.Digest[:], Ends: uint32(s.Ends)})
+		out.Suspects = append(out.Suspects, &schema.Suspect{Digest: s.ContentHash[:], Ends: uint32(s.Crashes)})
 	}
 	return out, nil
 }
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -42,7 +42,7 @@
 	rnd         *rand.Rand
 	hosts       []*testHost
 	endpoints   [regionCount][]*testEndpoint
-	persisted   quarantine.Kept
+	persisted   quarantine.PersistedEntries
 	partitioned [regionCount]bool
 	isolated    bool      // no host knows another
 	recoveredAt time.Time // when the last fault that affects the whole fleet ended
@@ -173,7 +173,7 @@
 func (f *fleet) listing() *vetchtrail.Listing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := &vetchtrail.Listing{Quarantined: f.persisted.From(f.steadyClock())}
+	l := &vetchtrail.Listing{Quarantined: f.persisted.EntriesAt(f.steadyClock())}
 	for _, inRegion := range f.endpoints {
 		for _, e := range inRegion {
 			l.Endpoints = append(l.Endpoints, &vetchtrail.Endpoint{Name: e.name, Born: e.startedAt})
@@ -288,7 +288,7 @@
 		<-ctx.Done()
 		return errUnreachable
 	}
-	h.fleet.locked(func() { h.fleet.persisted.Put(put, drop) })
+	h.fleet.locked(func() { h.fleet.persisted.Update(put, drop) })
 	return nil
 }
 
--- a/process/quarantines/messages.go
+++ b/process/quarantines/messages.go
@@ -41,7 +41,7 @@
 func fromSuspects(in []quarantine.Suspect) []*schema.Suspect {
 	out := make([]*schema.Suspect, 0, len(in))
 	for _, s := range in {
-		out = append(out, &schema.Suspect{Digest: s.Digest[:], Ends: uint32(s.Ends)})
+		out = append(out, &schema.Suspect{Digest: s.ContentHash[:], Ends: uint32(s.Crashes)})
 	}
 	return out
 }
@@ -55,7 +55,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "quarantines: invalid suspects")
 		}
-		out = append(out, quarantine.Suspect{Digest: hash, Ends: int(m.GetEnds())})
+		out = append(out, quarantine.Suspect{ContentHash: hash, Crashes: int(m.GetEnds())})
 	}
 	return out, nil
 }
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -70,7 +70,7 @@
 	assert.NilError(t, err)
 	entry, quarantined := q.Quarantined(harmlessRequest(1))
 	assert.Assert(t, quarantined)
-	assert.Equal(t, entry.Until.Sub(testNow), quarantine.HoldTime(1))
+	assert.Equal(t, entry.Until.Sub(testNow), quarantine.EntryDuration(1))
 }
 
 // noHosts is a Hosts without hosts.
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -187,7 +187,7 @@
 		q.suspects, q.suspectsUntil = suspects, now.Add(suspectsTTL)
 	}
 	for _, s := range suspects {
-		q.watched.add(s.Digest, now)
+		q.watched.add(s.ContentHash, now)
 	}
 }
 
@@ -343,7 +343,7 @@
 func suspectLogEntries(in []quarantine.Suspect) []suspectLogEntry {
 	out := make([]suspectLogEntry, 0, len(in))
 	for _, s := range in {
-		out = append(out, suspectLogEntry{Digest: s.Digest.String(), Ends: s.Ends})
+		out = append(out, suspectLogEntry{Digest: s.ContentHash.String(), Ends: s.Crashes})
 	}
 	return out
 }
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -179,7 +179,7 @@
 func (q *Quarantines) merge(in []vetchtrail.QuarantineEntry, now time.Time) []vetchtrail.QuarantineEntry {
 	var changed []vetchtrail.QuarantineEntry
 	for _, entry := range in {
-		entry.Until = vetchtrail.Earlier(entry.Until, now.Add(quarantine.HoldTime(entry.Count)))
+		entry.Until = vetchtrail.Earlier(entry.Until, now.Add(quarantine.EntryDuration(entry.Count)))
 		if !q.entries.Merge(entry, now) {
 			continue
 		}
--- a/process/quarantines/quarantines_test.go
+++ b/process/quarantines/quarantines_test.go
@@ -199,7 +199,7 @@
 	withFleet(t, "", 8, func(t *testing.T, f *fleet) {
 		f.run(nil, 300*time.Millisecond, 8*time.Second)
 		assert.Equal(t, len(f.listing().Quarantined), 1)
-		f.locked(func() { f.persisted = quarantine.Kept{} })
+		f.locked(func() { f.persisted = quarantine.PersistedEntries{} })
 		time.Sleep(2*listingInterval + 2*syncInterval)
 		assert.Equal(t, len(f.listing().Quarantined), 1)
 	})
@@ -213,7 +213,7 @@
 		for _, h := range f.hosts {
 			assert.Assert(t, h.q.entries.AnyActive())
 		}
-		time.Sleep(quarantine.HoldTime(1) + 2*syncInterval)
+		time.Sleep(quarantine.EntryDuration(1) + 2*syncInterval)
 		for i, h := range f.hosts {
 			assert.Assert(t, !h.q.entries.AnyActive(), "host %d", i)
 		}
--- a/process/quarantines/report.go
+++ b/process/quarantines/report.go
@@ -190,13 +190,13 @@
 	}
 	var entries []vetchtrail.QuarantineEntry
 	for _, s := range q.history.Detect(quarantine.StrategyGreedy, q.entries, now) {
-		entry := q.entries.Add(s.Digest, s.Ends, now)
+		entry := q.entries.Add(s.ContentHash, s.Crashes, now)
 		entries = append(entries, entry)
 		countQuarantined()
-		q.cfg.Log.Warn("request held back", "digest", s.Digest.String(), "ends", s.Ends, "strike", entry.Count, "for", entry.Until.Sub(now))
+		q.cfg.Log.Warn("request held back", "digest", s.ContentHash.String(), "ends", s.Crashes, "strike", entry.Count, "for", entry.Until.Sub(now))
 	}
 	suspects := slices.DeleteFunc(q.history.Suspects(suspectThreshold), func(s quarantine.Suspect) bool {
-		_, quarantined := q.entries.Lookup(s.Digest, q.cfg.Clock)
+		_, quarantined := q.entries.Lookup(s.ContentHash, q.cfg.Clock)
 		return quarantined
 	})
 	suspects = suspects[:min(maxSuspectsPerMessage, len(suspects))]
--- a/process/quarantines/store.go
+++ b/process/quarantines/store.go
@@ -30,13 +30,13 @@
 func (s *Store) Save(ctx context.Context, put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) error {
 	var err error
 	for range maxWriteAttempts {
-		var persisted quarantine.Kept
+		var persisted quarantine.PersistedEntries
 		var index uint64
 		if persisted, index, err = s.read(ctx); err != nil {
 			return err
 		}
-		persisted.Put(put, drop)
-		text, encodeErr := persisted.Text()
+		persisted.Update(put, drop)
+		text, encodeErr := persisted.Encode()
 		if encodeErr != nil {
 			return encodeErr
 		}
@@ -48,15 +48,15 @@
 }
 
 // read returns the stored entries and the index with which they can be replaced.
-func (s *Store) read(ctx context.Context) (quarantine.Kept, uint64, error) {
+func (s *Store) read(ctx context.Context) (quarantine.PersistedEntries, uint64, error) {
 	e, err := s.Store.Get(ctx, storeKey)
 	if errors.Is(err, vetchtrail.ErrNotFound) {
-		return quarantine.Kept{}, 0, nil
+		return quarantine.PersistedEntries{}, 0, nil
 	}
 	if err != nil {
-		return quarantine.Kept{}, 0, err
+		return quarantine.PersistedEntries{}, 0, err
 	}
-	persisted, err := quarantine.ParseKept(e.Value)
+	persisted, err := quarantine.ParsePersistedEntries(e.Value)
 	if err != nil {
 		s.Log.Error("some persisted quarantine entries can't be read and will be overwritten", "key", storeKey, "index", e.ModifyIndex, "error", err)
 	}
@@ -69,7 +69,7 @@
 	for ctx.Err() == nil {
 		persisted, _, err := s.read(ctx)
 		if err == nil {
-			q.mergePersisted(persisted.From(q.cfg.Clock()))
+			q.mergePersisted(persisted.EntriesAt(q.cfg.Clock()))
 			return
 		}
 		q.cfg.Log.Info("persisted quarantine entries not read", "error", err)
--- a/request/budget/budget.go
+++ b/request/budget/budget.go
@@ -95,16 +95,16 @@
 	return sum
 }
 
-// Earn counts a request of a caller, which raises the number of allowed retries.
-func (b *Budget) Earn(now time.Time) {
+// CountRequest counts a request of a caller, which raises the number of allowed retries.
+func (b *Budget) CountRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests.add(b.bucket(now))
 }
 
-// Take counts a retry and returns true if the budget allows it. Otherwise it returns
+// TakeRetry counts a retry and returns true if the budget allows it. Otherwise it returns
 // false and counts nothing.
-func (b *Budget) Take(now time.Time) bool {
+func (b *Budget) TakeRetry(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	bucket := b.bucket(now)
--- a/request/budget/budget_test.go
+++ b/request/budget/budget_test.go
@@ -20,18 +20,18 @@
 	b := New(Config{Window: 10 * time.Second, Share: 0.1, Base: 5, Hosts: func() int { return 1 }})
 	retries := 0
 	for range 1000 {
-		b.Earn(start)
+		b.CountRequest(start)
 		for range 3 {
-			if b.Take(start) {
+			if b.TakeRetry(start) {
 				retries++
 			}
 		}
 	}
 	assert.Assert(t, retries <= 1000/10+5, "%d", retries)
 	assert.Assert(t, retries >= 1000/20, "%d", retries)
-	assert.Assert(t, !b.Take(start))
+	assert.Assert(t, !b.TakeRetry(start))
 	withoutRequests := New(Config{Window: 10 * time.Second, Share: 0.1, Hosts: func() int { return 1 }})
-	assert.Assert(t, !withoutRequests.Take(start))
+	assert.Assert(t, !withoutRequests.TakeRetry(start))
 }
 
 // TestRetriesOfAllHosts checks that the retries of all hosts together in any window stay
@@ -59,12 +59,12 @@
 			i := rapid.IntRange(0, n-1).Draw(t, "host")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				budgets[i].Earn(start.Add(at))
+				budgets[i].CountRequest(start.Add(at))
 				events = append(events, event{at: at})
 			case 1: // a host also counts hosts that are dead or have left
 				hostCounts[i] = n + rapid.IntRange(0, 3).Draw(t, "more")
 			default:
-				if budgets[i].Take(start.Add(at)) {
+				if budgets[i].TakeRetry(start.Add(at)) {
 					events = append(events, event{at: at, retry: true})
 				}
 			}
--- a/request/dispatch/availability_test.go
+++ b/request/dispatch/availability_test.go
@@ -14,7 +14,7 @@
 // announceLeaving has an endpoint announce that it is leaving.
 func announceLeaving(d *Dispatcher, name string) {
 	now := time.Now()
-	d.cfg.Table.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
+	d.cfg.Endpoints.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 }
 
 // TestLeavingEndpointBeforeSend checks that a request is not sent to an endpoint that announced after the
@@ -25,10 +25,10 @@
 	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Deadline: time.Now().Add(time.Second)}
 	leaveBeforeSend := func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		name := targets.called[len(targets.called)-1]
-		e, _ := d.cfg.Table.Find(name)
-		assert.Equal(t, d.Guard(e, r), vetchtrail.Reason(""))
+		e, _ := d.cfg.Endpoints.Find(name)
+		assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.Reason(""))
 		announceLeaving(d, name)
-		reason := d.Guard(e, r)
+		reason := d.CheckBeforeSend(e, r)
 		assert.Equal(t, reason, vetchtrail.ReasonDraining)
 		return refuseWith(vetchtrail.StepResidency, reason)(r, a)
 	}
@@ -72,7 +72,7 @@
 // announcePause has an endpoint announce that it accepts nothing from this host for a time.
 func announcePause(d *Dispatcher, name string, pause time.Duration) {
 	now := time.Now()
-	d.cfg.Table.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{PausedUntil: now.Add(pause), RequestedAt: now, ReceivedAt: now})
+	d.cfg.Endpoints.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{PausedUntil: now.Add(pause), RequestedAt: now, ReceivedAt: now})
 }
 
 // refuseWithPause has the endpoint refuse a request and announce a pause.
@@ -161,10 +161,10 @@
 	r := &vetchtrail.Request{
 		ID: "x", Service: "s", Route: "r", AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second), Reservation: vetchtrail.Reservation{Endpoint: "1"},
 	}
-	e, _ := d.cfg.Table.Find("1")
-	assert.Equal(t, d.Guard(e, r), vetchtrail.Reason(""))
+	e, _ := d.cfg.Endpoints.Find("1")
+	assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.Reason(""))
 	announcePause(d, "1", time.Minute)
-	assert.Equal(t, d.Guard(e, r), vetchtrail.ReasonPaused)
+	assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.ReasonPaused)
 	resumed := &vetchtrail.Request{ID: "y", Service: "s", Deadline: time.Now().Add(time.Second)}
 	asResume(resumed)
 	var g recordedAnswer
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -50,21 +50,21 @@
 
 // Config holds the dependencies and settings of a Dispatcher.
 type Config struct {
-	Self       vetchtrail.Host           // this host
-	Policy     vetchtrail.Policy         // decides where a request runs
-	Rules      func() *rules.Rules       // returns the newest configuration on this host
-	Table      vetchtrail.EndpointTable  // load and availability of this data centre's endpoints
-	Membership vetchtrail.HostTable      // other hosts and data centres
-	Endpoints  vetchtrail.EndpointCaller // sends requests to endpoints
-	Peers      vetchtrail.Forwarder      // forwards requests to other hosts
-	Keeper     *once.Keeper              // idempotency keys that this process issued
-	Journal    vetchtrail.Recorder       // records decisions and outcomes
-	Seed       uint64                    // of the policy's random numbers
-	Budget     budget.Config             // retry budget of each service
-	Quotas     vetchtrail.QuotaLimiter   // nil: workspaces have no quotas
-	Quarantine vetchtrail.Quarantine     // nil: no request is quarantined
-	Permits    vetchtrail.RateLimiter    // nil: advertised rate limits are not enforced
-	Off        vetchtrail.Mechanisms     // mechanisms that are switched off
+	Self           vetchtrail.Host           // this host
+	Policy         vetchtrail.Policy         // decides where a request runs
+	Rules          func() *rules.Rules       // returns the newest configuration on this host
+	Endpoints      vetchtrail.EndpointTable  // load and availability of this data centre's endpoints
+	Membership     vetchtrail.HostTable      // other hosts and data centres
+	EndpointCaller vetchtrail.EndpointCaller // sends requests to endpoints
+	Peers          vetchtrail.Forwarder      // forwards requests to other hosts
+	IssuedKeys     *once.Registry            // idempotency keys that this process issued
+	Journal        vetchtrail.Recorder       // records decisions and outcomes
+	Seed           uint64                    // of the policy's random numbers
+	RetryBudget    budget.Config             // retry budget of each service
+	Quotas         vetchtrail.QuotaLimiter   // nil: workspaces have no quotas
+	Quarantine     vetchtrail.Quarantine     // nil: no request is quarantined
+	RateLimits     vetchtrail.RateLimiter    // nil: advertised rate limits are not enforced
+	Disabled       vetchtrail.Mechanisms     // mechanisms that are switched off
 }
 
 // Dispatcher runs requests. It is safe for concurrent use.
@@ -76,13 +76,13 @@
 	inFlight      atomic.Int64
 
 	mu         sync.Mutex                // guards the maps
-	waitQueues map[string]*queue.Line    // by service
+	waitQueues map[string]*queue.Queue   // by service
 	budgets    map[string]*budget.Budget // by service
 }
 
 // New returns a Dispatcher with empty queues and no retries made.
 func New(c Config) *Dispatcher {
-	d := &Dispatcher{cfg: c, waitQueues: map[string]*queue.Line{}, budgets: map[string]*budget.Budget{}}
+	d := &Dispatcher{cfg: c, waitQueues: map[string]*queue.Queue{}, budgets: map[string]*budget.Budget{}}
 	d.viewPool.New = func() any { return &vetchtrail.View{} }
 	d.randomPool.New = func() any { return rand.New(rand.NewPCG(c.Seed, d.randomStreams.Add(1))) }
 	return d
@@ -107,9 +107,9 @@
 	return o
 }
 
-// Rejected records and counts a request that was refused before Run, because its
+// RecordRejection records and counts a request that was refused before Run, because its
 // caller showed no valid key for a workspace.
-func (d *Dispatcher) Rejected(r *vetchtrail.Request, o vetchtrail.Outcome) {
+func (d *Dispatcher) RecordRejection(r *vetchtrail.Request, o vetchtrail.Outcome) {
 	o.Peer = d.cfg.Self.Name
 	d.cfg.Journal.Note(vetchtrail.JournalRecord{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
 	countRequest(r, o, 0)
@@ -179,11 +179,11 @@
 	return j, ""
 }
 
-// Guard is the last check before the first byte of a request is sent to an
+// CheckBeforeSend is the last check before the first byte of a request is sent to an
 // endpoint. It returns the reason not to send it; empty: it may be sent.
 // Configuration, quarantine, availability and rate limit may all have changed since
 // the target was chosen.
-func (d *Dispatcher) Guard(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason {
+func (d *Dispatcher) CheckBeforeSend(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason {
 	now := time.Now()
 	if !now.Before(r.Deadline) {
 		return vetchtrail.ReasonDeadline
@@ -199,10 +199,10 @@
 	}
 	// A stream can be resumed only at the endpoint that has it, so draining does
 	// not prevent that.
-	if reason, _ := d.cfg.Table.Blocked(e.Name, now); reason != "" && (reason != vetchtrail.ReasonDraining || r.ResumeAt.Endpoint == "") {
+	if reason, _ := d.cfg.Endpoints.Blocked(e.Name, now); reason != "" && (reason != vetchtrail.ReasonDraining || r.ResumeAt.Endpoint == "") {
 		return reason
 	}
-	if d.cfg.Permits != nil && !d.cfg.Permits.Allows(r.Reservation, e) {
+	if d.cfg.RateLimits != nil && !d.cfg.RateLimits.Allows(r.Reservation, e) {
 		return vetchtrail.ReasonRateLimited
 	}
 	return ""
@@ -239,7 +239,7 @@
 		a = &eventTracker{next: a, req: r}
 	}
 	if r.Hops == 0 {
-		d.budget(r.Service).Earn(time.Now())
+		d.budget(r.Service).CountRequest(time.Now())
 	}
 	use := d.quotaUse(r)
 	defer use.returnUnused()
@@ -280,7 +280,7 @@
 // policy decides once more, without the request's history.
 func (d *Dispatcher) withRetryTime(r *vetchtrail.Request, p placement, o vetchtrail.Outcome) vetchtrail.Outcome {
 	now := time.Now()
-	if reason, _ := d.cfg.Table.Blocked(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.OutcomeNotRun || reason != vetchtrail.ReasonPaused {
+	if reason, _ := d.cfg.Endpoints.Blocked(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.OutcomeNotRun || reason != vetchtrail.ReasonPaused {
 		return o
 	}
 	o.RetryAt = now.Add(minRetryAfter)
@@ -351,7 +351,7 @@
 	case history.reached == 0:
 		return true // no process received it, so a retry adds no load
 	}
-	ok := !d.cfg.Off.Has(vetchtrail.MechanismRetries) && d.budget(r.Service).Take(time.Now())
+	ok := !d.cfg.Disabled.Has(vetchtrail.MechanismRetries) && d.budget(r.Service).TakeRetry(time.Now())
 	countRetry(r.Service, ok)
 	return ok
 }
@@ -389,10 +389,10 @@
 		d.cfg.Membership.ForwardEnded(p.dataCentre, r.Service, o, time.Now())
 		return mapRemoteRefusal(o)
 	}
-	o, timing := d.cfg.Endpoints.Call(ctx, p.endpoint, r, a)
+	o, timing := d.cfg.EndpointCaller.Call(ctx, p.endpoint, r, a)
 	o.FirstByte = timing.FirstByte
 	d.returnReservation(r, o)
-	d.cfg.Table.Release(p.endpoint.Name, vetchtrail.Observation{
+	d.cfg.Endpoints.Release(p.endpoint.Name, vetchtrail.Observation{
 		Request: r.ID, StartedAt: p.endpoint.Born, Route: r.Route, Outcome: o, Timing: timing, PromptTokens: r.PromptTokens(), Cancelled: ctx.Err() != nil,
 		PredictedFirstByte: p.predictedTTFT,
 	}, time.Now())
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -160,9 +160,9 @@
 		Services: []*schema.ServiceDigest{{Service: "s", Free: 4, Slots: 4}},
 	}})
 	return New(Config{
-		Self: self, Policy: policy.Weighted{}, Rules: func() *rules.Rules { return ruleSet }, Table: table, Membership: m,
-		Endpoints: targets, Peers: targets, Keeper: once.New(once.Config{Host: "self", KeyTime: time.Minute}), Journal: journal.New(journal.Config{Log: discardLog}),
-		Budget: budget.Config{Window: time.Second, Base: 100, Hosts: func() int { return 1 }},
+		Self: self, Policy: policy.Weighted{}, Rules: func() *rules.Rules { return ruleSet }, Endpoints: table, Membership: m,
+		EndpointCaller: targets, Peers: targets, IssuedKeys: once.New(once.Config{Host: "self", KeyTime: time.Minute}), Journal: journal.New(journal.Config{Log: discardLog}),
+		RetryBudget: budget.Config{Window: time.Second, Base: 100, Hosts: func() int { return 1 }},
 	})
 }
 
@@ -271,7 +271,7 @@
 				Members: []*schema.Member{{Name: "remote", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}}}
 			d.cfg.Membership.(*membership.Membership).Swapped(&schema.Digests{From: "remote", Digest: slow})
 			for i := range 8 {
-				d.cfg.Table.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
+				d.cfg.Endpoints.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
 			}
 			now := time.Now()
 			r := &vetchtrail.Request{
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -19,7 +19,7 @@
 		o.Status, o.Err = statusBadRequest, err
 		return o
 	}
-	if d.cfg.Keeper.Mine(key) {
+	if d.cfg.IssuedKeys.IssuedHere(key) {
 		return d.runAsIssuer(ctx, key, r, a)
 	}
 	if r.Hops > 0 {
@@ -28,9 +28,9 @@
 	return d.forwardToIssuer(ctx, key, r, a)
 }
 
-// Starting returns the outcome of a request that arrived before this host had a
+// StartingOutcome returns the outcome of a request that arrived before this host had a
 // configuration.
-func (d *Dispatcher) Starting(r *vetchtrail.Request) vetchtrail.Outcome {
+func (d *Dispatcher) StartingOutcome(r *vetchtrail.Request) vetchtrail.Outcome {
 	return d.keyedRefusal(r, d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonStarting, time.Now().Add(time.Second)))
 }
 
@@ -40,7 +40,7 @@
 // process issued the key and has not begun a request with it.
 func (d *Dispatcher) keyedRefusal(r *vetchtrail.Request, o vetchtrail.Outcome) vetchtrail.Outcome {
 	key, err := once.Parse(r.IdempotencyKey)
-	if r.IdempotencyKey == "" || err != nil || (d.cfg.Keeper.Mine(key) && !d.cfg.Keeper.Begun(key)) {
+	if r.IdempotencyKey == "" || err != nil || (d.cfg.IssuedKeys.IssuedHere(key) && !d.cfg.IssuedKeys.MayHaveBegun(key)) {
 		return o
 	}
 	o.Kind = vetchtrail.OutcomeUnknown
@@ -60,7 +60,7 @@
 // runAsIssuer runs the first request with a key that this process issued. Any
 // further request with the key gets the answer of the first.
 func (d *Dispatcher) runAsIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	rec, first, err := d.cfg.Keeper.Begin(key, once.Fingerprint(r), time.Now())
+	rec, first, err := d.cfg.IssuedKeys.Begin(key, once.Fingerprint(r), time.Now())
 	if err != nil {
 		return d.keyRefusal(key, err)
 	}
@@ -71,7 +71,7 @@
 	// The request continues when its caller disconnects: a retry with the same key
 	// needs the answer.
 	o := d.runWithRetries(context.WithoutCancel(ctx), r, tee)
-	d.cfg.Keeper.Finish(key, rec, tee, o)
+	d.cfg.IssuedKeys.Finish(key, rec, tee, o)
 	return o
 }
 
@@ -103,7 +103,7 @@
 		o.Reason, o.RetryAt = vetchtrail.ReasonOverCapacity, time.Now().Add(time.Second)
 	case errors.Is(err, once.ErrExpired):
 		o.Status, o.Reason = statusConflict, vetchtrail.ReasonIdempotencyKeyExpired
-		if once.Forgotten(key, time.Now()) {
+		if once.RecordMayBeRemoved(key, time.Now()) {
 			// The record of an earlier request may have been dropped.
 			o.Kind = vetchtrail.OutcomeUnknown
 		}
--- a/request/dispatch/metrics.go
+++ b/request/dispatch/metrics.go
@@ -24,14 +24,14 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`vetchtrail_request_seconds{service=%q}`, service)).Update(duration.Seconds())
 }
 
-// RetriesName returns the name of the metric that counts a service's retries: those
+// RetriesMetric returns the name of the metric that counts a service's retries: those
 // that were made, or those that were not made because the retry budget was spent or
 // retries are switched off.
-func RetriesName(service string, made bool) string {
+func RetriesMetric(service string, made bool) string {
 	return fmt.Sprintf(`vetchtrail_retries_total{service=%q,made="%t"}`, service, made)
 }
 
 // countRetry counts a retry that was made, or that was due but not made.
 func countRetry(service string, made bool) {
-	metrics.GetOrCreateCounter(RetriesName(service, made)).Inc()
+	metrics.GetOrCreateCounter(RetriesMetric(service, made)).Inc()
 }
--- a/request/dispatch/per_service.go
+++ b/request/dispatch/per_service.go
@@ -10,19 +10,19 @@
 func (d *Dispatcher) SetBudget(c budget.Config) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cfg.Budget = c
+	d.cfg.RetryBudget = c
 	for _, b := range d.budgets {
 		b.Set(c)
 	}
 }
 
 // waitQueue returns the queue of a service's requests that wait for capacity.
-func (d *Dispatcher) waitQueue(service string) *queue.Line {
+func (d *Dispatcher) waitQueue(service string) *queue.Queue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	q, ok := d.waitQueues[service]
 	if !ok {
-		q = queue.New(func() <-chan struct{} { return d.cfg.Table.CapacityFreed(service) })
+		q = queue.New(func() <-chan struct{} { return d.cfg.Endpoints.CapacityFreed(service) })
 		d.waitQueues[service] = q
 	}
 	return q
@@ -34,7 +34,7 @@
 	defer d.mu.Unlock()
 	b, ok := d.budgets[service]
 	if !ok {
-		b = budget.New(d.cfg.Budget)
+		b = budget.New(d.cfg.RetryBudget)
 		d.budgets[service] = b
 	}
 	return b
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -48,8 +48,8 @@
 	v.ExpectedEvents, v.UrgentInterval, v.IdlePrefill, v.CachedShare, v.PredictionRatio = 0, 0, 0, 0, 0
 	v.Endpoints, v.Remotes, v.Excluded = v.Endpoints[:0], v.Remotes[:0], history.excluded
 	v.RefusedHere, v.WaitExhausted = history.refusedHere, history.waitOver
-	v.QueueWait = d.waitQueue(r.Service).Wait().Seconds()
-	d.cfg.Table.Fill(v, r, now)
+	v.QueueWait = d.waitQueue(r.Service).EstimatedWait().Seconds()
+	d.cfg.Endpoints.Fill(v, r, now)
 	v.ExpectedEvents = expectedEvents(r, s.EventTokens, v.ExpectedEvents)
 	d.cfg.Membership.Fill(v, r.Service, func(name string) (vetchtrail.RegionID, bool) {
 		region, ok := newest.Region(name)
@@ -88,14 +88,14 @@
 		h, ok := d.cfg.Membership.Pick(dec.Name, r.Service, time.Now())
 		return placement{host: h, dataCentre: dec.Name}, ok
 	}
-	e, ok := d.cfg.Table.Find(dec.Name)
+	e, ok := d.cfg.Endpoints.Find(dec.Name)
 	if !ok {
 		return placement{}, false
 	}
 	if _, ok := d.reserve(ctx, r, e); !ok {
 		return placement{}, false
 	}
-	if !d.cfg.Table.Acquire(dec.Name, r, time.Now()) {
+	if !d.cfg.Endpoints.Acquire(dec.Name, r, time.Now()) {
 		d.returnReservation(r, vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun})
 		return placement{}, false
 	}
@@ -106,7 +106,7 @@
 // request may wait no longer, or its caller disconnects. A request that can't join the
 // queue, or has waited in vain, gets a last chance in a remote data centre.
 func (d *Dispatcher) waitForCapacity(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
-	if d.cfg.Off.Has(vetchtrail.MechanismQueueing) {
+	if d.cfg.Disabled.Has(vetchtrail.MechanismQueueing) {
 		return d.lastChance(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
 	}
 	s, _ := d.cfg.Rules().Service(r.Service)
@@ -120,18 +120,18 @@
 	defer timeout.Stop()
 	for {
 		select {
-		case <-w.Turn():
+		case <-w.Ready():
 			p, o, done := d.decideAtHead(ctx, r, waitQueue, w, history, attempt)
 			if done {
 				return p, o, o.Reason == ""
 			}
 			continue
-		case <-w.Late(): // the queue dropped the request
+		case <-w.Dropped(): // the queue dropped the request
 			waitQueue.Leave(w, false, time.Now())
-			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.Wait(), minRetryAfter)), attempt)
+			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
 		case <-timeout.C:
 			waitQueue.Leave(w, false, time.Now())
-			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.Wait(), minRetryAfter)), attempt)
+			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
 		case <-ctx.Done():
 			waitQueue.Leave(w, false, time.Now())
 			return d.refuseWaiter(r, vetchtrail.ReasonCallerGone, time.Time{}, attempt)
@@ -142,7 +142,7 @@
 // decideAtHead has the policy decide again for the request at the head of the queue,
 // when capacity may have become free. It returns done if the request has left the
 // queue, with a placement or with a refusal; otherwise the request keeps waiting.
-func (d *Dispatcher) decideAtHead(ctx context.Context, r *vetchtrail.Request, waitQueue *queue.Line, w *queue.Waiter, history attemptHistory, attempt int) (p placement, o vetchtrail.Outcome, done bool) {
+func (d *Dispatcher) decideAtHead(ctx context.Context, r *vetchtrail.Request, waitQueue *queue.Queue, w *queue.Waiter, history attemptHistory, attempt int) (p placement, o vetchtrail.Outcome, done bool) {
 	if o, ok := d.applyRules(r); !ok { // the configuration may have changed
 		waitQueue.Leave(w, false, time.Now())
 		return placement{}, o, true
@@ -170,7 +170,7 @@
 // the given reason.
 func (d *Dispatcher) lastChance(ctx context.Context, r *vetchtrail.Request, history attemptHistory, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
 	history.waitOver = true
-	if d.cfg.Off.Has(vetchtrail.MechanismForwardAfterWait) {
+	if d.cfg.Disabled.Has(vetchtrail.MechanismForwardAfterWait) {
 		return d.refuseWaiter(r, reason, retryAt, attempt)
 	}
 	if dec := d.decide(r, history); dec.Kind == vetchtrail.RunElsewhere {
--- a/request/dispatch/quarantine_test.go
+++ b/request/dispatch/quarantine_test.go
@@ -101,10 +101,10 @@
 	d.cfg.Quarantine = q
 	enableQueue(t, d)
 	for i := range 8 {
-		d.cfg.Table.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
+		d.cfg.Endpoints.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
 	}
 	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: 1, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
-	time.AfterFunc(20*time.Millisecond, func() { d.cfg.Table.Release("1", vetchtrail.Observation{Request: "a"}, time.Now()) })
+	time.AfterFunc(20*time.Millisecond, func() { d.cfg.Endpoints.Release("1", vetchtrail.Observation{Request: "a"}, time.Now()) })
 	var g recordedAnswer
 	o := d.Run(context.Background(), r, &g)
 	assert.Equal(t, o.Reason, vetchtrail.ReasonQuarantined, "%v", o)
@@ -117,8 +117,8 @@
 	d := newDispatcher(t, &scriptedTargets{}, 1)
 	d.cfg.Quarantine = &fakeQuarantine{}
 	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second)}
-	e, _ := d.cfg.Table.Find("1")
-	assert.Equal(t, d.Guard(e, r), vetchtrail.ReasonQuarantined)
+	e, _ := d.cfg.Endpoints.Find("1")
+	assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.ReasonQuarantined)
 }
 
 // TestQuarantinedAfterRun checks that a quarantined request with an idempotency key is
@@ -129,8 +129,8 @@
 	d := newDispatcher(t, targets, 1)
 	q := &fakeQuarantine{passFirst: 9}
 	d.cfg.Quarantine = q
-	d.cfg.Keeper = once.New(once.Config{Host: "self", KeyTime: time.Minute, MaxBytes: 1 << 20})
-	key := d.cfg.Keeper.Issue(time.Now()).String()
+	d.cfg.IssuedKeys = once.New(once.Config{Host: "self", KeyTime: time.Minute, MaxBytes: 1 << 20})
+	key := d.cfg.IssuedKeys.Issue(time.Now()).String()
 	send := func() vetchtrail.Outcome {
 		r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, IdempotencyKey: key, Deadline: time.Now().Add(5 * time.Second)}
 		var g recordedAnswer
--- a/request/dispatch/quota.go
+++ b/request/dispatch/quota.go
@@ -38,7 +38,7 @@
 // takes the cost.
 func (d *Dispatcher) issuedKey(r *vetchtrail.Request) bool {
 	key, err := once.Parse(r.IdempotencyKey)
-	return r.IdempotencyKey != "" && err == nil && d.cfg.Keeper.Mine(key)
+	return r.IdempotencyKey != "" && err == nil && d.cfg.IssuedKeys.IssuedHere(key)
 }
 
 // take takes the cost of the next attempt, unless the cost of an earlier attempt that
--- a/request/dispatch/reservation.go
+++ b/request/dispatch/reservation.go
@@ -14,10 +14,10 @@
 // limit, so a count of this host's requests alone can't enforce it.
 func (d *Dispatcher) reserve(ctx context.Context, r *vetchtrail.Request, e vetchtrail.Endpoint) (retryAt time.Time, ok bool) {
 	r.Reservation = vetchtrail.Reservation{}
-	if d.cfg.Permits == nil {
+	if d.cfg.RateLimits == nil {
 		return time.Time{}, true
 	}
-	r.Reservation, retryAt, ok = d.cfg.Permits.Reserve(ctx, e)
+	r.Reservation, retryAt, ok = d.cfg.RateLimits.Reserve(ctx, e)
 	return retryAt, ok
 }
 
@@ -25,8 +25,8 @@
 // endpoint. A request that the endpoint refused did reach it and counts towards
 // the rate limit.
 func (d *Dispatcher) returnReservation(r *vetchtrail.Request, o vetchtrail.Outcome) {
-	if d.cfg.Permits != nil && !reached(o) {
-		d.cfg.Permits.Cancel(r.Reservation)
+	if d.cfg.RateLimits != nil && !reached(o) {
+		d.cfg.RateLimits.Cancel(r.Reservation)
 	}
 	r.Reservation = vetchtrail.Reservation{}
 }
--- a/request/dispatch/reservation_test.go
+++ b/request/dispatch/reservation_test.go
@@ -50,7 +50,7 @@
 func newRateLimitedDispatcher(t *testing.T, targets *scriptedTargets, endpoints int, exhausted ...string) (*Dispatcher, *fakeRateLimits) {
 	t.Helper()
 	d := newDispatcher(t, targets, endpoints)
-	table := d.cfg.Table.(*load.Table)
+	table := d.cfg.Endpoints.(*load.Table)
 	for i := range endpoints {
 		at := time.Now()
 		table.HearLimit(string(rune('1'+i)), time.Time{}, vetchtrail.RateLimit{Advertised: true, Rate: 2, RequestedAt: at, ReceivedAt: at})
@@ -63,7 +63,7 @@
 	assert.NilError(t, err)
 	d.cfg.Rules = func() *rules.Rules { return ruleSet }
 	limits := &fakeRateLimits{table: table, exhausted: exhausted}
-	d.cfg.Permits = limits
+	d.cfg.RateLimits = limits
 	return d, limits
 }
 
@@ -131,9 +131,9 @@
 	r := &vetchtrail.Request{
 		ID: "x", Service: "s", Route: "r", AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(time.Second), Reservation: vetchtrail.Reservation{Endpoint: "1"},
 	}
-	e, _ := d.cfg.Table.Find("1")
-	assert.Equal(t, d.Guard(e, r), vetchtrail.Reason(""))
+	e, _ := d.cfg.Endpoints.Find("1")
+	assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.Reason(""))
 	assert.Equal(t, limits.checked, r.Reservation)
 	r.Reservation.Endpoint = "2"
-	assert.Equal(t, d.Guard(e, r), vetchtrail.ReasonRateLimited)
+	assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.ReasonRateLimited)
 }
--- a/request/dispatch/resume.go
+++ b/request/dispatch/resume.go
@@ -29,14 +29,14 @@
 		return d.refusal(vetchtrail.StepResidency, vetchtrail.ReasonResidency, time.Time{})
 	}
 	if e.DataCentre == d.cfg.Self.DataCentre {
-		if reason, until := d.cfg.Table.Blocked(e.Name, time.Now()); reason == vetchtrail.ReasonPaused {
+		if reason, until := d.cfg.Endpoints.Blocked(e.Name, time.Now()); reason == vetchtrail.ReasonPaused {
 			return d.refusal(vetchtrail.StepDecide, reason, until)
 		}
 		if retryAt, ok := d.reserve(ctx, r, e); !ok {
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonRateLimited, retryAt)
 		}
 		r.Method, r.Path, r.Body = "GET", streamPath+r.ResumeAt.Stream, nil
-		o, _ := d.cfg.Endpoints.Call(ctx, e, r, a)
+		o, _ := d.cfg.EndpointCaller.Call(ctx, e, r, a)
 		d.returnReservation(r, o)
 		return o
 	}
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -38,9 +38,9 @@
 	MaxBytes    int           // limit of the memory of all records
 }
 
-// Keeper issues keys and records the requests that were started with them. It is safe
+// Registry issues keys and records the requests that were started with them. It is safe
 // for concurrent use. Its records are lost with the process.
-type Keeper struct {
+type Registry struct {
 	cfg Config
 
 	mu        sync.Mutex
@@ -65,10 +65,10 @@
 }
 
 // New returns a keeper without records.
-func New(c Config) *Keeper { return &Keeper{cfg: c, records: map[string]*Record{}} }
+func New(c Config) *Registry { return &Registry{cfg: c, records: map[string]*Record{}} }
 
 // Issue returns a new key.
-func (k *Keeper) Issue(now time.Time) Key {
+func (k *Registry) Issue(now time.Time) Key {
 	var nonce [nonceBytes]byte
 	_, _ = rand.Read(nonce[:])
 	return Key{
@@ -77,8 +77,8 @@
 	}
 }
 
-// Mine reports whether this process issued the key.
-func (k *Keeper) Mine(key Key) bool {
+// IssuedHere reports whether this process issued the key.
+func (k *Registry) IssuedHere(key Key) bool {
 	return key.Host == k.cfg.Host && key.Incarnation == k.cfg.Incarnation
 }
 
@@ -98,7 +98,7 @@
 // request has not been started: the caller starts it and calls Finish. Otherwise it was
 // started before and may still be running: the caller waits for the record's Done and
 // calls Replay.
-func (k *Keeper) Begin(key Key, fingerprint uint64, now time.Time) (rec *Record, first bool, err error) {
+func (k *Registry) Begin(key Key, fingerprint uint64, now time.Time) (rec *Record, first bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.sweep(now)
@@ -120,18 +120,18 @@
 	return rec, true, nil
 }
 
-// Begun reports whether the request of a key that this process issued may have been
+// MayHaveBegun reports whether the request of a key that this process issued may have been
 // started: there is a record of it, or there may have been a record that was removed.
-func (k *Keeper) Begun(key Key) bool {
+func (k *Registry) MayHaveBegun(key Key) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, ok := k.records[key.Nonce]
-	return ok || Forgotten(key, time.Now())
+	return ok || RecordMayBeRemoved(key, time.Now())
 }
 
 // Finish records how a request ended, with its answer if that is not too large. The
 // record of a request that did not run is removed, so that its key can be used again.
-func (k *Keeper) Finish(key Key, rec *Record, a *Tee, o vetchtrail.Outcome) {
+func (k *Registry) Finish(key Key, rec *Record, a *Tee, o vetchtrail.Outcome) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	rec.outcome = o
@@ -145,14 +145,14 @@
 	close(rec.done)
 }
 
-func (k *Keeper) remove(nonce string, rec *Record) {
+func (k *Registry) remove(nonce string, rec *Record) {
 	delete(k.records, nonce)
 	k.bytes -= recordBytes + len(rec.body)
 }
 
 // sweep removes the records of requests that have ended and whose keys expired longer ago
 // than the retention. The caller holds the lock.
-func (k *Keeper) sweep(now time.Time) {
+func (k *Registry) sweep(now time.Time) {
 	if now.Sub(k.lastSweep) < sweepInterval {
 		return
 	}
@@ -168,9 +168,9 @@
 	}
 }
 
-// Forgotten reports whether a record of the key may have been removed by now. Without a
+// RecordMayBeRemoved reports whether a record of the key may have been removed by now. Without a
 // record it is then not known whether the request ran.
-func Forgotten(key Key, now time.Time) bool { return now.After(key.Expires.Add(retention)) }
+func RecordMayBeRemoved(key Key, now time.Time) bool { return now.After(key.Expires.Add(retention)) }
 
 // Stats is the size of a Keeper.
 type Stats struct {
@@ -179,7 +179,7 @@
 }
 
 // Stats returns the size of the keeper.
-func (k *Keeper) Stats() Stats {
+func (k *Registry) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return Stats{Records: len(k.records), Bytes: k.bytes}
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func keeper(maxBytes int) *Keeper {
+func keeper(maxBytes int) *Registry {
 	return New(Config{Host: "h", Incarnation: 7, KeyTime: time.Minute, MaxBytes: maxBytes})
 }
 
--- a/request/policy/baseline.go
+++ b/request/policy/baseline.go
@@ -22,7 +22,7 @@
 func ByName(name string, off vetchtrail.Mechanisms) (p vetchtrail.Policy, ok bool) {
 	switch name {
 	case NameWeighted, "":
-		return Weighted{Off: off}, true
+		return Weighted{Disabled: off}, true
 	case NameRoundRobin:
 		return &baseline{pick: roundRobin()}, true
 	case NameLeastInFlight:
--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -27,7 +27,7 @@
 // time to the first token, the cost of leaving the region, the endpoint's processing time
 // and the prompt tokens to process. The weights are those of the service.
 type Weighted struct {
-	Off vetchtrail.Mechanisms // mechanisms that are switched off
+	Disabled vetchtrail.Mechanisms // mechanisms that are switched off
 }
 
 // evaluation holds the inputs of one decision and what the pass over the endpoints of
@@ -56,7 +56,7 @@
 // lets it wait, or refuses it.
 func (w Weighted) Decide(now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
 	var d vetchtrail.Decision
-	ev := evaluation{off: w.Off}
+	ev := evaluation{off: w.Disabled}
 	if !now.Before(r.Deadline) {
 		return refuse(&d, vetchtrail.ReasonDeadline, now, 0)
 	}
--- a/request/quarantine/detect.go
+++ b/request/quarantine/detect.go
@@ -53,7 +53,7 @@
 			return out
 		}
 		for _, t := range found {
-			out = append(out, Suspect{Digest: t.contentHash, Ends: len(t.crashes)})
+			out = append(out, Suspect{ContentHash: t.contentHash, Crashes: len(t.crashes)})
 			d.detected = append(d.detected, t.contentHash)
 			for _, inv := range t.crashes {
 				d.explained[inv.mergedCrash] = s == StrategyGreedy
--- a/request/quarantine/entries.go
+++ b/request/quarantine/entries.go
@@ -32,8 +32,8 @@
 	maxEntries = 1024
 )
 
-// HoldTime returns how long a request is quarantined if this is the count-th time.
-func HoldTime(count uint32) time.Duration {
+// EntryDuration returns how long a request is quarantined if this is the count-th time.
+func EntryDuration(count uint32) time.Duration {
 	shift := min(max(count, 1)-1, 16)
 	return min(initialDuration<<shift, maxDuration)
 }
@@ -81,7 +81,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	entry := vetchtrail.QuarantineEntry{ContentHash: hash, Count: e.byHash[hash].Count + 1, Crashes: crashes, Since: now}
-	entry.Until = now.Add(HoldTime(entry.Count))
+	entry.Until = now.Add(EntryDuration(entry.Count))
 	e.set(entry, now)
 	return entry
 }
--- a/request/quarantine/history.go
+++ b/request/quarantine/history.go
@@ -189,8 +189,8 @@
 
 // Suspect is a request with the number of crashes that count against it.
 type Suspect struct {
-	Digest vetchtrail.ContentHash
-	Ends   int
+	ContentHash vetchtrail.ContentHash
+	Crashes     int
 }
 
 // Suspects returns the requests with at least minCrashes crashes against them, but no request with
@@ -199,14 +199,14 @@
 	var out []Suspect
 	for hash, req := range h.repeated {
 		if n := countIndependent(req.crashes); n >= minCrashes {
-			out = append(out, Suspect{Digest: hash, Ends: n})
+			out = append(out, Suspect{ContentHash: hash, Crashes: n})
 		}
 	}
 	slices.SortFunc(out, func(a, b Suspect) int {
-		if a.Ends != b.Ends {
-			return b.Ends - a.Ends
+		if a.Crashes != b.Crashes {
+			return b.Crashes - a.Crashes
 		}
-		return slices.Compare(a.Digest[:], b.Digest[:])
+		return slices.Compare(a.ContentHash[:], b.ContentHash[:])
 	})
 	return out
 }
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -10,10 +10,10 @@
 	"vetchtrail"
 )
 
-// Kept is the persisted form of the entries, which survives the loss of all hosts. It contains no
+// PersistedEntries is the persisted form of the entries, which survives the loss of all hosts. It contains no
 // times, as no host's wall clock can be relied on: on a host that reads it after all hosts were
 // lost, each request is quarantined for its full duration again.
-type Kept struct {
+type PersistedEntries struct {
 	Entries []PersistedEntry `json:"holds"`
 }
 
@@ -25,10 +25,10 @@
 	Released    bool   `json:"released,omitempty"`
 }
 
-// ParseKept reads the encoding that Text returns. If some entries are invalid, it returns the valid
+// ParsePersistedEntries reads the encoding that Text returns. If some entries are invalid, it returns the valid
 // ones together with an error.
-func ParseKept(text []byte) (Kept, error) {
-	var in, out Kept
+func ParsePersistedEntries(text []byte) (PersistedEntries, error) {
+	var in, out PersistedEntries
 	if err := json.Unmarshal(text, &in); err != nil {
 		return out, errors.Wrap(err, "quarantine.ParseKept")
 	}
@@ -43,13 +43,13 @@
 	return out, bad
 }
 
-// Text returns the encoding that ParseKept reads.
-func (k *Kept) Text() ([]byte, error) { return json.Marshal(k) }
+// Encode returns the encoding that ParseKept reads.
+func (k *PersistedEntries) Encode() ([]byte, error) { return json.Marshal(k) }
 
-// Put adds entries and removes those of the requests in drop. An entry replaces the one of the same
+// Update adds entries and removes those of the requests in drop. An entry replaces the one of the same
 // request, unless that one has a higher count. If there are too many, those added first are
 // removed.
-func (k *Kept) Put(entries []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
+func (k *PersistedEntries) Update(entries []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
 	for _, d := range drop {
 		k.remove(d.String())
 	}
@@ -66,13 +66,13 @@
 	k.Entries = k.Entries[max(0, len(k.Entries)-maxEntries):]
 }
 
-func (k *Kept) remove(contentHash string) {
+func (k *PersistedEntries) remove(contentHash string) {
 	k.Entries = slices.DeleteFunc(k.Entries, func(entry PersistedEntry) bool { return entry.ContentHash == contentHash })
 }
 
-// From returns the entries for a host that reads them now. As their age isn't persisted, each one
+// EntriesAt returns the entries for a host that reads them now. As their age isn't persisted, each one
 // starts now; hosts that know its real age correct this when they exchange entries.
-func (k *Kept) From(now time.Time) []vetchtrail.QuarantineEntry {
+func (k *PersistedEntries) EntriesAt(now time.Time) []vetchtrail.QuarantineEntry {
 	out := make([]vetchtrail.QuarantineEntry, 0, len(k.Entries))
 	for _, entry := range k.Entries {
 		hash, err := vetchtrail.ParseContentHash(entry.ContentHash)
@@ -80,7 +80,7 @@
 			continue
 		}
 		out = append(out, vetchtrail.QuarantineEntry{
-			ContentHash: hash, Count: entry.Count, Crashes: entry.Crashes, Since: now, Until: now.Add(HoldTime(entry.Count)), Released: entry.Released,
+			ContentHash: hash, Count: entry.Count, Crashes: entry.Crashes, Since: now, Until: now.Add(EntryDuration(entry.Count)), Released: entry.Released,
 		})
 	}
 	return out
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -89,7 +89,7 @@
 			var got []uint64
 			for _, s := range history.Detect(StrategyGreedy, entries, now) {
 				for n := uint64(1); n <= third; n++ {
-					if s.Digest == hashOf(n) {
+					if s.ContentHash == hashOf(n) {
 						got = append(got, n)
 					}
 				}
@@ -114,7 +114,7 @@
 	history.RecordCrash(crashOf("d", 8, 1), now.Add(200*time.Millisecond))
 	got := history.Detect(StrategyGreedy, entries, now.Add(time.Second))
 	assert.Equal(t, len(got), 1)
-	assert.Equal(t, got[0].Digest, hashOf(1))
+	assert.Equal(t, got[0].ContentHash, hashOf(1))
 	assert.Assert(t, !history.AwaitingReports(now.Add(time.Second)))
 }
 
@@ -138,7 +138,7 @@
 	again := history.Detect(StrategyGreedy, entries, now)
 	assert.Equal(t, len(again), 1, "one crash should be enough the second time")
 	assert.Equal(t, entries.Add(hash, 1, now).Until.Sub(now), 2*initialDuration)
-	assert.Equal(t, HoldTime(1000), maxDuration)
+	assert.Equal(t, EntryDuration(1000), maxDuration)
 
 	_, released := entries.Release(hash, now)
 	assert.Assert(t, released)
@@ -217,15 +217,15 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var k Kept
-			k.Put(c.persisted, nil)
-			k.Put(c.put, c.drop)
-			text, err := k.Text()
+			var k PersistedEntries
+			k.Update(c.persisted, nil)
+			k.Update(c.put, c.drop)
+			text, err := k.Encode()
 			assert.NilError(t, err)
-			read, err := ParseKept(text)
+			read, err := ParsePersistedEntries(text)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, read.Entries, c.want)
-			assert.Equal(t, len(read.From(simStart)), len(c.want))
+			assert.Equal(t, len(read.EntriesAt(simStart)), len(c.want))
 		})
 	}
 }
@@ -237,8 +237,8 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		k, err := ParseKept(text)
-		for _, h := range k.From(simStart) {
+		k, err := ParsePersistedEntries(text)
+		for _, h := range k.EntriesAt(simStart) {
 			assert.Assert(t, h.Count > 0 && h.Until.After(simStart) && h.Until.Sub(simStart) <= maxDuration, "%v %v", h, err)
 		}
 	})
--- a/request/quarantine/simulation_test.go
+++ b/request/quarantine/simulation_test.go
@@ -238,15 +238,15 @@
 // detect quarantines the requests that are found, as a crash aggregator does, every 100 ms.
 func (sim *simulation) detect() {
 	for _, s := range sim.history.Detect(sim.strategy, sim.entries, sim.now) {
-		sim.entries.Add(s.Digest, s.Ends, sim.now)
-		if crashes, poison := sim.poisonCrashes[s.Digest]; poison {
-			if _, before := sim.quarantinedPoison[s.Digest]; !before {
-				sim.quarantinedPoison[s.Digest] = sim.now
+		sim.entries.Add(s.ContentHash, s.Crashes, sim.now)
+		if crashes, poison := sim.poisonCrashes[s.ContentHash]; poison {
+			if _, before := sim.quarantinedPoison[s.ContentHash]; !before {
+				sim.quarantinedPoison[s.ContentHash] = sim.now
 				sim.crashesNeeded = append(sim.crashesNeeded, crashes)
 			}
 			continue
 		}
-		sim.falsePositives[s.Digest] = true
+		sim.falsePositives[s.ContentHash] = true
 	}
 	sim.after(100*time.Millisecond, sim.detect)
 }
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -25,8 +25,8 @@
 	initialInterval = 20 * time.Millisecond
 )
 
-// Line is the queue of one service. It is safe for concurrent use.
-type Line struct {
+// Queue is the queue of one service. It is safe for concurrent use.
+type Queue struct {
 	freed func() <-chan struct{} // see New
 
 	mu          sync.Mutex
@@ -51,8 +51,8 @@
 
 // New returns an empty queue. freed returns a channel that is closed when an endpoint may
 // have capacity again.
-func New(freed func() <-chan struct{}) *Line {
-	return &Line{freed: freed, finishTags: map[string]float64{}, interval: initialInterval}
+func New(freed func() <-chan struct{}) *Queue {
+	return &Queue{freed: freed, finishTags: map[string]float64{}, interval: initialInterval}
 }
 
 // JoinResult is the result of Join.
@@ -65,7 +65,7 @@
 // Join adds a request to the queue, which holds at most limit requests. It refuses the
 // request at once if the queue is full or if the request would probably not be served
 // before it may no longer wait.
-func (l *Line) Join(r *vetchtrail.Request, limit int, now time.Time) JoinResult {
+func (l *Queue) Join(r *vetchtrail.Request, limit int, now time.Time) JoinResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.joined++
@@ -99,7 +99,7 @@
 // displace drops the last request of a full queue to make room for the new one. It does so
 // if the new one has a higher priority or if, at the same priority, its workspace has used
 // less of its share. An earlier deadline alone is not enough.
-func (l *Line) displace(w *Waiter, _ time.Time) bool {
+func (l *Queue) displace(w *Waiter, _ time.Time) bool {
 	if len(l.waiting) == 0 {
 		return false
 	}
@@ -125,17 +125,17 @@
 	return cmp.Or(a.deadline.Compare(b.deadline), cmp.Compare(a.sequence, b.sequence))
 }
 
-// Turn returns a channel that receives a value each time the request is first in the
+// Ready returns a channel that receives a value each time the request is first in the
 // queue and there may be capacity.
-func (w *Waiter) Turn() <-chan struct{} { return w.ready }
+func (w *Waiter) Ready() <-chan struct{} { return w.ready }
 
-// Late returns a channel that is closed when the queue drops the request: because it can't
+// Dropped returns a channel that is closed when the queue drops the request: because it can't
 // be served in time, or because another request displaced it.
-func (w *Waiter) Late() <-chan struct{} { return w.dropped }
+func (w *Waiter) Dropped() <-chan struct{} { return w.dropped }
 
 // Leave removes a request from the queue, if it is still there. served is true if the
 // request got capacity; then the next request is signalled.
-func (l *Line) Leave(w *Waiter, served bool, now time.Time) {
+func (l *Queue) Leave(w *Waiter, served bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if i := slices.Index(l.waiting, w); i >= 0 {
@@ -151,15 +151,15 @@
 }
 
 // Len returns the number of requests in the queue.
-func (l *Line) Len() int {
+func (l *Queue) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting)
 }
 
-// Wait estimates how long it takes to serve all requests that are in the queue now. A new
+// EstimatedWait estimates how long it takes to serve all requests that are in the queue now. A new
 // request at the end of the queue would wait that long.
-func (l *Line) Wait() time.Duration {
+func (l *Queue) EstimatedWait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(len(l.waiting)) * l.interval
@@ -167,7 +167,7 @@
 
 // signalFirst signals to the first request that there may be capacity. The caller holds
 // the lock.
-func (l *Line) signalFirst() {
+func (l *Queue) signalFirst() {
 	if len(l.waiting) == 0 {
 		return
 	}
@@ -179,7 +179,7 @@
 
 // run updates the queue whenever capacity is freed, and at each pollInterval. It returns
 // when the queue is empty; Join starts it again.
-func (l *Line) run() {
+func (l *Queue) run() {
 	for {
 		freed := l.freed()
 		if !l.update(time.Now()) {
@@ -194,7 +194,7 @@
 
 // update drops the requests that can't be served in time and signals the first of the
 // others. It returns false if none is left.
-func (l *Line) update(now time.Time) bool {
+func (l *Queue) update(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	remaining := l.waiting[:0]
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -14,7 +14,7 @@
 
 // stoppedLine returns a queue that never receives a signal of freed capacity and whose
 // run loop doesn't run, so that only the test changes it.
-func stoppedLine() *Line {
+func stoppedLine() *Queue {
 	never := make(chan struct{})
 	l := New(func() <-chan struct{} { return never })
 	l.running = true
@@ -26,7 +26,7 @@
 }
 
 // serveFirst removes the first request as if it got capacity, and returns its name.
-func serveFirst(l *Line, names map[*Waiter]string) string {
+func serveFirst(l *Queue, names map[*Waiter]string) string {
 	w := l.waiting[0]
 	l.Leave(w, true, now)
 	return names[w]
@@ -80,7 +80,7 @@
 	assert.Equal(t, l.Join(request("a", 0, time.Second), 2, now).Reason, vetchtrail.ReasonQueueFull)
 	// Workspace b has used less of its share than a. The request of c has a higher priority.
 	assert.Assert(t, l.Join(request("b", 0, time.Second), 2, now).Waiter != nil)
-	assert.Assert(t, isClosed(last.Waiter.Late()), "the displaced request is not told")
+	assert.Assert(t, isClosed(last.Waiter.Dropped()), "the displaced request is not told")
 	assert.Assert(t, l.Join(request("c", 5, time.Second), 2, now).Waiter != nil)
 	assert.Equal(t, l.Len(), 2)
 }
@@ -109,7 +109,7 @@
 	assert.Assert(t, l.update(now))
 	dropped := 0
 	for _, w := range waiters {
-		if isClosed(w.Late()) {
+		if isClosed(w.Dropped()) {
 			dropped++
 		}
 	}
@@ -124,9 +124,9 @@
 	l := New(func() <-chan struct{} { return freed })
 	a := l.Join(request("a", 0, time.Minute), 2, now).Waiter
 	b := l.Join(request("b", 0, 2*time.Minute), 2, now).Waiter
-	<-a.Turn()
+	<-a.Ready()
 	l.Leave(a, true, now)
-	<-b.Turn()
+	<-b.Ready()
 	l.Leave(b, true, now)
 	assert.Equal(t, l.Len(), 0)
 }
@@ -138,7 +138,7 @@
 func TestEmptyQueueAccepts(t *testing.T) {
 	l := stoppedLine()
 	l.interval = time.Hour
-	assert.Equal(t, l.Wait(), time.Duration(0))
+	assert.Equal(t, l.EstimatedWait(), time.Duration(0))
 	assert.Assert(t, l.Join(request("a", 0, time.Second), 10, now).Waiter != nil)
 	result := l.Join(request("b", 0, time.Second), 10, now)
 	assert.Assert(t, result.Waiter == nil)
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -196,7 +196,7 @@
 // retriesMade returns how many retries the daemons of this process have made for a
 // service.
 func retriesMade(service string) int {
-	return int(metrics.GetOrCreateCounter(dispatch.RetriesName(service, true)).Get())
+	return int(metrics.GetOrCreateCounter(dispatch.RetriesMetric(service, true)).Get())
 }
 
 func newHistogram() *hdrhistogram.Histogram {
