--- a/cmd/vetchtrail/losses_test.go
+++ b/cmd/vetchtrail/losses_test.go
@@ -16,10 +16,10 @@
 // sampleLosses returns losses of two routes, two regions and two seconds, with and
 // without a workspace.
 func sampleLosses() *journal.Losses {
-	return &journal.Losses{From: time.Unix(1_800_000_000, 0), Rows: []journal.Loss{
+	return &journal.Losses{From: time.Unix(1_800_000_000, 0), Rows: []journal.CauseCount{
 		{Second: 0, Service: "s", Route: "r", Home: "north", Cause: journal.CauseNone, Count: 8},
-		{Second: 0, Service: "s", Route: "r", Home: "south", Cause: journal.CauseRefusedFirst, Count: 1},
-		{Second: 2, Service: "s", Route: "r", Home: "south", Workspace: "w", Cause: journal.CauseCut, Count: 5},
+		{Second: 0, Service: "s", Route: "r", Home: "south", Cause: journal.CauseRefusedFirstAttempt, Count: 1},
+		{Second: 2, Service: "s", Route: "r", Home: "south", Workspace: "w", Cause: journal.CauseStreamBroken, Count: 5},
 		{Second: 2, Service: "s", Route: "q", Home: "south", Cause: journal.CauseNone, Count: 1},
 	}}
 }
--- a/cmd/vetchtrail/trace.go
+++ b/cmd/vetchtrail/trace.go
@@ -74,11 +74,11 @@
 			_, _ = fmt.Fprintf(w, "\t\t  not %s: %s, cost %.3f\n", c.Name, c.Reason, c.Cost)
 		}
 	}
-	if len(h.Beliefs) > 0 {
+	if len(h.Context) > 0 {
 		_, _ = fmt.Fprintln(w, "what these hosts came to believe about then:")
 	}
-	for i := range h.Beliefs {
-		l := &h.Beliefs[i]
+	for i := range h.Context {
+		l := &h.Context[i]
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s %s%s%s %s\n", sinceStart(l), l.Host, l.Msg, l.Endpoint, l.DataCentre, l.State, l.Error)
 	}
 	_, _ = fmt.Fprintln(w, h.Verdict())
--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -88,9 +88,9 @@
 				Weights: platform.Weights{Model: vetchtrail.Weights(s.Platform.Weights.Model), Plain: vetchtrail.Weights(s.Platform.Weights.Plain)},
 			})
 		},
-		Registry: platform.NewRegistry(s.Platform.Store, log),
-		Holds:    platform.NewHolds(s.Platform.Store, log),
-		Dialect:  platform.Dialect{},
+		Registry:   platform.NewRegistry(s.Platform.Store, log),
+		Quarantine: platform.NewHolds(s.Platform.Store, log),
+		Dialect:    platform.Dialect{},
 		Directory: func(m *membership.Membership, homes func(string) ([]string, bool)) daemon.Directory {
 			return platform.NewDirectory(m, homes, log)
 		},
--- a/connection/caller/responses.go
+++ b/connection/caller/responses.go
@@ -87,7 +87,7 @@
 		}
 	}
 	rand.Shuffle(len(list.Hosts), func(i, j int) { list.Hosts[i], list.Hosts[j] = list.Hosts[j], list.Hosts[i] })
-	for _, h := range s.cfg.Membership.Elsewhere(now) {
+	for _, h := range s.cfg.Membership.ReadyRemoteHosts(now) {
 		list.Hosts = append(list.Hosts, newHostEntry(h, weightRemote))
 	}
 	return c.JSON(list)
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -23,8 +23,8 @@
 	run func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
 }
 
-func (fakeHost) Exchanged(h *schema.Heartbeat) *schema.Heartbeat { return h }
-func (fakeHost) Swapped(d *schema.Digests) *schema.Digests       { return d }
+func (fakeHost) HandleHeartbeat(h *schema.Heartbeat) *schema.Heartbeat { return h }
+func (fakeHost) HandleDigests(d *schema.Digests) *schema.Digests       { return d }
 func (fakeHost) Since(uint64) ([]vetchtrail.Change, *schema.Snapshot) {
 	return nil, nil
 }
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -17,8 +17,8 @@
 
 // Membership answers gossip.
 type Membership interface {
-	Exchanged(h *schema.Heartbeat) *schema.Heartbeat
-	Swapped(d *schema.Digests) *schema.Digests
+	HandleHeartbeat(h *schema.Heartbeat) *schema.Heartbeat
+	HandleDigests(d *schema.Digests) *schema.Digests
 }
 
 // Changes returns configuration changes.
@@ -28,7 +28,7 @@
 
 // Lister serves this host's latest listing to other hosts.
 type Lister interface {
-	Lend(q *schema.ListRequest) *schema.Listing
+	ServeListing(q *schema.ListRequest) *schema.Listing
 }
 
 // Runner runs forwarded requests.
@@ -38,19 +38,19 @@
 
 // Quotas answers for the quota shards that this host owns.
 type Quotas interface {
-	Granted(m *schema.GrantRequest) *schema.GrantReply
-	Claimed(m *schema.Claims) *schema.Claims
+	HandleLeaseRequest(m *schema.GrantRequest) *schema.GrantReply
+	HandleDemand(m *schema.Claims) *schema.Claims
 }
 
 // RateLimits answers for the rate limits that this host owns.
 type RateLimits interface {
-	Permitted(m *schema.PermitRequest) *schema.PermitReply
+	HandleLeaseRequest(m *schema.PermitRequest) *schema.PermitReply
 }
 
 // Quarantines answers reports of crashes and exchanges of quarantine entries.
 type Quarantines interface {
-	HostEnded(m *schema.Ends) (*schema.Holds, error)
-	HostHolds(m *schema.Holds) (*schema.Holds, error)
+	HandleCrashes(m *schema.Ends) (*schema.Holds, error)
+	HandleEntries(m *schema.Holds) (*schema.Holds, error)
 }
 
 // ServerConfig configures a Server.
@@ -92,12 +92,12 @@
 
 // Exchange implements schema.DRPCPeersServer.
 func (s *Server) Exchange(_ context.Context, h *schema.Heartbeat) (*schema.Heartbeat, error) {
-	return s.cfg.Membership.Exchanged(h), nil
+	return s.cfg.Membership.HandleHeartbeat(h), nil
 }
 
 // Swap implements schema.DRPCPeersServer.
 func (s *Server) Swap(_ context.Context, d *schema.Digests) (*schema.Digests, error) {
-	return s.cfg.Membership.Swapped(d), nil
+	return s.cfg.Membership.HandleDigests(d), nil
 }
 
 // Changes implements schema.DRPCPeersServer.
@@ -112,32 +112,32 @@
 
 // List implements schema.DRPCPeersServer.
 func (s *Server) List(_ context.Context, q *schema.ListRequest) (*schema.Listing, error) {
-	return s.cfg.Lister.Lend(q), nil
+	return s.cfg.Lister.ServeListing(q), nil
 }
 
 // Grant implements schema.DRPCPeersServer.
 func (s *Server) Grant(_ context.Context, m *schema.GrantRequest) (*schema.GrantReply, error) {
-	return s.cfg.Quotas.Granted(m), nil
+	return s.cfg.Quotas.HandleLeaseRequest(m), nil
 }
 
 // Permit implements schema.DRPCPeersServer.
 func (s *Server) Permit(_ context.Context, m *schema.PermitRequest) (*schema.PermitReply, error) {
-	return s.cfg.RateLimits.Permitted(m), nil
+	return s.cfg.RateLimits.HandleLeaseRequest(m), nil
 }
 
 // Claim implements schema.DRPCPeersServer.
 func (s *Server) Claim(_ context.Context, m *schema.Claims) (*schema.Claims, error) {
-	return s.cfg.Quotas.Claimed(m), nil
+	return s.cfg.Quotas.HandleDemand(m), nil
 }
 
 // Ended implements schema.DRPCPeersServer.
 func (s *Server) Ended(_ context.Context, m *schema.Ends) (*schema.Holds, error) {
-	return s.cfg.Holds.HostEnded(m)
+	return s.cfg.Holds.HandleCrashes(m)
 }
 
 // Hold implements schema.DRPCPeersServer.
 func (s *Server) Hold(_ context.Context, m *schema.Holds) (*schema.Holds, error) {
-	return s.cfg.Holds.HostHolds(m)
+	return s.cfg.Holds.HandleEntries(m)
 }
 
 // Forward implements schema.DRPCPeersServer.
--- a/observation.go
+++ b/observation.go
@@ -43,9 +43,9 @@
 	Self() Host
 	// Find returns a host by its name.
 	Find(name string, now time.Time) (Host, bool)
-	// Fill appends the remote data centres that run a service to a view; regionID returns the
+	// AppendRemotes appends the remote data centres that run a service to a view; regionID returns the
 	// id of a region.
-	Fill(v *View, service string, regionID func(region string) (RegionID, bool), now time.Time)
+	AppendRemotes(v *View, service string, regionID func(region string) (RegionID, bool), now time.Time)
 	// Pick chooses a host of a data centre and counts a request in flight there.
 	Pick(dataCentre, service string, now time.Time) (Host, bool)
 	// ForwardEnded counts the end of a forwarded request and learns from its outcome.
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -44,9 +44,9 @@
 )
 
 const (
-	// Watchers is the number of hosts in a data centre that watch the store. The others
+	// StoreWatchers is the number of hosts in a data centre that watch the store. The others
 	// get configuration changes from their peers.
-	Watchers = 2
+	StoreWatchers = 2
 	// pullInterval is the pause between two checks for a peer with a newer configuration.
 	pullInterval = 200 * time.Millisecond
 	// catchUpTimeout bounds one read of the store, which may be slow.
@@ -77,10 +77,10 @@
 type Hosted struct {
 	// Feed returns the feed of the platform's configuration and listings. f decides which
 	// of the platform's calls this host makes.
-	Feed     func(f vetchtrail.PollCoordinator) vetchtrail.Feed
-	Registry vetchtrail.HostRegistry    // registers this host with the platform
-	Holds    vetchtrail.QuarantineStore // persists quarantine entries on the platform
-	Dialect  vetchtrail.Dialect         // translates the platform's request and response headers
+	Feed       func(f vetchtrail.PollCoordinator) vetchtrail.Feed
+	Registry   vetchtrail.HostRegistry    // registers this host with the platform
+	Quarantine vetchtrail.QuarantineStore // persists quarantine entries on the platform
+	Dialect    vetchtrail.Dialect         // translates the platform's request and response headers
 	// Directory returns the directory server. homes returns the home regions of a host name
 	// that callers use; known is false while the host has no configuration.
 	Directory func(m *membership.Membership, homes func(name string) (regions []string, known bool)) Directory
@@ -142,22 +142,22 @@
 	d.changes = changelog.New(changelog.Config{Store: storeClient, Log: d.log})
 	d.quarantineStore = &quarantines.Store{Store: storeClient, Log: d.log}
 	d.membership = membership.New(membership.Config{
-		Self: d.self, Seeds: d.cfg.Seeds, Load: d.table, Revision: d.appliedRevision.Load, Log: d.log, Seed: d.seed(),
-		WholeRegion: d.hosted != nil, Rates: rateReceiver{d}, Notices: leavingReceiver{d},
+		Self: d.self, Seeds: d.cfg.Seeds, Load: d.table, Revision: d.appliedRevision.Load, Log: d.log, RandomSeed: d.seed(),
+		CallsWholeRegion: d.hosted != nil, RateLimits: rateReceiver{d}, LeavingEndpoints: leavingReceiver{d},
 	})
 	d.journal = journal.New(journal.Config{Log: d.log})
 	if err := d.newTLS(); err != nil {
 		return nil, err
 	}
 	d.lists = lists.New(lists.Config{
-		Self: d.self, Seeds: d.cfg.Seeds, KnownWithin: d.cfg.Platform.KnownWithin, Link: d.cfg.Limits.Link, Hosts: d.membership, Peers: d.peers,
-		Configuration: configuration{d}, Taken: d.listingTaken, Clock: clock.Boot, Log: d.log,
+		Self: d.self, Seeds: d.cfg.Seeds, KnownWithin: d.cfg.Platform.KnownWithin, LinkMbps: d.cfg.Limits.Link, Hosts: d.membership, Peers: d.peers,
+		Configuration: configuration{d}, OnUpdate: d.listingTaken, Clock: clock.Boot, Log: d.log,
 	})
 	if err := d.newRequestPath(); err != nil {
 		return nil, err
 	}
 	d.poller = poll.New(poll.Config{
-		Table: d.table, Duties: d.membership, Every: d.cfg.Timing.Poll, Hosts: d.cfg.Platform.Hosts, Log: d.log,
+		Table: d.table, Duties: d.membership, Interval: d.cfg.Timing.Poll, ListAddr: d.cfg.Platform.Hosts, Log: d.log,
 	})
 	var err error
 	d.server, err = peer.NewServer(peer.ServerConfig{
@@ -186,7 +186,7 @@
 		})
 	}
 	d.quotas = quotas.New(quotas.Config{
-		Self: d.self, Bounds: func() quotas.Bounds { return d.changes.Rules() }, Hosts: d.membership, Peers: d.peers, Way: d.cfg.Quotas.Way, Clock: clock.Boot, Log: d.log,
+		Self: d.self, QuotaSource: func() quotas.QuotaSource { return d.changes.Rules() }, Hosts: d.membership, Peers: d.peers, Strategy: d.cfg.Quotas.Way, Clock: clock.Boot, Log: d.log,
 		Tolerance: quota.Tolerance{Window: d.cfg.Quotas.Window, Overage: d.cfg.Quotas.Overage, Slack: d.cfg.Quotas.Slack},
 	})
 	off := vetchtrail.MechanismsOf(d.cfg.SwitchedOff...)
@@ -261,8 +261,8 @@
 	var tasks conc.WaitGroup
 	tasks.Go(func() { d.journal.Run(ctx) })
 	tasks.Go(func() { _ = d.server.Serve(ctx, peers) })
-	tasks.Go(func() { d.membership.Beat(ctx, d.peers) })
-	tasks.Go(func() { d.membership.SwapDigests(ctx, d.peers) })
+	tasks.Go(func() { d.membership.RunHeartbeats(ctx, d.peers) })
+	tasks.Go(func() { d.membership.RunDigestSwaps(ctx, d.peers) })
 	tasks.Go(func() { d.pullFromPeers(ctx) })
 	tasks.Go(func() { d.quotas.Run(ctx) })
 	tasks.Go(func() { d.rateLimits.Run(ctx) })
@@ -300,7 +300,7 @@
 	tasks.Go(func() { d.quarantines.Load(ctx, d.quarantineStore) })
 	tasks.Go(func() { d.poller.Run(ctx) })
 	tasks.Go(func() { d.poller.RunList(ctx) })
-	go d.changes.Watch(ctx, func() bool { return d.membership.OnDuty("watch the store", Watchers, time.Now()) })
+	go d.changes.Watch(ctx, func() bool { return d.membership.IsAssigned("watch the store", StoreWatchers, time.Now()) })
 }
 
 // budget returns the retry budget for the given settings. On a hosted platform the budget
@@ -356,7 +356,7 @@
 		return true
 	}
 	now := time.Now()
-	_, ahead := d.membership.Ahead(now)
+	_, ahead := d.membership.NewestAhead(now)
 	return d.changes.Revision() > 0 && !ahead && now.Sub(began) > storeFallbackDelay
 }
 
@@ -364,7 +364,7 @@
 // ctx ends.
 func (d *Daemon) pullFromPeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		if h, ok := d.membership.Ahead(time.Now()); ok {
+		if h, ok := d.membership.NewestAhead(time.Now()); ok {
 			if err := d.pullFrom(ctx, h); err != nil {
 				d.log.Debug("cannot fetch configuration changes from peer", "peer", h.Name, "error", err)
 			}
@@ -388,10 +388,10 @@
 	for ctx.Err() == nil {
 		changed := d.changes.Grown()
 		rules := d.changes.Rules()
-		var placed []load.Placed
+		var placed []load.EndpointInRegion
 		for _, e := range rules.Endpoints(d.cfg.DataCentre) {
 			g, _ := rules.Region(e.Region)
-			placed = append(placed, load.Placed{Endpoint: e, RegionID: g.ID})
+			placed = append(placed, load.EndpointInRegion{Endpoint: e, RegionID: g.ID})
 		}
 		d.table.Configure(placed)
 		d.appliedRevision.Store(rules.Revision())
--- a/process/daemon/hosted.go
+++ b/process/daemon/hosted.go
@@ -44,7 +44,7 @@
 		}()
 	}
 	tasks.Go(func() { d.hosted.Feed(d.lists).Run(ctx, feedSink{d}) })
-	tasks.Go(func() { d.hosted.Registry.Register(ctx, d.membership.Self(), d.lists.Registers) })
+	tasks.Go(func() { d.hosted.Registry.Register(ctx, d.membership.Self(), d.lists.ShouldRegister) })
 	tasks.Go(func() { d.updateTablePeriodically(ctx) })
 	tasks.Go(func() { d.lists.Run(ctx) })
 	return nil
@@ -71,7 +71,7 @@
 }
 
 // ReplaceListing implements vetchtrail.Sink.
-func (s feedSink) ReplaceListing(l vetchtrail.Listing) { s.d.lists.Take(l) }
+func (s feedSink) ReplaceListing(l vetchtrail.Listing) { s.d.lists.Update(l) }
 
 // configuration gives package lists access to the host's configuration, to compare it with
 // other hosts' and to apply the newer ones that it fetches from them.
@@ -80,8 +80,8 @@
 // Revision implements lists.Configuration.
 func (c configuration) Revision() uint64 { return c.d.changes.Revision() }
 
-// Learned implements lists.Configuration.
-func (c configuration) Learned(reply *schema.ChangesReply) error { return c.d.learnChanges(reply) }
+// Apply implements lists.Configuration.
+func (c configuration) Apply(reply *schema.ChangesReply) error { return c.d.learnChanges(reply) }
 
 // listingTaken updates the host after a new listing, from the platform or from a peer.
 func (d *Daemon) listingTaken() {
@@ -99,7 +99,7 @@
 	if d.hosted != nil {
 		return d.lists.Refresh(ctx)
 	}
-	h, ahead := d.membership.Ahead(time.Now())
+	h, ahead := d.membership.NewestAhead(time.Now())
 	if !ahead {
 		return true
 	}
@@ -147,7 +147,7 @@
 	if last.revision == rules.Revision() && sameSlice(last.listed, l.Endpoints) {
 		last.coldStarting = slices.DeleteFunc(last.coldStarting, func(e *vetchtrail.Endpoint) bool { return !now.Before(e.ColdUntil) })
 		for _, e := range last.coldStarting {
-			d.table.SetColdRate(e.Name, d.coldStartShare(e, now))
+			d.table.SetColdStartRate(e.Name, d.coldStartShare(e, now))
 		}
 		return
 	}
@@ -159,7 +159,7 @@
 			localCount++
 		}
 	}
-	placed := make([]load.Placed, 0, localCount)
+	placed := make([]load.EndpointInRegion, 0, localCount)
 	for _, e := range l.Endpoints {
 		if e.Region != d.cfg.Region {
 			continue
@@ -167,16 +167,16 @@
 		if now.Before(e.ColdUntil) {
 			last.coldStarting = append(last.coldStarting, e)
 		}
-		placed = append(placed, load.Placed{Endpoint: *e, RegionID: localRegion.ID})
+		placed = append(placed, load.EndpointInRegion{Endpoint: *e, RegionID: localRegion.ID})
 		placed[len(placed)-1].ColdRate = d.coldStartShare(e, now)
 	}
 	d.table.Configure(placed)
-	d.table.SetFar(func(yield func(load.Placed) bool) {
+	d.table.SetRemote(func(yield func(load.EndpointInRegion) bool) {
 		for _, e := range l.Endpoints {
 			if e.Region == d.cfg.Region {
 				continue
 			}
-			if region, _ := rules.Region(e.Region); !yield(load.Placed{Endpoint: *e, RegionID: region.ID}) {
+			if region, _ := rules.Region(e.Region); !yield(load.EndpointInRegion{Endpoint: *e, RegionID: region.ID}) {
 				return
 			}
 		}
@@ -222,7 +222,7 @@
 	if e.ColdRate == 0 || !now.Before(e.ColdUntil) {
 		return e.ColdRate
 	}
-	if d.membership.Before("cold "+e.Name, now) >= coldStartHosts {
+	if d.membership.ListedRank("cold "+e.Name, now) >= coldStartHosts {
 		return -1
 	}
 	return e.ColdRate / coldStartHosts
--- a/process/daemon/hosted_test.go
+++ b/process/daemon/hosted_test.go
@@ -95,9 +95,9 @@
 	assert.Equal(t, b.Revision(), uint64(5))
 	_, known := b.table.Find("e")
 	assert.Assert(t, known)
-	b.lists.Take(vetchtrail.Listing{Revision: 39, ConfirmedRevision: 39, ReadAt: time.Now()})
+	b.lists.Update(vetchtrail.Listing{Revision: 39, ConfirmedRevision: 39, ReadAt: time.Now()})
 	assert.Equal(t, b.lists.Listing().Revision, uint64(40))
-	b.lists.Take(vetchtrail.Listing{Revision: 41, ConfirmedRevision: 41, ReadAt: time.Now()})
+	b.lists.Update(vetchtrail.Listing{Revision: 41, ConfirmedRevision: 41, ReadAt: time.Now()})
 	assert.Equal(t, b.lists.Listing().Revision, uint64(41))
 }
 
@@ -124,14 +124,14 @@
 			const updates = 20
 			for range updates {
 				l.ConfirmedRevision++
-				d.lists.Take(l)
+				d.lists.Update(l)
 			}
 			runtime.ReadMemStats(&after)
 			bytesPerUpdate := (after.TotalAlloc - before.TotalAlloc) / updates
 			t.Logf("%d bytes allocated", bytesPerUpdate)
 			assert.Assert(t, bytesPerUpdate < maxBytes, "%d bytes allocated", bytesPerUpdate)
 			l.ConfirmedRevision, l.Revision, l.Endpoints = l.ConfirmedRevision+1, l.ConfirmedRevision+1, l.Endpoints[1:]
-			d.lists.Take(l)
+			d.lists.Update(l)
 			assert.Equal(t, len(d.table.Endpoints()), (endpoints-1)/2)
 		})
 	}
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -123,22 +123,22 @@
 			Revision: h.Revision, State: h.State.String(), Heard: unixNanos(h.LastSeen),
 		})
 	}
-	for _, row := range o.d.table.Rows(now) {
+	for _, row := range o.d.table.EndpointStatuses(now) {
 		e := endpointStatus(row)
-		e.Permits = o.d.rateLimits.Sent(row.Name)
+		e.Permits = o.d.rateLimits.ReservationsUsed(row.Name)
 		out.Endpoints = append(out.Endpoints, e)
 	}
 	slices.SortFunc(out.Endpoints, func(a, b *schema.EndpointStatus) int { return cmp.Compare(a.GetName(), b.GetName()) })
 	for _, c := range o.d.membership.DataCentres(now) {
 		out.DataCentres = append(out.DataCentres, &schema.DataCentreStatus{
-			Name: c.Name, Region: c.Region, Revision: c.Revision, Heard: unixNanos(c.Heard), Reachable: c.Reachable,
+			Name: c.Name, Region: c.Region, Revision: c.Revision, Heard: unixNanos(c.DigestTime), Reachable: c.Reachable,
 		})
 	}
 	return out, nil
 }
 
 // endpointStatus returns the status of the endpoint in a row of the table.
-func endpointStatus(row load.Row) *schema.EndpointStatus {
+func endpointStatus(row load.EndpointStatus) *schema.EndpointStatus {
 	state := "in-use"
 	if row.View.Unavailable {
 		state = string(row.View.UnavailableReason)
@@ -146,7 +146,7 @@
 	return &schema.EndpointStatus{
 		Name: row.Name, Service: row.Service, Running: int32(row.Report.Running), Queued: int32(row.Report.Queued),
 		Own: int32(row.View.InFlight), Limit: int32(row.View.InFlightLimit), State: state, Reported: unixNanos(row.Report.ReceivedAt),
-		Limited: row.View.RateLimited, Rate: row.View.Rate, RateSince: unixNanos(row.LimitedSince),
+		Limited: row.View.RateLimited, Rate: row.View.Rate, RateSince: unixNanos(row.RateLimitedSince),
 		LeavingBy: string(row.LeavingBy), LeavingSince: unixNanos(row.LeavingSince), PausedUntil: unixNanos(row.PausedUntil),
 	}
 }
@@ -205,7 +205,7 @@
 
 // Quarantine implements schema.DRPCOperatorsServer.
 func (o *operatorServer) Quarantine(context.Context, *schema.QuarantineRequest) (*schema.QuarantineReply, error) {
-	entries, suspects := o.d.quarantines.Holds()
+	entries, suspects := o.d.quarantines.Entries()
 	out := &schema.QuarantineReply{Holds: schema.FromHolds(entries, clock.Boot())}
 	for _, s := range suspects {
 		out.Suspects = append(out.Suspects, &schema.Suspect{Digest: s.ContentHash[:], Ends: uint32(s.Crashes)})
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -14,8 +14,8 @@
 func (d *Daemon) newQuarantines(off vetchtrail.Mechanisms) {
 	d.quarantines = quarantines.New(quarantines.Config{
 		Self: d.self, Regions: func() []string { return d.changes.Rules().RegionNames() }, Hosts: liveHosts{d.membership}, Peers: d.peers,
-		Refuses: d.endpoints.Refuses, Leaving: d.endpointLeaving, Keeper: d.quarantineKeeper(), Clock: clock.Boot,
-		Off: off.Has(vetchtrail.MechanismQuarantine), Log: d.log,
+		RefusesConnections: d.endpoints.Refuses, IsLeaving: d.endpointLeaving, Persister: d.quarantineKeeper(), Clock: clock.Boot,
+		Disabled: off.Has(vetchtrail.MechanismQuarantine), Log: d.log,
 	})
 }
 
@@ -25,19 +25,19 @@
 
 // RankedIn implements quarantines.Hosts.
 func (l liveHosts) RankedIn(region, task string, n int) []vetchtrail.Host {
-	return l.Membership.RankedIn(region, task, n, time.Now())
+	return l.Membership.FirstInRegion(region, task, n, time.Now())
 }
 
 // endpointLeaving reports whether a listed endpoint is known to be leaving.
 func (d *Daemon) endpointLeaving(name string) bool {
-	return d.table.Leaves(name, time.Now())
+	return d.table.IsLeaving(name, time.Now())
 }
 
 // quarantineKeeper returns where quarantine entries are persisted, so that they outlast a
 // restart of all hosts.
 func (d *Daemon) quarantineKeeper() vetchtrail.QuarantineStore {
 	if d.hosted != nil {
-		return d.hosted.Holds
+		return d.hosted.Quarantine
 	}
 	return d.quarantineStore
 }
--- a/process/daemon/ratelimits.go
+++ b/process/daemon/ratelimits.go
@@ -10,7 +10,7 @@
 // newRateLimits creates the host's part in keeping the rate limits that endpoints advertise.
 func (d *Daemon) newRateLimits(off vetchtrail.Mechanisms) {
 	d.rateLimits = ratelimits.New(ratelimits.Config{
-		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, Off: off.Has(vetchtrail.MechanismRateLimits), Log: d.log,
+		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, Disabled: off.Has(vetchtrail.MechanismRateLimits), Log: d.log,
 	})
 }
 
@@ -23,5 +23,7 @@
 // leavingReceiver receives the leaving endpoints that other hosts report.
 type leavingReceiver struct{ d *Daemon }
 
-// Learn implements membership.Notices.
-func (l leavingReceiver) Learn(from string, m *schema.EndpointLeaves) { l.d.notices.Learn(from, m) }
+// RecordFromPeer implements membership.Notices.
+func (l leavingReceiver) RecordFromPeer(from string, m *schema.EndpointLeaves) {
+	l.d.notices.RecordFromPeer(from, m)
+}
--- a/process/journal/history.go
+++ b/process/journal/history.go
@@ -21,9 +21,9 @@
 type History struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
-	// Beliefs holds the context: the lines of the same hosts about that time, on the request's
+	// Context holds the context: the lines of the same hosts about that time, on the request's
 	// endpoints, the platform or the configuration.
-	Beliefs []Line `json:"beliefs"`
+	Context []Line `json:"beliefs"`
 	// Unread is the number of lines that were not valid JSON, such as one cut off at the end
 	// of a log.
 	Unread int `json:"unread"`
@@ -41,7 +41,7 @@
 	byTime := func(a, b Line) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Hops, b.Hops)) }
 	slices.SortStableFunc(h.Lines, byTime)
 	h.addContext(hostLines)
-	slices.SortStableFunc(h.Beliefs, byTime)
+	slices.SortStableFunc(h.Context, byTime)
 	return h, nil
 }
 
@@ -84,7 +84,7 @@
 			continue
 		}
 		if (l.Endpoint == "" && l.Msg != msgDirectory) || targets[l.Endpoint] {
-			h.Beliefs = append(h.Beliefs, l)
+			h.Context = append(h.Context, l)
 		}
 	}
 }
--- a/process/journal/history_test.go
+++ b/process/journal/history_test.go
@@ -63,7 +63,7 @@
 			for _, l := range h.Lines {
 				hosts = append(hosts, l.Host)
 			}
-			for _, l := range h.Beliefs {
+			for _, l := range h.Context {
 				context = append(context, l.Msg)
 			}
 			assert.Equal(t, strings.Join(hosts, " "), c.hosts)
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -15,7 +15,7 @@
 // Causes, with CauseNone for a request that was answered in time.
 const (
 	CauseNone                Cause = "in time"
-	CauseRefusedFirst        Cause = "refused at its first try"
+	CauseRefusedFirstAttempt Cause = "refused at its first try"
 	CauseRefusedRetry        Cause = "refused when its caller came back"
 	CauseOverQuota           Cause = "over its workspace's quota"
 	CauseQuarantined         Cause = "held back, as endpoints ended under it"
@@ -23,7 +23,7 @@
 	CauseLatePredicted       Cause = "late as foreseen"
 	CauseLateUnpredicted     Cause = "late at the endpoint, foreseen in time"
 	CauseLateAfterRetry      Cause = "late after another attempt"
-	CauseCut                 Cause = "cut with its endpoint"
+	CauseStreamBroken        Cause = "cut with its endpoint"
 	CauseLostBeforeAnswer    Cause = "lost with its endpoint before its answer"
 	CauseHostLost            Cause = "lost with the host it was passed to"
 	CauseTimeoutInAnswer     Cause = "out of time while it streamed"
@@ -41,9 +41,9 @@
 // limits.
 const reasonLimited = "endpoint-limited"
 
-// Loss is the number of requests that ended with one cause in one second, by service, route,
+// CauseCount is the number of requests that ended with one cause in one second, by service, route,
 // home and workspace. The second is that of the request's first decision.
-type Loss struct {
+type CauseCount struct {
 	Second  int    `json:"second"` // since Losses.From
 	Service string `json:"service"`
 	Route   string `json:"route"`
@@ -56,9 +56,9 @@
 
 // Losses counts the requests in the logs of several hosts by how they ended.
 type Losses struct {
-	From   time.Time `json:"from"` // time of the first line
-	Rows   []Loss    `json:"rows"` // in the order of time
-	Unread int       `json:"unread"`
+	From   time.Time    `json:"from"` // time of the first line
+	Rows   []CauseCount `json:"rows"` // in the order of time
+	Unread int          `json:"unread"`
 }
 
 // requestLog collects the log lines about one request.
@@ -79,7 +79,7 @@
 			return nil, err
 		}
 	}
-	counts := map[Loss]int{}
+	counts := map[CauseCount]int{}
 	for _, r := range requests {
 		if r.firstDecision.Msg == "" && r.outcome.Reason == reasonHeldBack {
 			r.firstDecision = r.outcome // quarantined requests are refused before any decision
@@ -87,7 +87,7 @@
 		if r.firstDecision.Msg == "" {
 			continue // only the log of the host that it was forwarded to is there
 		}
-		counts[Loss{
+		counts[CauseCount{
 			Second: int(r.firstDecision.Time.Sub(out.From).Seconds()), Service: r.firstDecision.Service, Route: r.firstDecision.Route,
 			Home: r.firstDecision.Home, Workspace: r.firstDecision.Workspace, Cause: r.cause(),
 		}]++
@@ -96,7 +96,7 @@
 		row.Count = n
 		out.Rows = append(out.Rows, row)
 	}
-	slices.SortFunc(out.Rows, func(a, b Loss) int {
+	slices.SortFunc(out.Rows, func(a, b CauseCount) int {
 		return cmp.Or(cmp.Compare(a.Second, b.Second), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Home, b.Home),
 			cmp.Compare(a.Service, b.Service), cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Cause, b.Cause))
 	})
@@ -174,7 +174,7 @@
 	case e.Outcome == "not-run" && e.Reason == reasonLimited:
 		return CauseRateLimited
 	case e.Outcome == "not-run" && r.firstDecision.Fresh:
-		return CauseRefusedFirst
+		return CauseRefusedFirstAttempt
 	case e.Outcome == "not-run":
 		return CauseRefusedRetry
 	case e.HostLost:
@@ -184,7 +184,7 @@
 	case e.Reason == "deadline":
 		return CauseTimeoutBeforeAnswer
 	case e.Begun:
-		return CauseCut
+		return CauseStreamBroken
 	}
 	return CauseLostBeforeAnswer
 }
--- a/process/lists/fetch.go
+++ b/process/lists/fetch.go
@@ -113,7 +113,7 @@
 // In this host's first seconds the seeds come before them, because hosts that have not
 // settled do not count on being first.
 func (l *Lists) peersToQuery(now time.Time) []vetchtrail.Host {
-	out := l.cfg.Hosts.Ranked(pollTask, maxPeers, now)
+	out := l.cfg.Hosts.FirstOthers(pollTask, maxPeers, now)
 	if now.Sub(l.startedAt) >= settleTime {
 		return out
 	}
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	return l.cfg.Configuration.Learned(reply)
+	return l.cfg.Configuration.Apply(reply)
 }
 
 // applyReply takes over the listing in the reply of host h; current was this host's listing
@@ -187,7 +187,7 @@
 		}
 		unchanged := *current
 		unchanged.ConfirmedRevision, unchanged.ReadAt = reply.GetSeen(), time.Now().Add(-time.Duration(reply.GetAge()))
-		l.Take(unchanged)
+		l.Update(unchanged)
 		return nil
 	}
 	fetched, err := l.decodeReply(reply, current)
@@ -203,6 +203,6 @@
 	}
 	l.cfg.Log.Info("lists borrowed", "peer", h.Name, "store_revision", fetched.ConfirmedRevision, "age", time.Since(fetched.ReadAt), "since", reply.GetSince(),
 		"endpoints", len(reply.GetEndpoints()), "gone", len(reply.GetGone()))
-	l.Take(fetched)
+	l.Update(fetched)
 	return nil
 }
--- a/process/lists/lists.go
+++ b/process/lists/lists.go
@@ -30,12 +30,12 @@
 	// Rank returns how many live hosts rank before this one for a task, in the region and
 	// in the data centre.
 	Rank(task string, now time.Time) (region, dataCentre int)
-	// Ranked returns the first n of the region's other live hosts for a task.
-	Ranked(task string, n int, now time.Time) []vetchtrail.Host
-	// Ahead returns a host that reported a newer configuration than this host's.
-	Ahead(now time.Time) (vetchtrail.Host, bool)
-	// SetListed passes on the hosts of a new listing.
-	SetListed(hosts []vetchtrail.Host)
+	// FirstOthers returns the first n of the region's other live hosts for a task.
+	FirstOthers(task string, n int, now time.Time) []vetchtrail.Host
+	// NewestAhead returns a host that reported a newer configuration than this host's.
+	NewestAhead(now time.Time) (vetchtrail.Host, bool)
+	// SetListedHosts passes on the hosts of a new listing.
+	SetListedHosts(hosts []vetchtrail.Host)
 }
 
 // Peers sends queries to other hosts.
@@ -50,8 +50,8 @@
 type Configuration interface {
 	// Revision returns the revision of the copy; 0: there is none yet.
 	Revision() uint64
-	// Learned applies the changes that another host sent.
-	Learned(reply *schema.ChangesReply) error
+	// Apply applies the changes that another host sent.
+	Apply(reply *schema.ChangesReply) error
 }
 
 // Config configures Lists.
@@ -62,14 +62,14 @@
 	Seeds []netip.AddrPort
 	// KnownWithin is the time within which all hosts must know that an endpoint is leaving.
 	KnownWithin time.Duration
-	// Link is the send capacity of the host's network link in Mbit/s; 0: not known.
-	Link          float64
+	// LinkMbps is the send capacity of the host's network link in Mbit/s; 0: not known.
+	LinkMbps      float64
 	Hosts         Hosts
 	Peers         Peers
 	Configuration Configuration
-	// Taken is called after a listing or a configuration may have changed. Calls may be
+	// OnUpdate is called after a listing or a configuration may have changed. Calls may be
 	// concurrent.
-	Taken func()
+	OnUpdate func()
 	// Clock returns the time of a clock that runs on while the host is suspended; quarantine
 	// entries are timed by it.
 	Clock func() time.Time
@@ -113,7 +113,7 @@
 	}
 	return &Lists{
 		cfg: c, startedAt: time.Now(), rejectedUntil: map[string]time.Time{}, unreachableUntil: map[string]time.Time{},
-		uplink: uplink{bytesPerSecond: servedLinkShare * c.Link * bytesPerMbit}, rnd: rand.New(rand.NewPCG(xxhash.Sum64String(c.Self.Name), 0)),
+		uplink: uplink{bytesPerSecond: servedLinkShare * c.LinkMbps * bytesPerMbit}, rnd: rand.New(rand.NewPCG(xxhash.Sum64String(c.Self.Name), 0)),
 	}
 }
 
@@ -123,17 +123,17 @@
 // Listing returns the current listing; nil: there is none yet.
 func (l *Lists) Listing() *vetchtrail.Listing { return l.current.Load() }
 
-// Take makes next the current listing unless the current one is newer. That happens when the
+// Update makes next the current listing unless the current one is newer. That happens when the
 // current one was fetched from a peer, and next is the last that this host's feed read before
 // the platform rejected it.
-func (l *Lists) Take(next vetchtrail.Listing) {
+func (l *Lists) Update(next vetchtrail.Listing) {
 	l.mu.Lock()
 	current := l.current.Load()
 	if current == nil || next.ConfirmedRevision >= current.ConfirmedRevision {
 		l.replace(current, &next)
 	}
 	l.mu.Unlock()
-	l.cfg.Taken()
+	l.cfg.OnUpdate()
 }
 
 // replace makes next the current listing and records how it differs from the last one. The
@@ -153,7 +153,7 @@
 		l.checksum += d.checksum
 	}
 	l.current.Store(next)
-	l.cfg.Hosts.SetListed(next.Hosts)
+	l.cfg.Hosts.SetListedHosts(next.Hosts)
 }
 
 // platformStatus tracks whether the platform answers this host.
--- a/process/lists/poll.go
+++ b/process/lists/poll.go
@@ -97,7 +97,7 @@
 // reject. It looks at as many hosts as rank before this one, at most maxPeers.
 func (l *Lists) countRejected(rank int, now time.Time) int {
 	n := 0
-	for _, h := range l.cfg.Hosts.Ranked(pollTask, min(rank, maxPeers), now) {
+	for _, h := range l.cfg.Hosts.FirstOthers(pollTask, min(rank, maxPeers), now) {
 		if l.isRejected(h.Name, now) {
 			n++
 		}
--- a/process/lists/refresh.go
+++ b/process/lists/refresh.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithTimeout(ctx, configCheckTimeout)
 	defer cancel()
 	now := time.Now()
-	if h, ok := l.cfg.Hosts.Ahead(now); ok {
+	if h, ok := l.cfg.Hosts.NewestAhead(now); ok {
 		if err := l.pullConfiguration(ctx, h); err != nil {
 			l.cfg.Log.Info("newer configuration not pulled", "peer", h.Name, "revision", h.Revision, "error", err)
 			return false
@@ -55,7 +55,7 @@
 		return true
 	}
 	confirmed := l.pollsPlatform(now)
-	for _, h := range l.cfg.Hosts.Ranked(pollTask, configCheckPeers, now) {
+	for _, h := range l.cfg.Hosts.FirstOthers(pollTask, configCheckPeers, now) {
 		ok, err := l.checkPeer(ctx, h)
 		if err != nil {
 			l.cfg.Log.Info("newest configuration not asked", "peer", h.Name, "error", err)
--- a/process/lists/region_test.go
+++ b/process/lists/region_test.go
@@ -55,7 +55,7 @@
 
 func (h *simHost) Rank(string, time.Time) (int, int) { return h.rank, h.rank / 2 }
 
-func (h *simHost) Ranked(_ string, n int, _ time.Time) []vetchtrail.Host {
+func (h *simHost) FirstOthers(_ string, n int, _ time.Time) []vetchtrail.Host {
 	var out []vetchtrail.Host
 	for i, other := range h.r.hosts {
 		if i != h.rank && len(out) < n {
@@ -65,8 +65,8 @@
 	return out
 }
 
-func (h *simHost) Ahead(time.Time) (vetchtrail.Host, bool) { return vetchtrail.Host{}, false }
-func (h *simHost) SetListed([]vetchtrail.Host)             {}
+func (h *simHost) NewestAhead(time.Time) (vetchtrail.Host, bool) { return vetchtrail.Host{}, false }
+func (h *simHost) SetListedHosts([]vetchtrail.Host)              {}
 
 // List sends a query to another host, which is some milliseconds away.
 func (h *simHost) List(ctx context.Context, addr netip.AddrPort, q *schema.ListRequest) (*schema.Listing, error) {
@@ -76,7 +76,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	m := to.Lend(q)
+	m := to.ServeListing(q)
 	h.r.countReply(m)
 	if arrives := h.r.arrival(to.rank, proto.Size(m)); time.Until(arrives) > 0 {
 		select {
@@ -91,8 +91,8 @@
 func (h *simHost) Changes(context.Context, netip.AddrPort, uint64) (*schema.ChangesReply, error) {
 	return &schema.ChangesReply{}, nil
 }
-func (h *simHost) Revision() uint64                   { return 1 }
-func (h *simHost) Learned(*schema.ChangesReply) error { return nil }
+func (h *simHost) Revision() uint64                 { return 1 }
+func (h *simHost) Apply(*schema.ChangesReply) error { return nil }
 
 // arrival returns when a message that a host sends now arrives, after all that it sent before.
 func (r *simRegion) arrival(rank, bytes int) time.Time {
@@ -158,7 +158,7 @@
 		h.r.mu.Lock()
 		endpoints := h.r.endpoints
 		h.r.mu.Unlock()
-		h.Take(vetchtrail.Listing{Revision: revision, ConfirmedRevision: revision, ReadAt: time.Now(), Endpoints: endpoints})
+		h.Update(vetchtrail.Listing{Revision: revision, ConfirmedRevision: revision, ReadAt: time.Now(), Endpoints: endpoints})
 		wait(ctx, time.Until(began.Add(h.PollInterval())))
 	}
 }
@@ -190,7 +190,7 @@
 		self := vetchtrail.Host{Name: fmt.Sprint("h", i), PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(i+1))}
 		h.Lists = New(Config{
 			Self: self, Seeds: []netip.AddrPort{netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 1)},
-			KnownWithin: 5 * time.Second, Link: linkMbps, Hosts: h, Peers: h, Configuration: h, Taken: h.onUpdate, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			KnownWithin: 5 * time.Second, LinkMbps: linkMbps, Hosts: h, Peers: h, Configuration: h, OnUpdate: h.onUpdate, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		r.hosts = append(r.hosts, h)
 	}
@@ -308,7 +308,7 @@
 				}
 				for i, up := range c.up {
 					if up >= 0 {
-						r.hosts[i].Take(vetchtrail.Listing{Revision: 1, ConfirmedRevision: 1, ReadAt: time.Now()})
+						r.hosts[i].Update(vetchtrail.Listing{Revision: 1, ConfirmedRevision: 1, ReadAt: time.Now()})
 						time.AfterFunc(up, func() {
 							r.mu.Lock()
 							defer r.mu.Unlock()
@@ -361,10 +361,10 @@
 				}
 				for _, h := range r.hosts[:3] {
 					r.disconnected[h.rank] = c.disconnected
-					h.Take(vetchtrail.Listing{Revision: 9, ConfirmedRevision: 9, ReadAt: at})
+					h.Update(vetchtrail.Listing{Revision: 9, ConfirmedRevision: 9, ReadAt: at})
 				}
 				last := r.hosts[3]
-				last.Take(vetchtrail.Listing{Revision: 1, ConfirmedRevision: 1, ReadAt: at})
+				last.Update(vetchtrail.Listing{Revision: 1, ConfirmedRevision: 1, ReadAt: at})
 				assert.Equal(t, last.Refresh(t.Context()), c.upToDate)
 				assert.Equal(t, r.fullListings, 0, "a listing was fetched by a check of the configuration")
 			})
--- a/process/lists/register.go
+++ b/process/lists/register.go
@@ -12,9 +12,9 @@
 	registeredHosts = 3
 )
 
-// Registers reports whether this host is to be registered with the platform: whether it is
+// ShouldRegister reports whether this host is to be registered with the platform: whether it is
 // among the first of its data centre for that task.
-func (l *Lists) Registers() bool {
+func (l *Lists) ShouldRegister() bool {
 	now := time.Now()
 	if now.Sub(l.startedAt) < settleTime {
 		return false
--- a/process/lists/serve_test.go
+++ b/process/lists/serve_test.go
@@ -127,19 +127,19 @@
 			switch rapid.IntRange(0, 3).Draw(t, "who") {
 			case 0: // the client polls the platform itself and lists only a part
 				next.Endpoints = next.Endpoints[:len(next.Endpoints)*rapid.IntRange(1, 2).Draw(t, "part")/2]
-				client.Take(next)
+				client.Update(next)
 				continue
 			case 1:
-				server.Take(next)
+				server.Update(next)
 				continue
 			}
-			server.Take(next)
+			server.Update(next)
 			current := client.Listing()
 			var from uint64
 			if current != nil {
 				from = current.Revision
 			}
-			wire, err := proto.Marshal(server.Lend(&schema.ListRequest{Revision: from}))
+			wire, err := proto.Marshal(server.ServeListing(&schema.ListRequest{Revision: from}))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -152,12 +152,12 @@
 			}
 			out, err := client.decodeReply(&reply, current)
 			if errors.Is(err, ErrBaseMismatch) {
-				out, err = client.decodeReply(server.Lend(&schema.ListRequest{}), nil)
+				out, err = client.decodeReply(server.ServeListing(&schema.ListRequest{}), nil)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			client.Take(out)
+			client.Update(out)
 			if d := diffEndpoints(server.Listing().Endpoints, client.Listing().Endpoints); !d.empty() {
 				t.Fatalf("revision %d from %d: %d endpoints differ or are extra, %d are missing", revision, from, len(d.changed), len(d.removed))
 			}
@@ -194,13 +194,13 @@
 func TestHistoryBound(t *testing.T) {
 	l := newSimRegion(1, 1).hosts[0].Lists
 	endpoints := []*vetchtrail.Endpoint{testEndpoint(1)}
-	l.Take(testListing(1, endpoints))
+	l.Update(testListing(1, endpoints))
 	for n := range 2 * maxChanges {
 		endpoints = append(endpoints[:1:1], testEndpoint(2+n%2))
-		l.Take(testListing(uint64(2+n), endpoints))
+		l.Update(testListing(uint64(2+n), endpoints))
 	}
 	assert.Assert(t, len(l.history.changes) <= maxChanges)
-	full, diff := l.Lend(&schema.ListRequest{Revision: 1}), l.Lend(&schema.ListRequest{Revision: uint64(2 * maxChanges)})
+	full, diff := l.ServeListing(&schema.ListRequest{Revision: 1}), l.ServeListing(&schema.ListRequest{Revision: uint64(2 * maxChanges)})
 	assert.Equal(t, full.GetSince(), uint64(0))
 	assert.Equal(t, len(full.GetEndpoints()), 2)
 	assert.Equal(t, diff.GetSince(), uint64(2*maxChanges))
@@ -223,7 +223,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			l := newSimRegion(1, 1).hosts[0].Lists
-			l.Take(testListing(1, []*vetchtrail.Endpoint{testEndpoint(1)}))
+			l.Update(testListing(1, []*vetchtrail.Endpoint{testEndpoint(1)}))
 			_, err := l.decodeReply(c.reply, l.Listing())
 			assert.ErrorIs(t, err, c.want)
 			assert.Equal(t, len(l.Listing().Endpoints), 1)
@@ -237,11 +237,11 @@
 func TestSameRevision(t *testing.T) {
 	r := newSimRegion(2, 1)
 	server, client := r.hosts[0].Lists, r.hosts[1].Lists
-	server.Take(testListing(5, []*vetchtrail.Endpoint{testEndpoint(1), testEndpoint(2)}))
-	client.Take(*server.Listing())
-	server.Take(testListing(5, []*vetchtrail.Endpoint{testEndpoint(1)}))
-	server.Take(testListing(6, []*vetchtrail.Endpoint{testEndpoint(1), testEndpoint(3)}))
-	out, err := client.decodeReply(server.Lend(&schema.ListRequest{Revision: 5}), client.Listing())
+	server.Update(testListing(5, []*vetchtrail.Endpoint{testEndpoint(1), testEndpoint(2)}))
+	client.Update(*server.Listing())
+	server.Update(testListing(5, []*vetchtrail.Endpoint{testEndpoint(1)}))
+	server.Update(testListing(6, []*vetchtrail.Endpoint{testEndpoint(1), testEndpoint(3)}))
+	out, err := client.decodeReply(server.ServeListing(&schema.ListRequest{Revision: 5}), client.Listing())
 	assert.NilError(t, err)
 	d := diffEndpoints(server.Listing().Endpoints, out.Endpoints)
 	assert.Assert(t, d.empty(), "%d endpoints differ or are extra, %d are missing", len(d.changed), len(d.removed))
@@ -265,10 +265,10 @@
 			server, client := r.hosts[0].Lists, r.hosts[1].Lists
 			one, two := testListing(5, []*vetchtrail.Endpoint{testEndpoint(1)}), testListing(6, []*vetchtrail.Endpoint{testEndpoint(2)})
 			one.Hosts, two.Hosts = first, c.next
-			server.Take(one)
-			client.Take(one)
-			server.Take(two)
-			reply := server.Lend(&schema.ListRequest{Revision: 5})
+			server.Update(one)
+			client.Update(one)
+			server.Update(two)
+			reply := server.ServeListing(&schema.ListRequest{Revision: 5})
 			assert.Equal(t, reply.GetHostsKept(), c.kept)
 			out, err := client.decodeReply(reply, client.Listing())
 			assert.NilError(t, err)
@@ -297,7 +297,7 @@
 			l := newSimRegion(1, 1).hosts[0].Lists
 			in := testListing(1, []*vetchtrail.Endpoint{testEndpoint(1)})
 			in.ReadAt = time.Now().Add(-time.Minute)
-			l.Take(in)
+			l.Update(in)
 			l.notePeerPoll(c.reply, time.Now())
 			assert.Equal(t, l.pollState(time.Now()).listingAge > l.PollInterval()+takeoverSlack, c.old)
 		})
--- a/process/lists/startup.go
+++ b/process/lists/startup.go
@@ -41,7 +41,7 @@
 // first peer that has a listing serves it to this host.
 func (l *Lists) queryStartupPeers(ctx context.Context) {
 	now := time.Now()
-	peers := append(l.seeds(), l.cfg.Hosts.Ranked(pollTask, 1, now)...)
+	peers := append(l.seeds(), l.cfg.Hosts.FirstOthers(pollTask, 1, now)...)
 	for _, h := range peers {
 		if l.startupQueries.Add(1) > maxStartupQueries {
 			l.startupQueries.Add(-1)
@@ -96,5 +96,5 @@
 	if err != nil {
 		l.cfg.Log.Info("lists not borrowed", "peer", h.Name, "error", err)
 	}
-	l.cfg.Taken()
+	l.cfg.OnUpdate()
 }
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -59,8 +59,8 @@
 	return "", time.Time{}
 }
 
-// Leaves reports whether an endpoint is configured and known to be leaving.
-func (t *Table) Leaves(name string, now time.Time) bool {
+// IsLeaving reports whether an endpoint is configured and known to be leaving.
+func (t *Table) IsLeaving(name string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.endpoints[name]
@@ -72,11 +72,11 @@
 
 // Sources that report that an endpoint is leaving; empty: none does.
 const (
-	ByAnswers  LeavingBy = "its answers"
-	ByList     LeavingBy = "list" // the configuration, or the platform's listing
-	ByReport   LeavingBy = "load report"
-	ByPlatform LeavingBy = "list of hosts"
-	ByMisled   LeavingBy = "another process" // answered at its address
+	ByAnswers      LeavingBy = "its answers"
+	ByListing      LeavingBy = "list" // the configuration, or the platform's listing
+	ByReport       LeavingBy = "load report"
+	ByListOfHosts  LeavingBy = "list of hosts"
+	ByOtherProcess LeavingBy = "another process" // answered at its address
 )
 
 // leavingBy returns the first of the sources by which the endpoint is leaving.
@@ -86,39 +86,39 @@
 	case now.Before(a.leavingUntil):
 		return ByAnswers
 	case s.Draining:
-		return ByList
+		return ByListing
 	case now.Before(a.reportUntil):
 		return ByReport
 	case now.Before(a.platformUntil):
-		return ByPlatform
+		return ByListOfHosts
 	case now.Before(a.otherProcessUntil):
-		return ByMisled
+		return ByOtherProcess
 	}
 	return ""
 }
 
-// NoticeNews is the part of an announcement that this host didn't know.
-type NoticeNews struct {
+// AnnouncementNews is the part of an announcement that this host didn't know.
+type AnnouncementNews struct {
 	Endpoint string // empty: it is not listed
-	Leaves   bool   // it is leaving
+	Leaving  bool   // it is leaving
 	Paused   bool   // it is paused, or for longer than known
 }
 
-// HearNotice records an announcement that an endpoint's answer contained, and returns the part that is new.
-func (t *Table) HearNotice(name string, born time.Time, n vetchtrail.Availability) NoticeNews {
-	return t.HearNoticeShort(Short(name), born, n, n.ReceivedAt)
+// RecordAnnouncement records an announcement that an endpoint's answer contained, and returns the part that is new.
+func (t *Table) RecordAnnouncement(name string, born time.Time, n vetchtrail.Availability) AnnouncementNews {
+	return t.RecordAnnouncementByHash(NameHash(name), born, n, n.ReceivedAt)
 }
 
-// HearNoticeShort records an announcement that this or another host received. The endpoint is given by the hash
+// RecordAnnouncementByHash records an announcement that this or another host received. The endpoint is given by the hash
 // of its name (Short). The announcement is valid only for the process instance that started at born.
-func (t *Table) HearNoticeShort(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) NoticeNews {
+func (t *Table) RecordAnnouncementByHash(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) AnnouncementNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news NoticeNews
+	var news AnnouncementNews
 	if s, ok := t.byShortHash[short]; ok && !s.isOtherInstance(born) {
 		news = s.availability.record(n, now)
 		news.Endpoint, s.announced = s.Name, true
-		if news.Leaves {
+		if news.Leaving {
 			t.logLeaving(keyOf(short, s.Born), &s.availability.announcements)
 		}
 		if news.Paused {
@@ -132,9 +132,9 @@
 
 // record adds an announcement, and returns what is new. Of two announcements the one that is valid for longer
 // counts.
-func (a *announcements) record(n vetchtrail.Availability, now time.Time) NoticeNews {
-	news := NoticeNews{Leaves: n.Leaving && !n.ReceivedAt.Before(a.leavingUntil), Paused: n.PausedUntil.After(a.pausedUntil)}
-	if news.Leaves {
+func (a *announcements) record(n vetchtrail.Availability, now time.Time) AnnouncementNews {
+	news := AnnouncementNews{Leaving: n.Leaving && !n.ReceivedAt.Before(a.leavingUntil), Paused: n.PausedUntil.After(a.pausedUntil)}
+	if news.Leaving {
 		a.firstAnnouncedAt, a.learnedAt = n.ReceivedAt, now
 	}
 	if n.Leaving {
@@ -157,7 +157,7 @@
 
 // AvailabilityReported implements vetchtrail.Observer.
 func (t *Table) AvailabilityReported(e vetchtrail.Endpoint, n vetchtrail.Availability, _ error) {
-	t.HearNotice(e.Name, e.Born, n)
+	t.RecordAnnouncement(e.Name, e.Born, n)
 }
 
 // instanceKey identifies a process instance of an endpoint.
@@ -195,10 +195,10 @@
 func (a *announcements) expiresAt() time.Time { return vetchtrail.Later(a.leavingUntil, a.pausedUntil) }
 
 // recordUnlisted records an announcement of a process instance that is not listed. The caller holds the lock.
-func (t *Table) recordUnlisted(key instanceKey, n vetchtrail.Availability, now time.Time) NoticeNews {
+func (t *Table) recordUnlisted(key instanceKey, n vetchtrail.Availability, now time.Time) AnnouncementNews {
 	u := t.unlisted[key]
 	news := u.record(n, now)
-	if news.Leaves {
+	if news.Leaving {
 		t.logLeaving(key, &u.announcements)
 	}
 	t.addUnlisted(key, u)
@@ -209,14 +209,14 @@
 // the lock.
 func (t *Table) keepAnnouncements(s *endpointState) {
 	if !s.availability.expiresAt().IsZero() {
-		t.addUnlisted(keyOf(Short(s.Name), s.Born), unlistedInstance{addr: s.Addr, announcements: s.availability.announcements})
+		t.addUnlisted(keyOf(NameHash(s.Name), s.Born), unlistedInstance{addr: s.Addr, announcements: s.availability.announcements})
 	}
 }
 
 // restoreAnnouncements merges into the state of a newly listed endpoint what the same process instance announced
 // while it was not listed. The caller holds the lock.
 func (t *Table) restoreAnnouncements(s *endpointState, e vetchtrail.Endpoint) {
-	key := keyOf(Short(e.Name), e.Born)
+	key := keyOf(NameHash(e.Name), e.Born)
 	u, ok := t.unlisted[key]
 	if !ok {
 		return
@@ -245,11 +245,11 @@
 	t.unlisted[key] = u
 }
 
-// Leaver is a process instance of an endpoint whose answers announced that it is leaving.
-type Leaver struct {
-	Short uint32    // hash of the endpoint's name, see the function Short
-	Born  time.Time // start of the instance
-	Said  time.Time // when such an answer was first received
+// LeavingInstance is a process instance of an endpoint whose answers announced that it is leaving.
+type LeavingInstance struct {
+	NameHash         uint32    // hash of the endpoint's name, see the function Short
+	StartedAt        time.Time // start of the instance
+	FirstAnnouncedAt time.Time // when such an answer was first received
 }
 
 // leavingLogEntry records when this host learned that a process instance is leaving.
@@ -289,19 +289,19 @@
 	return nil
 }
 
-// Leavers returns the process instances whose answers announced that they are leaving, if this host learned of
+// LeavingAfter returns the process instances whose answers announced that they are leaving, if this host learned of
 // that after a time and if the announcement is still valid.
-func (t *Table) Leavers(after, now time.Time) []Leaver {
+func (t *Table) LeavingAfter(after, now time.Time) []LeavingInstance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Leaver
+	var out []LeavingInstance
 	for _, entry := range slices.Backward(t.leavingLog) {
 		if !entry.learnedAt.After(after) {
 			break
 		}
 		a := t.announcementsOf(entry.instanceKey)
 		if a != nil && a.learnedAt.Equal(entry.learnedAt) && now.Before(a.leavingUntil) {
-			out = append(out, Leaver{Short: entry.shortHash, Born: entry.startTime(), Said: a.firstAnnouncedAt})
+			out = append(out, LeavingInstance{NameHash: entry.shortHash, StartedAt: entry.startTime(), FirstAnnouncedAt: a.firstAnnouncedAt})
 		}
 	}
 	return out
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -35,9 +35,9 @@
 // list configures the table with an instance of the endpoint, or without the endpoint.
 func (m *availabilityModel) list(instance int) {
 	m.listed = instance
-	var placed []Placed
+	var placed []EndpointInRegion
 	if instance >= 0 {
-		placed = []Placed{{Endpoint: m.endpoint(instance)}}
+		placed = []EndpointInRegion{{Endpoint: m.endpoint(instance)}}
 	}
 	m.table.Configure(placed)
 }
@@ -90,7 +90,7 @@
 	if instance+1 < len(m.startedAt) {
 		announcedAt = vetchtrail.Earlier(announcedAt, m.startedAt[instance+1].Add(-time.Millisecond)) // the instance has ended by then
 	}
-	m.table.HearNoticeShort(Short("e000"), m.startedAt[instance], vetchtrail.Availability{Leaving: true, RequestedAt: announcedAt, ReceivedAt: announcedAt}, m.now)
+	m.table.RecordAnnouncementByHash(NameHash("e000"), m.startedAt[instance], vetchtrail.Availability{Leaving: true, RequestedAt: announcedAt, ReceivedAt: announcedAt}, m.now)
 	m.note(instance, true, announcedAt)
 }
 
@@ -113,7 +113,7 @@
 // leave is an entry of the platform's list of hosts.
 func (m *availabilityModel) leave(*rapid.T) {
 	until := m.now.Add(2 * time.Second)
-	m.table.Leave("e000", until)
+	m.table.MarkLeaving("e000", until)
 	m.othersUntil = vetchtrail.Later(m.othersUntil, until)
 }
 
@@ -180,23 +180,23 @@
 func TestLeavingExpires(t *testing.T) {
 	tab := New()
 	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
-	tab.Configure([]Placed{{Endpoint: e}})
-	announce := func(at time.Time) NoticeNews {
-		return tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
+	tab.Configure([]EndpointInRegion{{Endpoint: e}})
+	announce := func(at time.Time) AnnouncementNews {
+		return tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	}
 	usable := func(at time.Time) bool { why, _ := tab.Blocked("e000", at); return why == "" }
-	assert.Assert(t, announce(now).Leaves)
-	assert.Assert(t, !announce(now.Add(time.Minute)).Leaves, "reported as news again")
-	assert.Assert(t, !announce(now.Add(time.Second)).Leaves, "an older announcement that arrives late is news")
+	assert.Assert(t, announce(now).Leaving)
+	assert.Assert(t, !announce(now.Add(time.Minute)).Leaving, "reported as news again")
+	assert.Assert(t, !announce(now.Add(time.Second)).Leaving, "an older announcement that arrives late is news")
 	tab.Release("e000", vetchtrail.Observation{
 		Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonOtherProcess},
 	}, now.Add(time.Minute))
 	assert.Assert(t, !usable(now.Add(time.Minute+leavingValidFor-1)), "a shorter back-off shortens it")
 	again := now.Add(time.Minute + leavingValidFor)
 	assert.Assert(t, usable(again))
-	assert.Assert(t, announce(again).Leaves)
+	assert.Assert(t, announce(again).Leaving)
 	assert.Assert(t, !usable(again.Add(time.Second)))
-	assert.Equal(t, len(tab.Leavers(now.Add(time.Minute), again)), 1)
+	assert.Equal(t, len(tab.LeavingAfter(now.Add(time.Minute), again)), 1)
 }
 
 // TestUnlistedInstances guards against the loss of announcements of endpoints that are not listed yet, and
@@ -205,11 +205,11 @@
 	tab := New()
 	for n := range maxUnlisted + 10 {
 		at := now.Add(time.Duration(n) * time.Millisecond)
-		tab.HearNotice(fmt.Sprint("e", n), time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
+		tab.RecordAnnouncement(fmt.Sprint("e", n), time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	}
 	assert.Equal(t, len(tab.unlisted), maxUnlisted)
 	last := fmt.Sprint("e", maxUnlisted+9)
-	tab.Configure([]Placed{
+	tab.Configure([]EndpointInRegion{
 		{Endpoint: vetchtrail.Endpoint{Name: last, Service: "s", Slots: 4}},
 		{Endpoint: vetchtrail.Endpoint{Name: "e0", Service: "s", Slots: 4}},
 	})
@@ -227,14 +227,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab := New()
-			tab.Configure([]Placed{
+			tab.Configure([]EndpointInRegion{
 				{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 9}}, {Endpoint: vetchtrail.Endpoint{Name: "e001", Service: "s", Slots: 9}},
 			})
 			for n := range failuresToEject {
 				assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{ID: fmt.Sprint(n), Service: "s"}, now))
 			}
 			if c.announced {
-				tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
+				tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 			}
 			for n := range failuresToEject {
 				tab.Release("e000", vetchtrail.Observation{
@@ -254,30 +254,30 @@
 	cases := map[string]struct {
 		announce func(tab *Table)
 		by       LeavingBy
-		row      Row
+		row      EndpointStatus
 	}{
-		"nothing": {func(*Table) {}, "", Row{}},
+		"nothing": {func(*Table) {}, "", EndpointStatus{}},
 		"its answers, after the list of hosts": {func(tab *Table) {
-			tab.Leave("e000", later)
-			tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
-		}, ByAnswers, Row{LeavingSince: now}},
-		"the list of hosts": {func(tab *Table) { tab.Leave("e000", later) }, ByPlatform, Row{}},
-		"a load report":     {func(tab *Table) { tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now, Leaving: true}, later) }, ByReport, Row{}},
+			tab.MarkLeaving("e000", later)
+			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
+		}, ByAnswers, EndpointStatus{LeavingSince: now}},
+		"the list of hosts": {func(tab *Table) { tab.MarkLeaving("e000", later) }, ByListOfHosts, EndpointStatus{}},
+		"a load report":     {func(tab *Table) { tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now, Leaving: true}, later) }, ByReport, EndpointStatus{}},
 		"the listing": {func(tab *Table) {
 			drained := e
 			drained.Draining = true
-			tab.Configure([]Placed{{Endpoint: drained}})
-		}, ByList, Row{}},
+			tab.Configure([]EndpointInRegion{{Endpoint: drained}})
+		}, ByListing, EndpointStatus{}},
 		"paused": {func(tab *Table) {
-			tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{PausedUntil: later, RequestedAt: now, ReceivedAt: now})
-		}, "", Row{PausedUntil: later}},
+			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{PausedUntil: later, RequestedAt: now, ReceivedAt: now})
+		}, "", EndpointStatus{PausedUntil: later}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab := New()
-			tab.Configure([]Placed{{Endpoint: e}})
+			tab.Configure([]EndpointInRegion{{Endpoint: e}})
 			c.announce(tab)
-			row := tab.Rows(now)[0]
+			row := tab.EndpointStatuses(now)[0]
 			assert.Equal(t, row.LeavingBy, c.by)
 			assert.Equal(t, row.LeavingSince, c.row.LeavingSince)
 			assert.Equal(t, row.PausedUntil, c.row.PausedUntil)
@@ -302,12 +302,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab := New()
-			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}}})
-			tab.HearNotice("e000", time.Time{}, vetchtrail.Availability{Leaving: true, PausedUntil: now.Add(time.Hour), RequestedAt: now, ReceivedAt: now})
+			tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}}})
+			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, PausedUntil: now.Add(time.Hour), RequestedAt: now, ReceivedAt: now})
 			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(2 * time.Minute), StartedAt: c.started}, time.Time{}))
 			why, _ := tab.Blocked("e000", now.Add(2*time.Minute))
 			assert.Equal(t, why, c.want)
-			assert.Assert(t, allReports(tab)[0].Said, "other hosts don't learn of its start")
+			assert.Assert(t, allReports(tab)[0].Announced, "other hosts don't learn of its start")
 		})
 	}
 }
@@ -321,7 +321,7 @@
 			n := 0
 			for name := range t.endpoints {
 				if n++; share > 0 && n%share == 0 {
-					t.HearNotice(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
+					t.RecordAnnouncement(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 				}
 			}
 			r, v := &vetchtrail.Request{Service: "s"}, vetchtrail.View{}
--- a/process/load/instance_test.go
+++ b/process/load/instance_test.go
@@ -15,7 +15,7 @@
 func TestRestartedEndpoint(t *testing.T) {
 	first, second := now.Add(-time.Minute), now
 	configure := func(tab *Table, startedAt time.Time) {
-		tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4, Born: startedAt}}})
+		tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4, Born: startedAt}}})
 	}
 	cases := map[string]struct {
 		next time.Time // start of the instance that is configured next
@@ -32,7 +32,7 @@
 			configure(tab, first)
 			r := &vetchtrail.Request{ID: "a", Service: "s"}
 			assert.Assert(t, tab.Acquire("e000", r, now))
-			tab.Leave("e000", now.Add(time.Hour))
+			tab.MarkLeaving("e000", now.Add(time.Hour))
 			tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now, Running: 9}, now)
 			configure(tab, c.next)
 			why, _ := tab.Blocked("e000", now)
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -167,15 +167,15 @@
 	}
 }
 
-// Placed is an endpoint with the id of its region.
-type Placed struct {
+// EndpointInRegion is an endpoint with the id of its region.
+type EndpointInRegion struct {
 	vetchtrail.Endpoint
 	RegionID vetchtrail.RegionID
 }
 
 // Configure replaces the table's endpoints. An endpoint that stays keeps its state if it has the same address,
 // service and process instance.
-func (t *Table) Configure(endpoints []Placed) {
+func (t *Table) Configure(endpoints []EndpointInRegion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.endpoints
@@ -193,12 +193,12 @@
 			if ok {
 				s.carryOver(old[e.Name], e.Born)
 			}
-			t.logLeaving(keyOf(Short(e.Name), e.Born), &s.availability.announcements)
+			t.logLeaving(keyOf(NameHash(e.Name), e.Born), &s.availability.announcements)
 		}
 		s.coldStart.configure(e.ColdUntil, e.ColdRate)
 		s.Endpoint, s.region = e.Endpoint, e.RegionID
 		t.endpoints[e.Name] = s
-		t.byShortHash[Short(e.Name)] = s
+		t.byShortHash[NameHash(e.Name)] = s
 		t.services[e.Service] = append(t.services[e.Service], s)
 		if t.serviceStats[e.Service] == nil {
 			t.serviceStats[e.Service] = newServiceStats()
@@ -214,8 +214,8 @@
 	}
 }
 
-// SetColdRate sets this host's share of the requests a second that an endpoint accepts during its cold start.
-func (t *Table) SetColdRate(name string, rate float64) {
+// SetColdStartRate sets this host's share of the requests a second that an endpoint accepts during its cold start.
+func (t *Table) SetColdStartRate(name string, rate float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
--- a/process/load/load_test.go
+++ b/process/load/load_test.go
@@ -16,9 +16,9 @@
 // table has n endpoints of one service: e000, e001, ...
 func table(n int) *Table {
 	t := New()
-	var placed []Placed
+	var placed []EndpointInRegion
 	for i := range n {
-		placed = append(placed, Placed{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("e%03d", i), Service: "s", Slots: 4}})
+		placed = append(placed, EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("e%03d", i), Service: "s", Slots: 4}})
 	}
 	t.Configure(placed)
 	return t
@@ -97,10 +97,10 @@
 		"refuses connections": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), 1)
 		}, 0, true, vetchtrail.ReasonUnreachable},
-		"reachable again by its report":       {func(t *Table) { t.Down("e000", now); report(t, false) }, 0, false, ""},
+		"reachable again by its report":       {func(t *Table) { t.MarkUnreachable("e000", now); report(t, false) }, 0, false, ""},
 		"report says it is leaving":           {func(t *Table) { report(t, true) }, 0, true, vetchtrail.ReasonDraining},
 		"later report says it is not leaving": {func(t *Table) { report(t, true); reportAt(t, now.Add(2), false) }, 0, false, ""},
-		"platform says it is leaving":         {func(t *Table) { t.Leave("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
+		"platform says it is leaving":         {func(t *Table) { t.MarkLeaving("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
 		"not sent by this host": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResidency, vetchtrail.ReasonResidency), 5)
 		}, 0, false, ""},
@@ -157,7 +157,7 @@
 // each answer.
 func TestWarmUp(t *testing.T) {
 	tab := table(1)
-	tab.Down("e000", now)
+	tab.MarkUnreachable("e000", now)
 	later := now.Add(time.Minute)
 	last := 0
 	for range 10 {
--- a/process/load/mechanisms_test.go
+++ b/process/load/mechanisms_test.go
@@ -63,7 +63,7 @@
 		}},
 		"warm up": {vetchtrail.MechanismWarmUp, func(tab *Table) bool {
 			before := views(tab, request("x", session, 0))["a"].InFlightLimit
-			tab.Down("a", now)
+			tab.MarkUnreachable("a", now)
 			return views(tab, request("x", session, 0))["a"].InFlightLimit < before
 		}},
 	}
--- a/process/load/memory_test.go
+++ b/process/load/memory_test.go
@@ -19,15 +19,15 @@
 	const most = 16 << 20 / 10_000 // bytes for one local and one remote endpoint
 	for _, n := range []int{2000, 4000} {
 		t.Run(fmt.Sprint(n, " local and as many remote"), func(t *testing.T) {
-			var placed []Placed
+			var placed []EndpointInRegion
 			for i := range n {
-				placed = append(placed, Placed{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("i-%010x", i), Service: "s", Slots: 24, MoveToken: 1e-6}})
+				placed = append(placed, EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("i-%010x", i), Service: "s", Slots: 24, MoveToken: 1e-6}})
 			}
 			before := meter.Heap()
 			tab := New()
 			tab.Configure(placed)
 			local := meter.Heap()
-			tab.SetFar(slices.Values(placed))
+			tab.SetRemote(slices.Values(placed))
 			remote := meter.Heap()
 			runtime.KeepAlive(placed)
 			t.Logf("%d bytes for each local endpoint, %d for each remote one", int(local-before)/n, int(remote-local)/n)
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -20,14 +20,14 @@
 // address 9. If moveToken isn't 0, they can transfer prompts from each other.
 func twoRegions(moveToken float64) *Table {
 	t := New()
-	var local []Placed
+	var local []EndpointInRegion
 	for i := range 3 {
-		local = append(local, Placed{Endpoint: vetchtrail.Endpoint{
+		local = append(local, EndpointInRegion{Endpoint: vetchtrail.Endpoint{
 			Name: string(rune('a' + i)), Service: "s", Slots: 8, Addr: addrOf(byte(i + 1)), MoveToken: moveToken,
 		}})
 	}
 	t.Configure(local)
-	t.SetFar(slices.Values([]Placed{{RegionID: 2, Endpoint: vetchtrail.Endpoint{Name: "remote", Service: "s", Slots: 8, Addr: addrOf(9), MoveToken: moveToken}}}))
+	t.SetRemote(slices.Values([]EndpointInRegion{{RegionID: 2, Endpoint: vetchtrail.Endpoint{Name: "remote", Service: "s", Slots: 8, Addr: addrOf(9), MoveToken: moveToken}}}))
 	return t
 }
 
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -7,10 +7,10 @@
 	"vetchtrail"
 )
 
-// HearLimit records the rate limit that an endpoint advertised, unless a later one is known. It returns the limit
+// RecordRateLimit records the rate limit that an endpoint advertised, unless a later one is known. It returns the limit
 // that was known before, and the one that is known now. ok is false if the endpoint or the process instance
 // isn't known.
-func (t *Table) HearLimit(name string, born time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+func (t *Table) RecordRateLimit(name string, born time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.instance(name, born)
@@ -20,22 +20,22 @@
 	return s.recordRateLimit(t, news)
 }
 
-// NamedLimit is the rate limit that a process instance of an endpoint advertised.
-type NamedLimit struct {
-	Endpoint string
-	Born     time.Time // start of the instance
-	Limit    vetchtrail.RateLimit
+// AdvertisedRateLimit is the rate limit that a process instance of an endpoint advertised.
+type AdvertisedRateLimit struct {
+	Endpoint  string
+	StartedAt time.Time // start of the instance
+	Limit     vetchtrail.RateLimit
 }
 
-// Limits returns the rate limits of the endpoints that ever advertised one in their present process instance.
+// RateLimits returns the rate limits of the endpoints that ever advertised one in their present process instance.
 // Those that have withdrawn it are included, so that other hosts learn of that.
-func (t *Table) Limits() []NamedLimit {
+func (t *Table) RateLimits() []AdvertisedRateLimit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []NamedLimit
+	var out []AdvertisedRateLimit
 	for _, s := range t.endpoints {
 		if !s.rateLimitedSince.IsZero() {
-			out = append(out, NamedLimit{Endpoint: s.Name, Born: s.Born, Limit: s.rateLimit})
+			out = append(out, AdvertisedRateLimit{Endpoint: s.Name, StartedAt: s.Born, Limit: s.rateLimit})
 		}
 	}
 	return out
@@ -75,12 +75,12 @@
 // RateLimitReported implements vetchtrail.Observer.
 func (t *Table) RateLimitReported(e vetchtrail.Endpoint, news vetchtrail.RateLimit, err error) {
 	if err == nil {
-		t.HearLimit(e.Name, e.Born, news)
+		t.RecordRateLimit(e.Name, e.Born, news)
 	}
 }
 
-// Limit returns the rate limit that an endpoint last advertised, and the start time of its process instance.
-func (t *Table) Limit(name string) (l vetchtrail.RateLimit, born time.Time) {
+// RateLimit returns the rate limit that an endpoint last advertised, and the start time of its process instance.
+func (t *Table) RateLimit(name string) (l vetchtrail.RateLimit, born time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
@@ -89,9 +89,9 @@
 	return vetchtrail.RateLimit{}, time.Time{}
 }
 
-// Rationed records what the owner of an endpoint's rate limit last reported. rateLeft is the number of requests
+// SetRateLeft records what the owner of an endpoint's rate limit last reported. rateLeft is the number of requests
 // that can be sent at once. If until is set, none can, and the endpoint is out of use until then.
-func (t *Table) Rationed(name string, rateLeft float64, until time.Time) {
+func (t *Table) SetRateLeft(name string, rateLeft float64, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok && s.rateLimit.Advertised {
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -20,8 +20,8 @@
 func rateLimitedTable(t *testing.T, startedAt time.Time) *Table {
 	t.Helper()
 	tab := New()
-	tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: startedAt}}})
-	_, is, ok := tab.HearLimit("e000", startedAt, advertised(2, 1, 2))
+	tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: startedAt}}})
+	_, is, ok := tab.RecordRateLimit("e000", startedAt, advertised(2, 1, 2))
 	assert.Assert(t, ok && is.Advertised)
 	return tab
 }
@@ -33,7 +33,7 @@
 	tab := rateLimitedTable(t, now)
 	v := viewOf(tab, now)
 	assert.Assert(t, !v.Unavailable && v.RateLimited && v.Rate == 2)
-	tab.Rationed("e000", 0, now.Add(600*time.Millisecond))
+	tab.SetRateLeft("e000", 0, now.Add(600*time.Millisecond))
 	v = viewOf(tab, now)
 	assert.Assert(t, v.Unavailable && v.UnavailableReason == vetchtrail.ReasonRateLimited && v.AvailableIn == 0.6, "%+v", v)
 	assert.Assert(t, !viewOf(tab, now.Add(time.Second)).Unavailable)
@@ -46,7 +46,7 @@
 	default:
 		t.Fatal("requests that wait for capacity are not woken")
 	}
-	tab.Rationed("e000", 0, now.Add(time.Hour))
+	tab.SetRateLeft("e000", 0, now.Add(time.Hour))
 	assert.Assert(t, !viewOf(tab, now).Unavailable, "an endpoint without a rate limit can't use it up")
 }
 
@@ -70,15 +70,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab := rateLimitedTable(t, now)
-			tab.HearLimit("e000", now, c.first)
-			tab.Rationed("e000", 0, second.Add(time.Hour))
-			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: second}}})
-			tab.HearLimit("e000", c.instance, c.last)
-			l, startedAt := tab.Limit("e000")
+			tab.RecordRateLimit("e000", now, c.first)
+			tab.SetRateLeft("e000", 0, second.Add(time.Hour))
+			tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 8, Born: second}}})
+			tab.RecordRateLimit("e000", c.instance, c.last)
+			l, startedAt := tab.RateLimit("e000")
 			assert.Equal(t, l.Advertised, c.advertises, "%+v", l)
 			assert.Assert(t, startedAt.Equal(second))
 			assert.Assert(t, !viewOf(tab, second).Unavailable)
-			assert.Equal(t, len(tab.Limits()) > 0, c.advertises, "reported to other hosts")
+			assert.Equal(t, len(tab.RateLimits()) > 0, c.advertises, "reported to other hosts")
 		})
 	}
 }
@@ -89,7 +89,7 @@
 	tab := rateLimitedTable(t, now)
 	tab.serviceStats["s"].serviceTime = average{value: 0.8, count: 100}
 	assert.Equal(t, tab.Summaries(now)[0].Slots, 2) // 2 a second of 0.8 s each
-	tab.HearLimit("e000", now, advertised(-1, 3, 4))
+	tab.RecordRateLimit("e000", now, advertised(-1, 3, 4))
 	assert.Equal(t, tab.Summaries(now)[0].Slots, 8)
 }
 
@@ -97,10 +97,10 @@
 // is reported to other hosts like a limit.
 func TestLimits(t *testing.T) {
 	tab := rateLimitedTable(t, now)
-	assert.Equal(t, len(tab.Limits()), 1)
-	tab.HearLimit("e000", now, advertised(-1, 3, 4))
-	assert.Equal(t, len(tab.Limits()), 1, "hosts that know the limit must learn that it is withdrawn")
-	assert.Equal(t, len(New().Limits()), 0)
+	assert.Equal(t, len(tab.RateLimits()), 1)
+	tab.RecordRateLimit("e000", now, advertised(-1, 3, 4))
+	assert.Equal(t, len(tab.RateLimits()), 1, "hosts that know the limit must learn that it is withdrawn")
+	assert.Equal(t, len(New().RateLimits()), 0)
 }
 
 // TestRateLimitAtHome guards against a rate limit at the home of a session that makes the session's prompt be
@@ -109,8 +109,8 @@
 func TestRateLimitAtHome(t *testing.T) {
 	tab := twoRegions(1e-6)
 	at := homeName(tab, 7)
-	tab.HearLimit(at, time.Time{}, advertised(2, 0, 0))
-	tab.Rationed(at, 0, now.Add(time.Second))
+	tab.RecordRateLimit(at, time.Time{}, advertised(2, 0, 0))
+	tab.SetRateLeft(at, 0, now.Add(time.Second))
 	v := views(tab, request("x", 7, 0))
 	assert.Assert(t, v[at].Unavailable && v[at].UnavailableReason == vetchtrail.ReasonRateLimited)
 	for name, e := range v {
--- a/process/load/remote.go
+++ b/process/load/remote.go
@@ -17,8 +17,8 @@
 	region   vetchtrail.RegionID
 }
 
-// SetFar replaces the remote endpoints. Those that are draining or can't transfer prompts are left out.
-func (t *Table) SetFar(endpoints iter.Seq[Placed]) {
+// SetRemote replaces the remote endpoints. Those that are draining or can't transfer prompts are left out.
+func (t *Table) SetRemote(endpoints iter.Seq[EndpointInRegion]) {
 	remote := map[string][]remoteEndpoint{}
 	for e := range endpoints {
 		if e.MoveToken > 0 && !e.Draining {
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -17,18 +17,18 @@
 	return ok && t.acceptReport(s, r, true, leavingUntil)
 }
 
-// ReportShort records a load report that another host fetched. The endpoint is given by the hash of its name
+// ReportByHash records a load report that another host fetched. The endpoint is given by the hash of its name
 // (Short).
-func (t *Table) ReportShort(short uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
+func (t *Table) ReportByHash(short uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.byShortHash[short]
 	return ok && t.acceptReport(s, r, false, leavingUntil)
 }
 
-// Short is the hash of an endpoint's name, which replaces the name in messages between hosts. Two endpoints of a
+// NameHash is the hash of an endpoint's name, which replaces the name in messages between hosts. Two endpoints of a
 // data centre are unlikely to have the same hash; if they do, their load reports are mixed up.
-func Short(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+func NameHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // acceptReport records a report if it is newer than the known one, and reports whether it was. The caller holds
 // the lock.
@@ -57,8 +57,8 @@
 	}
 }
 
-// Reported returns the time of an endpoint's newest report; zero: there is none.
-func (t *Table) Reported(name string) time.Time {
+// ReportedAt returns the time of an endpoint's newest report; zero: there is none.
+func (t *Table) ReportedAt(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
@@ -67,9 +67,9 @@
 	return time.Time{}
 }
 
-// Leave records that the platform's list of hosts has an endpoint as leaving. The endpoint is out of use until
+// MarkLeaving records that the platform's list of hosts has an endpoint as leaving. The endpoint is out of use until
 // the given time.
-func (t *Table) Leave(name string, until time.Time) {
+func (t *Table) MarkLeaving(name string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Down records that an endpoint refused a connection of the poller.
-func (t *Table) Down(name string, now time.Time) {
+// MarkUnreachable records that an endpoint refused a connection of the poller.
+func (t *Table) MarkUnreachable(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -31,23 +31,23 @@
 	t.reportLog = append(t.reportLog, entry)
 }
 
-// Heard is an endpoint's newest report, as this host sends it to other hosts.
-type Heard struct {
-	Endpoint string
-	Short    uint32 // hash of its name, see Short
-	Report   vetchtrail.LoadReport
-	Fetched  bool // this host fetched it itself
-	Said     bool // an answer of the endpoint once announced that it is leaving or paused
+// ReportEntry is an endpoint's newest report, as this host sends it to other hosts.
+type ReportEntry struct {
+	Endpoint    string
+	NameHash    uint32 // hash of its name, see Short
+	Report      vetchtrail.LoadReport
+	FetchedHere bool // this host fetched it itself
+	Announced   bool // an answer of the endpoint once announced that it is leaving or paused
 }
 
-// HeardAfter returns the reports that this host accepted after the one with the given number and that are newer
+// ReportsAfter returns the reports that this host accepted after the one with the given number and that are newer
 // than a time, and the number of the last accepted report. Of an endpoint's reports only the newest is returned.
 // The last accepted is first. If the given number is 0, the reports by which an endpoint is leaving are returned
 // however old they are, after the others.
-func (t *Table) HeardAfter(number uint64, after time.Time) ([]Heard, uint64) {
+func (t *Table) ReportsAfter(number uint64, after time.Time) ([]ReportEntry, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Heard
+	var out []ReportEntry
 	oldest := after.UnixNano()
 	for _, entry := range slices.Backward(t.reportLog) {
 		if entry.number <= number || entry.newestUnixNano <= oldest {
@@ -70,6 +70,6 @@
 	return out, t.reportNumber
 }
 
-func (s *endpointState) newestReport() Heard {
-	return Heard{Endpoint: s.Name, Short: uint32(s.nameHash), Report: s.report, Fetched: s.fetchedHere, Said: s.announced}
+func (s *endpointState) newestReport() ReportEntry {
+	return ReportEntry{Endpoint: s.Name, NameHash: uint32(s.nameHash), Report: s.report, FetchedHere: s.fetchedHere, Announced: s.announced}
 }
--- a/process/load/report_log_test.go
+++ b/process/load/report_log_test.go
@@ -10,8 +10,8 @@
 )
 
 // allReports returns the newest report of each endpoint that has one.
-func allReports(t *Table) []Heard {
-	out, _ := t.HeardAfter(0, time.Time{})
+func allReports(t *Table) []ReportEntry {
+	out, _ := t.ReportsAfter(0, time.Time{})
 	return out
 }
 
@@ -34,14 +34,14 @@
 		"too old, leaving": {func(tab *Table) { report(tab, "e001", time.Minute, true) }, func(*Table) {}, []string{"e001"}, nil},
 		"another instance": {func(tab *Table) { report(tab, "e001", 0, false) }, func(tab *Table) {
 			report(tab, "e002", 0, false)
-			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e002", Service: "s", Slots: 4, Born: now}}})
-			tab.HearNotice("e002", now, vetchtrail.Availability{})
+			tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e002", Service: "s", Slots: 4, Born: now}}})
+			tab.RecordAnnouncement("e002", now, vetchtrail.Availability{})
 			report(tab, "e002", time.Second, false)
-			tab.Configure([]Placed{{Endpoint: vetchtrail.Endpoint{Name: "e002", Service: "s", Slots: 4, Born: now.Add(time.Second)}}})
+			tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e002", Service: "s", Slots: 4, Born: now.Add(time.Second)}}})
 		}, []string{"e001"}, nil},
 		"older after newer": {func(tab *Table) { report(tab, "e001", 0, false) }, func(tab *Table) { report(tab, "e002", time.Second, false) }, []string{"e001"}, []string{"e002"}},
 	}
-	names := func(in []Heard) []string {
+	names := func(in []ReportEntry) []string {
 		var out []string
 		for _, h := range in {
 			out = append(out, h.Endpoint)
@@ -52,10 +52,10 @@
 		t.Run(name, func(t *testing.T) {
 			tab := table(4)
 			c.first(tab)
-			all, number := tab.HeardAfter(0, now.Add(-2*time.Second))
+			all, number := tab.ReportsAfter(0, now.Add(-2*time.Second))
 			assert.DeepEqual(t, names(all), c.all)
 			c.then(tab)
-			later, _ := tab.HeardAfter(number, now.Add(-2*time.Second))
+			later, _ := tab.ReportsAfter(number, now.Add(-2*time.Second))
 			assert.DeepEqual(t, names(later), c.later)
 		})
 	}
--- a/process/load/summary.go
+++ b/process/load/summary.go
@@ -7,24 +7,24 @@
 	"vetchtrail"
 )
 
-// Row is an endpoint's state for operators.
-type Row struct {
+// EndpointStatus is an endpoint's state for operators.
+type EndpointStatus struct {
 	vetchtrail.Endpoint
-	View         vetchtrail.EndpointView
-	Report       vetchtrail.LoadReport
-	LimitedSince time.Time // since when it advertises a rate limit; zero: it does not
-	LeavingBy    LeavingBy
-	LeavingSince time.Time // when its answers first announced that it is leaving; zero: they did not
-	PausedUntil  time.Time // until when it accepts no requests from this host; zero: it isn't paused
+	View             vetchtrail.EndpointView
+	Report           vetchtrail.LoadReport
+	RateLimitedSince time.Time // since when it advertises a rate limit; zero: it does not
+	LeavingBy        LeavingBy
+	LeavingSince     time.Time // when its answers first announced that it is leaving; zero: they did not
+	PausedUntil      time.Time // until when it accepts no requests from this host; zero: it isn't paused
 }
 
-// Rows returns the state of all endpoints, in no particular order.
-func (t *Table) Rows(now time.Time) []Row {
+// EndpointStatuses returns the state of all endpoints, in no particular order.
+func (t *Table) EndpointStatuses(now time.Time) []EndpointStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Row, 0, len(t.endpoints))
+	out := make([]EndpointStatus, 0, len(t.endpoints))
 	for _, s := range t.endpoints {
-		row := Row{Endpoint: s.Endpoint, View: s.view(t, now), Report: s.report, LeavingBy: s.leavingBy(now)}
+		row := EndpointStatus{Endpoint: s.Endpoint, View: s.view(t, now), Report: s.report, LeavingBy: s.leavingBy(now)}
 		if row.LeavingBy == ByAnswers {
 			row.LeavingSince = s.availability.firstAnnouncedAt
 		}
@@ -32,7 +32,7 @@
 			row.PausedUntil = s.availability.pausedUntil
 		}
 		if s.rateLimit.Advertised {
-			row.LimitedSince = s.rateLimitedSince
+			row.RateLimitedSince = s.rateLimitedSince
 		}
 		out = append(out, row)
 	}
@@ -41,11 +41,11 @@
 
 // Summary is the load of a service in this data centre, as it is announced to remote ones.
 type Summary struct {
-	Service string
-	Free    int           // unused part of Slots
-	Slots   int           // requests that the endpoints in use can run at once
-	Wait    time.Duration // expected time to a new request's first byte
-	Gap     time.Duration // least expected time between two events of a stream; 0: not known
+	Service       string
+	Free          int           // unused part of Slots
+	Slots         int           // requests that the endpoints in use can run at once
+	Wait          time.Duration // expected time to a new request's first byte
+	EventInterval time.Duration // least expected time between two events of a stream; 0: not known
 }
 
 // Summaries returns a summary for each service, in no particular order.
@@ -79,8 +79,8 @@
 			wait += float64(inFlight-v.Slots+1) * v.ServiceTime / float64(v.Slots)
 		}
 		bestWait = math.Min(bestWait, wait)
-		if interval := time.Duration(v.EventInterval * float64(time.Second)); sum.Gap == 0 || interval < sum.Gap {
-			sum.Gap = interval
+		if interval := time.Duration(v.EventInterval * float64(time.Second)); sum.EventInterval == 0 || interval < sum.EventInterval {
+			sum.EventInterval = interval
 		}
 	}
 	if inUse == 0 {
--- a/process/logs/throttle.go
+++ b/process/logs/throttle.go
@@ -13,16 +13,16 @@
 	maxSubjects = 1 << 14
 )
 
-// Sparse bounds the rate of log lines about each of many subjects, such as endpoints. Its zero
+// Throttle bounds the rate of log lines about each of many subjects, such as endpoints. Its zero
 // value is ready to use. It is safe for concurrent use.
-type Sparse struct {
+type Throttle struct {
 	mu       sync.Mutex
 	lastLine map[string]time.Time // by subject
 }
 
-// May reports whether a line about a subject may be logged now; if so, it counts as logged. If too
+// Allow reports whether a line about a subject may be logged now; if so, it counts as logged. If too
 // many subjects are remembered, all are forgotten first.
-func (s *Sparse) May(subject string, now time.Time) bool {
+func (s *Throttle) Allow(subject string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lastLine, ok := s.lastLine[subject]; ok && now.Sub(lastLine) < throttleInterval {
--- a/process/membership/capacity.go
+++ b/process/membership/capacity.go
@@ -14,7 +14,7 @@
 // some may be lost before its next request for hosts.
 const minDrawn = 4
 
-// Named returns hosts for a caller to use. It draws them among those of Serving, each
+// HostsForCaller returns hosts for a caller to use. It draws them among those of Serving, each
 // with a probability of its capacity over the greatest one, and at least minDrawn.
 // Hosts of the same capacity are all returned.
 //
@@ -22,8 +22,8 @@
 // hosts of a data centre have links many times as wide as the others', giving out all
 // hosts alike would send long prompts through narrow links. It would also split what is
 // known of the endpoints' loads over more hosts.
-func (m *Membership) Named(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
-	serving := m.Serving(region, dataCentre, homes, now)
+func (m *Membership) HostsForCaller(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
+	serving := m.NearestReady(region, dataCentre, homes, now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return drawHosts(serving, m.rng.Float64)
--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -12,8 +12,8 @@
 	"vetchtrail/schema"
 )
 
-// SwapDigests swaps digests with remote data centres until ctx ends.
-func (m *Membership) SwapDigests(ctx context.Context, p Peers) {
+// RunDigestSwaps swaps digests with remote data centres until ctx ends.
+func (m *Membership) RunDigestSwaps(ctx context.Context, p Peers) {
 	for {
 		m.swapOnce(ctx, p)
 		select {
@@ -29,13 +29,13 @@
 // data centre on it.
 func (m *Membership) swapDelay(now time.Time) time.Duration {
 	m.mu.Lock()
-	listingAwaited := m.cfg.WholeRegion && !m.haveListing
+	listingAwaited := m.cfg.CallsWholeRegion && !m.haveListing
 	recentlyStarted := now.Sub(m.startedAt) < discoveryTime
 	m.mu.Unlock()
 	if recentlyStarted && (listingAwaited || len(m.unknownDataCentres()) > 0) {
 		return discoveryInterval
 	}
-	return SwapTick
+	return SwapInterval
 }
 
 // discoveryInterval is the pause between swaps while a data centre on the platform's
@@ -120,7 +120,7 @@
 // those that this host learned of in the last leavingRelayTime. Only hosts of the same
 // region call these endpoints, so other regions are sent none.
 func (m *Membership) leavingForRegion(region string, now time.Time) []*schema.EndpointLeaves {
-	if region != m.cfg.Self.Region || !m.cfg.WholeRegion {
+	if region != m.cfg.Self.Region || !m.cfg.CallsWholeRegion {
 		return nil
 	}
 	return m.leavingSince(now.Add(-leavingRelayTime), now)
@@ -167,7 +167,7 @@
 	m.mu.Unlock()
 	var out []swapTarget
 	for name, n := range hosts {
-		if m.OnDuty("digest "+name, n, now) {
+		if m.IsAssigned("digest "+name, n, now) {
 			out = append(out, m.randomHostOf(name)...)
 		}
 	}
@@ -220,15 +220,15 @@
 	for _, s := range sums {
 		d.Services = append(d.Services, &schema.ServiceDigest{
 			Service: s.Service, Free: uint32(s.Free), Slots: uint32(s.Slots), WaitMillis: millis(s.Wait),
-			GapMillis: millis(s.Gap),
+			GapMillis: millis(s.EventInterval),
 		})
 	}
 	return d
 }
 
-// Swapped handles the digest that a host of a remote data centre sent, and returns
+// HandleDigests handles the digest that a host of a remote data centre sent, and returns
 // this data centre's: without members if the sender holds them.
-func (m *Membership) Swapped(in *schema.Digests) *schema.Digests {
+func (m *Membership) HandleDigests(in *schema.Digests) *schema.Digests {
 	now := time.Now()
 	local := m.localDigest(now)
 	if in.GetHaveMembers() == local.GetMembersHash() {
--- a/process/membership/gossip_peers.go
+++ b/process/membership/gossip_peers.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// NearEach is the number of gossip peers that a host has for each doubling of the
+// GossipPeersPerDoubling is the number of gossip peers that a host has for each doubling of the
 // number of hosts in its data centre. A graph in which each node has so many random
 // neighbours is connected, with only a few steps between any two nodes.
-const NearEach = 2
+const GossipPeersPerDoubling = 2
 
 // drawGossipPeers draws Fanout of this host's gossip peers. These are a part of the
 // live members that stays the same while they live. If a host drew from all members,
@@ -18,7 +18,7 @@
 // would come to hold one to every other. The caller holds the lock.
 func (m *Membership) drawGossipPeers(live []*member) []netip.AddrPort {
 	peers := live
-	if limit := NearEach * bits.Len(uint(len(live))); len(live) > limit {
+	if limit := GossipPeersPerDoubling * bits.Len(uint(len(live))); len(live) > limit {
 		peers = m.gossipOrder(live)[:limit]
 	}
 	m.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
--- a/process/membership/gossip_peers_test.go
+++ b/process/membership/gossip_peers_test.go
@@ -31,28 +31,28 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(c.hosts, c.endpoints)
 			for _, m := range s.hosts {
-				m.cfg.WholeRegion = true
+				m.cfg.CallsWholeRegion = true
 			}
 			for range 12 {
 				s.tick()
 			}
 			s.pairs = map[[2]netip.AddrPort]bool{}
 			rnd, late := rand.New(rand.NewPCG(1, 2)), 0
-			ticks := int(length / Tick)
+			ticks := int(length / HeartbeatInterval)
 			for range ticks {
 				var reported []string
-				for range reportRate * int(Tick) / int(time.Second) {
+				for range reportRate * int(HeartbeatInterval) / int(time.Second) {
 					e := s.endpoints[rnd.IntN(c.endpoints)].Name
 					s.hosts[rnd.IntN(c.hosts)].cfg.Load.LoadReported(vetchtrail.Endpoint{Name: e}, vetchtrail.LoadReport{ReceivedAt: s.now, Running: 1})
 					reported = append(reported, e)
 				}
 				at := s.now
-				for range maxRelayedReportAge / Tick {
+				for range maxRelayedReportAge / HeartbeatInterval {
 					s.tick()
 				}
 				for _, e := range reported {
 					for _, m := range s.hosts {
-						if m.cfg.Load.Reported(e).Before(at) {
+						if m.cfg.Load.ReportedAt(e).Before(at) {
 							late++
 						}
 					}
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -21,9 +21,9 @@
 	Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error)
 }
 
-// Beat sends heartbeats now and at each Tick until ctx ends.
-func (m *Membership) Beat(ctx context.Context, p Peers) {
-	t := time.NewTicker(Tick)
+// RunHeartbeats sends heartbeats now and at each Tick until ctx ends.
+func (m *Membership) RunHeartbeats(ctx context.Context, p Peers) {
+	t := time.NewTicker(HeartbeatInterval)
 	defer t.Stop()
 	for {
 		m.sendHeartbeats(ctx, p)
@@ -205,18 +205,18 @@
 // would grow as hosts times endpoints.
 func (m *Membership) loadsFor(to *sentState, now time.Time) []*schema.Load {
 	var after time.Time
-	if m.cfg.WholeRegion {
+	if m.cfg.CallsWholeRegion {
 		after = now.Add(-maxRelayedReportAge)
 	}
-	var reports []load.Heard
-	reports, to.loadsUpTo = m.cfg.Load.HeardAfter(to.loadsUpTo, after)
+	var reports []load.ReportEntry
+	reports, to.loadsUpTo = m.cfg.Load.ReportsAfter(to.loadsUpTo, after)
 	var out []*schema.Load
 	for _, r := range reports {
-		if !m.cfg.WholeRegion && !r.Fetched && !r.Report.Leaving {
+		if !m.cfg.CallsWholeRegion && !r.FetchedHere && !r.Report.Leaving {
 			continue
 		}
 		out = append(out, &schema.Load{
-			Endpoint: r.Short, Running: uint32(r.Report.Running), Queued: uint32(r.Report.Queued),
+			Endpoint: r.NameHash, Running: uint32(r.Report.Running), Queued: uint32(r.Report.Queued),
 			AgeMillis: millis(now.Sub(r.Report.ReceivedAt)), Leaving: r.Report.Leaving, UpMillis: uptimeMillis(r, now),
 		})
 	}
@@ -227,8 +227,8 @@
 // out. It is sent only for endpoints that once announced that they leave or pause,
 // as a restart ends the announcement. For all endpoints it would cost more bytes
 // than the loads.
-func uptimeMillis(r load.Heard, now time.Time) uint32 {
-	if !r.Said || r.Report.StartedAt.IsZero() {
+func uptimeMillis(r load.ReportEntry, now time.Time) uint32 {
+	if !r.Announced || r.Report.StartedAt.IsZero() {
 		return 0
 	}
 	return uint32(min(max(1, now.Sub(r.Report.StartedAt).Milliseconds()), math.MaxUint32))
@@ -239,14 +239,14 @@
 // then knows the limit before its next one.
 func (m *Membership) rateLimitsFor(to *member, now time.Time) []*schema.EndpointRate {
 	var out []*schema.EndpointRate
-	for _, l := range m.cfg.Load.Limits() {
+	for _, l := range m.cfg.Load.RateLimits() {
 		sent, known := to.sentState.rateLimits[l.Endpoint]
-		same := sent.Limit.Advertised == l.Limit.Advertised && sent.Limit.Rate == l.Limit.Rate && sent.Born.Equal(l.Born)
+		same := sent.Limit.Advertised == l.Limit.Advertised && sent.Limit.Rate == l.Limit.Rate && sent.StartedAt.Equal(l.StartedAt)
 		if (known && same) || (!known && !l.Limit.Advertised) {
 			continue
 		}
 		to.sentState.rateLimits[l.Endpoint] = l
-		out = append(out, schema.FromRateLimit(l.Endpoint, l.Born, l.Limit, now))
+		out = append(out, schema.FromRateLimit(l.Endpoint, l.StartedAt, l.Limit, now))
 	}
 	return out
 }
@@ -271,27 +271,27 @@
 // leavingSince returns the endpoints that this host learned to be leaving after a time.
 func (m *Membership) leavingSince(after, now time.Time) []*schema.EndpointLeaves {
 	var out []*schema.EndpointLeaves
-	for _, l := range m.cfg.Load.Leavers(after, now) {
-		out = append(out, schema.FromLeaves(l.Short, l.Born, l.Said, now))
+	for _, l := range m.cfg.Load.LeavingAfter(after, now) {
+		out = append(out, schema.FromLeaves(l.NameHash, l.StartedAt, l.FirstAnnouncedAt, now))
 	}
 	return out
 }
 
 // learnLeaving takes the leaving endpoints that the host named from sent.
 func (m *Membership) learnLeaving(from string, leaves []*schema.EndpointLeaves) {
-	if m.cfg.Notices == nil {
+	if m.cfg.LeavingEndpoints == nil {
 		return
 	}
 	for _, l := range leaves {
-		m.cfg.Notices.Learn(from, l)
+		m.cfg.LeavingEndpoints.RecordFromPeer(from, l)
 	}
 }
 
 // millis returns a duration in whole milliseconds for a message, 0 for a negative one.
 func millis(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
 
-// Exchanged handles another host's heartbeat and returns this host's.
-func (m *Membership) Exchanged(h *schema.Heartbeat) *schema.Heartbeat {
+// HandleHeartbeat handles another host's heartbeat and returns this host's.
+func (m *Membership) HandleHeartbeat(h *schema.Heartbeat) *schema.Heartbeat {
 	now := time.Now()
 	if h.GetDataCentre() != m.cfg.Self.DataCentre {
 		// The sender has this host as a seed. Hosts of different data centres
@@ -326,11 +326,11 @@
 	}
 	m.mu.Unlock()
 	for _, l := range h.GetLoads() {
-		m.cfg.Load.ReportShort(l.GetEndpoint(), loadReportOf(l, now), now.Add(leavingReportTTL))
+		m.cfg.Load.ReportByHash(l.GetEndpoint(), loadReportOf(l, now), now.Add(leavingReportTTL))
 	}
 	for _, r := range h.GetRates() {
-		if m.cfg.Rates != nil {
-			m.cfg.Rates.Learn(r)
+		if m.cfg.RateLimits != nil {
+			m.cfg.RateLimits.Learn(r)
 		}
 	}
 	m.learnLeaving(h.GetFrom(), h.GetLeaves())
--- a/process/membership/hosts.go
+++ b/process/membership/hosts.go
@@ -10,12 +10,12 @@
 	"vetchtrail/schema"
 )
 
-// Serving returns the ready hosts nearest to a caller: those of its data centre, or
+// NearestReady returns the ready hosts nearest to a caller: those of its data centre, or
 // else of its region, or else of the home regions. Without home regions it falls back
 // to all ready hosts that can be reached.
-func (m *Membership) Serving(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
+func (m *Membership) NearestReady(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
 	var all []vetchtrail.Host
-	for _, h := range append(m.Hosts(now), m.Elsewhere(now)...) {
+	for _, h := range append(m.Hosts(now), m.ReadyRemoteHosts(now)...) {
 		if h.State == vetchtrail.HostReady {
 			all = append(all, h)
 		}
@@ -46,9 +46,9 @@
 	return out
 }
 
-// Elsewhere returns the ready hosts of remote data centres that can be reached, sorted
+// ReadyRemoteHosts returns the ready hosts of remote data centres that can be reached, sorted
 // by name.
-func (m *Membership) Elsewhere(now time.Time) []vetchtrail.Host {
+func (m *Membership) ReadyRemoteHosts(now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []vetchtrail.Host
@@ -64,9 +64,9 @@
 	return out
 }
 
-// SetListed replaces the hosts that the platform lists. Their peer addresses become
+// SetListedHosts replaces the hosts that the platform lists. Their peer addresses become
 // seeds, in addition to those of the settings.
-func (m *Membership) SetListed(hosts []vetchtrail.Host) {
+func (m *Membership) SetListedHosts(hosts []vetchtrail.Host) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listedHosts, m.haveListing = hosts, true
@@ -76,7 +76,7 @@
 	}
 }
 
-// Before returns this host's rank for a task, by rendezvous hashing: the number of
+// ListedRank returns this host's rank for a task, by rendezvous hashing: the number of
 // hosts of its region that go before it. It is for tasks that at most n hosts may do
 // at any moment, those with a rank below n.
 //
@@ -84,7 +84,7 @@
 // dead: all hosts hold the same listing, while each knows other hosts by heartbeats
 // and digests. A host that is not listed ranks behind all. Only while no other host
 // of the region is listed, the known ones are ranked.
-func (m *Membership) Before(task string, now time.Time) int {
+func (m *Membership) ListedRank(task string, now time.Time) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	names, self := m.othersListedInRegion()
--- a/process/membership/hosts_test.go
+++ b/process/membership/hosts_test.go
@@ -25,13 +25,13 @@
 func TestUnknownDataCentres(t *testing.T) {
 	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
 	a.startedAt = now
-	assert.Equal(t, a.swapDelay(now), SwapTick, "no platform that lists hosts")
-	a.cfg.WholeRegion = true
+	assert.Equal(t, a.swapDelay(now), SwapInterval, "no platform that lists hosts")
+	a.cfg.CallsWholeRegion = true
 	assert.Equal(t, a.swapDelay(now), discoveryInterval, "no listing yet")
 	host := func(name, dataCentre string, last byte) vetchtrail.Host {
 		return vetchtrail.Host{Name: name, DataCentre: dataCentre, PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, last}), 1)}
 	}
-	a.SetListed([]vetchtrail.Host{host("a", "dc", 1), host("b", "dc", 2), host("x", "other", 9), host("y", "other", 10), host("z", "third", 11)})
+	a.SetListedHosts([]vetchtrail.Host{host("a", "dc", 1), host("b", "dc", 2), host("x", "other", 9), host("y", "other", 10), host("z", "third", 11)})
 	targets := func() map[string]bool {
 		out := map[string]bool{}
 		for _, g := range a.swapTargets(now) {
@@ -42,10 +42,10 @@
 	got := targets()
 	assert.Assert(t, got["10.0.0.11:1"] && (got["10.0.0.9:1"] || got["10.0.0.10:1"]) && len(got) == 2, "%v", got)
 	assert.Equal(t, a.swapDelay(now), discoveryInterval)
-	assert.Equal(t, a.swapDelay(now.Add(discoveryTime)), SwapTick, "discovery ends")
+	assert.Equal(t, a.swapDelay(now.Add(discoveryTime)), SwapInterval, "discovery ends")
 	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(a.unknownDataCentres())), []string{"other", "third"}) // the digest has no services
-	x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
+	x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
 	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(time.Second), now.Add(time.Second))
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(a.unknownDataCentres())), []string{"third"})
 }
@@ -74,7 +74,7 @@
 				Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			})
 			var got []string
-			for _, h := range m.Serving(c.region, c.dataCentre, c.homes, time.Now()) {
+			for _, h := range m.NearestReady(c.region, c.dataCentre, c.homes, time.Now()) {
 				got = append(got, h.Name)
 			}
 			assert.DeepEqual(t, got, c.want)
@@ -93,8 +93,8 @@
 	seen := map[int]bool{}
 	for _, self := range listed[:9] {
 		m := New(Config{Self: self, Load: load.New(), Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-		m.SetListed(listed)
-		seen[m.Before("duty", time.Now())] = true
+		m.SetListedHosts(listed)
+		seen[m.ListedRank("duty", time.Now())] = true
 	}
 	assert.Equal(t, len(seen), 9, "two hosts have the same rank: %v", seen)
 }
@@ -113,15 +113,15 @@
 		below := 0
 		for _, self := range hosts {
 			m := New(Config{Self: self, Load: load.New(), Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-			m.SetListed(listed)
+			m.SetListedHosts(listed)
 			for _, other := range hosts {
 				if other.DataCentre == self.DataCentre && rapid.Bool().Draw(t, "known") {
-					m.Exchanged(&schema.Heartbeat{From: other.Name, DataCentre: self.DataCentre, Members: []*schema.Member{
+					m.HandleHeartbeat(&schema.Heartbeat{From: other.Name, DataCentre: self.DataCentre, Members: []*schema.Member{
 						{Name: other.Name, Incarnation: 1, Counter: 1, State: uint32(vetchtrail.HostReady), Peers: "10.0.0.1:1", Callers: "10.0.0.1:2"},
 					}})
 				}
 			}
-			if m.Before("cold e", time.Now()) < n {
+			if m.ListedRank("cold e", time.Now()) < n {
 				below++
 			}
 		}
--- a/process/membership/leaving_spread_test.go
+++ b/process/membership/leaving_spread_test.go
@@ -36,13 +36,13 @@
 				s.tick()
 			}
 			s.leavingBytes = 0
-			rnd, ticks, slowest := rand.New(rand.NewPCG(1, 2)), int(length/Tick), time.Duration(0)
+			rnd, ticks, slowest := rand.New(rand.NewPCG(1, 2)), int(length/HeartbeatInterval), time.Duration(0)
 			announced, pending := 0, map[string]time.Time{} // pending: when it announced so, by endpoint, while not all hosts know
 			for n := range ticks {
 				for ; announced < c.leave*(n+1)/ticks; announced++ {
 					e := s.endpoints[announced].Name
 					pending[e] = s.now
-					s.hosts[rnd.IntN(c.hosts)].cfg.Load.HearNotice(e, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: s.now, ReceivedAt: s.now})
+					s.hosts[rnd.IntN(c.hosts)].cfg.Load.RecordAnnouncement(e, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: s.now, ReceivedAt: s.now})
 				}
 				s.tick()
 				for e, at := range pending {
@@ -76,16 +76,16 @@
 // all know the endpoints.
 func newSimulation(hosts, endpoints int) *simulation {
 	s := &simulation{now: time.Now(), byAddr: map[netip.AddrPort]*Membership{}}
-	var placed []load.Placed
+	var placed []load.EndpointInRegion
 	for n := range endpoints {
 		e := vetchtrail.Endpoint{Name: fmt.Sprintf("i-%010x", n*7919), Service: "s", Slots: 4}
 		s.endpoints = append(s.endpoints, e)
-		placed = append(placed, load.Placed{Endpoint: e})
+		placed = append(placed, load.EndpointInRegion{Endpoint: e})
 	}
 	for n := range hosts {
 		m := newMembership(fmt.Sprint("h", n), "dc", byte(n+1))
 		m.cfg.Load.Configure(placed)
-		m.cfg.Notices = &leavingRecorder{table: m.cfg.Load}
+		m.cfg.LeavingEndpoints = &leavingRecorder{table: m.cfg.Load}
 		if n > 0 {
 			m.seeds = []netip.AddrPort{s.hosts[0].self.PeerAddr}
 		}
@@ -97,9 +97,9 @@
 
 // tick moves the time by a Tick and has each host send its heartbeats.
 func (s *simulation) tick() {
-	s.now = s.now.Add(Tick)
+	s.now = s.now.Add(HeartbeatInterval)
 	for _, m := range s.hosts {
-		m.cfg.Notices.(*leavingRecorder).at = s.now
+		m.cfg.LeavingEndpoints.(*leavingRecorder).at = s.now
 	}
 	for _, m := range s.hosts {
 		for _, addr := range m.heartbeatTargets(s.now) {
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -19,11 +19,11 @@
 	received int
 }
 
-// Learn implements Notices.
-func (l *leavingRecorder) Learn(_ string, m *schema.EndpointLeaves) {
+// RecordFromPeer implements Notices.
+func (l *leavingRecorder) RecordFromPeer(_ string, m *schema.EndpointLeaves) {
 	l.received++
 	notice, startedAt := schema.ToLeaves(m, l.at)
-	l.table.HearNoticeShort(m.GetEndpoint(), startedAt, notice, l.at)
+	l.table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, notice, l.at)
 }
 
 // TestLeavingEndpointSentOnce guards against a host that is sent a leaving endpoint with
@@ -32,13 +32,13 @@
 // hold yet.
 func TestLeavingEndpointSentOnce(t *testing.T) {
 	startedAt := now.Add(-time.Hour)
-	listed := []load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: startedAt}}}
+	listed := []load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: startedAt}}}
 	second := func(n int) time.Time { return now.Add(time.Duration(n) * time.Second) }
 	a, b, c := newMembership("a", "dc", 1), newMembership("b", "dc", 2), newMembership("c", "dc", 3)
 	recorders := map[*Membership]*leavingRecorder{}
 	for _, m := range []*Membership{a, b, c} {
 		recorders[m] = &leavingRecorder{table: m.cfg.Load, at: now}
-		m.cfg.Notices = recorders[m]
+		m.cfg.LeavingEndpoints = recorders[m]
 	}
 	a.cfg.Load.Configure(listed)
 	b.cfg.Load.Configure(listed)
@@ -50,7 +50,7 @@
 	exchangeAt(a, b, 0)
 	exchangeAt(a, b, 1)
 	assert.Equal(t, recorders[b].received, 0)
-	a.cfg.Load.HearNotice("e", startedAt, vetchtrail.Availability{Leaving: true, RequestedAt: second(1), ReceivedAt: second(2)})
+	a.cfg.Load.RecordAnnouncement("e", startedAt, vetchtrail.Availability{Leaving: true, RequestedAt: second(1), ReceivedAt: second(2)})
 	assert.Assert(t, usable(b, 2))
 	a.heartbeatTo(b.self.PeerAddr, second(3)) // not delivered
 	a.sendInFull(b.self.PeerAddr)
@@ -71,21 +71,21 @@
 // the same region, whose hosts do.
 func TestLeavingEndpointStaysInRegion(t *testing.T) {
 	a := newMembership("a", "dc", 1)
-	a.cfg.WholeRegion = true
-	a.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
+	a.cfg.CallsWholeRegion = true
+	a.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
 	at := time.Now()
-	a.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
+	a.cfg.Load.RecordAnnouncement("e", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	cases := map[string]struct {
 		region   string
 		received int
 	}{"same region": {a.self.Region, 1}, "another region": {"elsewhere", 0}, "unknown region": {"", 0}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			reply := a.Swapped(&schema.Digests{From: "b", Digest: &schema.Digest{DataCentre: "dc-2", Region: c.region}})
+			reply := a.HandleDigests(&schema.Digests{From: "b", Digest: &schema.Digest{DataCentre: "dc-2", Region: c.region}})
 			assert.Equal(t, len(reply.GetLeaves()), c.received)
 			b := newMembership("b", "dc-2", 2)
 			l := &leavingRecorder{table: b.cfg.Load, at: at}
-			b.cfg.Notices = l
+			b.cfg.LeavingEndpoints = l
 			b.mergeSwapReply(reply, at, at)
 			assert.Equal(t, l.received, c.received)
 		})
@@ -97,12 +97,12 @@
 // announced that it is leaving, although it has restarted since. The host that fetched the
 // endpoint's load report must pass on its start time.
 func TestRestartReported(t *testing.T) {
-	listed := []load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}}
+	listed := []load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}}
 	second := func(n int) time.Time { return now.Add(time.Duration(n) * time.Second) }
 	a, b := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
 	for _, m := range []*Membership{a, b} {
 		m.cfg.Load.Configure(listed)
-		m.cfg.Load.HearNotice("e", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
+		m.cfg.Load.RecordAnnouncement("e", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 	}
 	exchange(a, b, second(1))
 	exchange(a, b, second(2))
--- a/process/membership/loads_test.go
+++ b/process/membership/loads_test.go
@@ -17,10 +17,10 @@
 // and all again after one was lost.
 func TestLoadsSentOnce(t *testing.T) {
 	a, b := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
-	a.cfg.WholeRegion = true
-	var placed []load.Placed
+	a.cfg.CallsWholeRegion = true
+	var placed []load.EndpointInRegion
 	for n := range 100 {
-		placed = append(placed, load.Placed{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprint("e", n), Service: "s", Slots: 4}})
+		placed = append(placed, load.EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprint("e", n), Service: "s", Slots: 4}})
 	}
 	a.cfg.Load.Configure(placed)
 	exchange(a, b, now)
@@ -32,7 +32,7 @@
 	a.cfg.Load.LoadReported(placed[7].Endpoint, vetchtrail.LoadReport{ReceivedAt: now.Add(time.Second), Running: 1})
 	h := a.heartbeatTo(b.self.PeerAddr, now.Add(time.Second))
 	assert.Equal(t, len(h.GetLoads()), 1)
-	assert.Equal(t, h.GetLoads()[0].GetEndpoint(), load.Short("e7"))
+	assert.Equal(t, h.GetLoads()[0].GetEndpoint(), load.NameHash("e7"))
 	a.sendInFull(b.self.PeerAddr)
 	assert.Equal(t, len(a.heartbeatTo(b.self.PeerAddr, now.Add(time.Second)).GetLoads()), 100, "not all sent again after a lost heartbeat")
 	assert.Assert(t, proto.Size(a.heartbeatTo(b.self.PeerAddr, now.Add(time.Second))) < 100)
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -33,18 +33,18 @@
 
 // Intervals, ages and sizes that set the traffic between hosts.
 const (
-	Tick         = 500 * time.Millisecond // between heartbeats
-	Fanout       = 2                      // gossip peers that a host sends heartbeats to at each Tick
-	suspectAfter = 2 * time.Second        // without a newer heartbeat
-	deadAfter    = 4 * time.Second        // without a newer heartbeat
-	forgetAfter  = time.Minute            // without a newer heartbeat
-	SwapTick     = time.Second            // between digest swaps with a remote data centre
+	HeartbeatInterval = 500 * time.Millisecond // between heartbeats
+	Fanout            = 2                      // gossip peers that a host sends heartbeats to at each Tick
+	suspectAfter      = 2 * time.Second        // without a newer heartbeat
+	deadAfter         = 4 * time.Second        // without a newer heartbeat
+	forgetAfter       = time.Minute            // without a newer heartbeat
+	SwapInterval      = time.Second            // between digest swaps with a remote data centre
 	// RelayInterval is the least time between two relays of one data centre's
 	// digest to the same host, unless the digest reports a newer configuration.
 	RelayInterval = 2 * time.Second
 	// standbyAfter is the age of a data centre's digest from which a second host
 	// swaps with that data centre too: the first may be slow or cut off from it.
-	standbyAfter     = 5 * SwapTick / 2
+	standbyAfter     = 5 * SwapInterval / 2
 	reachableFor     = 3 * time.Second  // age of its digest from which a data centre counts as unreachable
 	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after a host sent such a load report
 	avoidTime        = 2 * time.Second  // without forwards to a host after one to it was lost
@@ -55,26 +55,26 @@
 	Self  vetchtrail.Host
 	Seeds []netip.AddrPort // peer addresses of hosts in any data centre, contacted until they are known
 	Load  *load.Table      // where received load reports go, and those to send come from
-	// Rates receives the rate limits of endpoints that other hosts report; nil ignores them.
-	Rates Rates
-	// Notices receives the leaving endpoints that other hosts report; nil ignores them.
-	Notices  Notices
-	Revision func() uint64 // newest configuration that this host holds
-	Log      *slog.Logger
-	Seed     uint64 // of the random choice of peers
-	// WholeRegion is set if hosts call the endpoints of their whole region
+	// RateLimits receives the rate limits of endpoints that other hosts report; nil ignores them.
+	RateLimits RateLimits
+	// LeavingEndpoints receives the leaving endpoints that other hosts report; nil ignores them.
+	LeavingEndpoints LeavingEndpoints
+	Revision         func() uint64 // newest configuration that this host holds
+	Log              *slog.Logger
+	RandomSeed       uint64 // of the random choice of peers
+	// CallsWholeRegion is set if hosts call the endpoints of their whole region
 	// directly, so that no request is forwarded within the region.
-	WholeRegion bool
+	CallsWholeRegion bool
 }
 
-// Rates receives the rate limit of an endpoint as another host knows it.
-type Rates interface {
+// RateLimits receives the rate limit of an endpoint as another host knows it.
+type RateLimits interface {
 	Learn(m *schema.EndpointRate)
 }
 
-// Notices receives a leaving endpoint that the host named from reports.
-type Notices interface {
-	Learn(from string, m *schema.EndpointLeaves)
+// LeavingEndpoints receives a leaving endpoint that the host named from reports.
+type LeavingEndpoints interface {
+	RecordFromPeer(from string, m *schema.EndpointLeaves)
 }
 
 // Membership is one host's view of the other hosts. It is safe for concurrent
@@ -117,11 +117,11 @@
 // heartbeat can leave it out. It starts anew when the other host requests a full
 // heartbeat, when a heartbeat to it failed, and every fullEvery heartbeats.
 type sentState struct {
-	shortIDs    map[uint32]bool            // hosts whose full entry it has
-	loadsUpTo   uint64                     // number of load reports that this host had taken at the last heartbeat
-	rateLimits  map[string]load.NamedLimit // by endpoint
-	leavingUpTo time.Time                  // of the last heartbeat, which had the endpoints that were known to be leaving
-	messages    int                        // heartbeats sent since the last reset
+	shortIDs    map[uint32]bool                     // hosts whose full entry it has
+	loadsUpTo   uint64                              // number of load reports that this host had taken at the last heartbeat
+	rateLimits  map[string]load.AdvertisedRateLimit // by endpoint
+	leavingUpTo time.Time                           // of the last heartbeat, which had the endpoints that were known to be leaving
+	messages    int                                 // heartbeats sent since the last reset
 }
 
 // fullEvery is the number of heartbeats after which one is sent in full again.
@@ -130,7 +130,7 @@
 // startMessage counts a heartbeat. It clears the state if this one is to be full.
 func (t *sentState) startMessage() {
 	if t.messages%fullEvery == 0 {
-		*t = sentState{shortIDs: map[uint32]bool{}, rateLimits: map[string]load.NamedLimit{}, messages: t.messages}
+		*t = sentState{shortIDs: map[uint32]bool{}, rateLimits: map[string]load.AdvertisedRateLimit{}, messages: t.messages}
 	}
 	t.messages++
 }
@@ -149,7 +149,7 @@
 func New(c Config) *Membership {
 	m := &Membership{
 		cfg:            c,
-		rng:            rand.New(rand.NewPCG(c.Seed, c.Seed>>1)),
+		rng:            rand.New(rand.NewPCG(c.RandomSeed, c.RandomSeed>>1)),
 		self:           c.Self,
 		startedAt:      time.Now(),
 		members:        map[string]*member{},
@@ -267,10 +267,10 @@
 	}
 }
 
-// OnDuty reports whether this host is among the first n live hosts of its data
+// IsAssigned reports whether this host is among the first n live hosts of its data
 // centre for a task, by rendezvous hashing. Hosts with different views may both
 // be for a while, so a task must tolerate being done twice.
-func (m *Membership) OnDuty(task string, n int, now time.Time) bool {
+func (m *Membership) IsAssigned(task string, n int, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	own := hashPair(task, m.self.Name)
@@ -301,10 +301,10 @@
 	return d.Sum64()
 }
 
-// Ahead returns the host that reported the newest revision, if that is newer
+// NewestAhead returns the host that reported the newest revision, if that is newer
 // than this host's. Dead and suspect hosts are left out, and those of data
 // centres that are out of reach.
-func (m *Membership) Ahead(now time.Time) (vetchtrail.Host, bool) {
+func (m *Membership) NewestAhead(now time.Time) (vetchtrail.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	best := vetchtrail.Host{Revision: m.cfg.Revision()}
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -31,7 +31,7 @@
 			Name: name, Region: "region-of-" + dataCentre, DataCentre: dataCentre, CallerAddr: addr(8080), PeerAddr: addr(7070),
 			Incarnation: 100, State: vetchtrail.HostReady,
 		},
-		Load: load.New(), Revision: func() uint64 { return 5 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Seed: uint64(last),
+		Load: load.New(), Revision: func() uint64 { return 5 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), RandomSeed: uint64(last),
 	})
 }
 
@@ -100,18 +100,18 @@
 		task := fmt.Sprint("duty ", n)
 		assigned := map[string]bool{}
 		for _, m := range all {
-			if m.OnDuty(task, 2, now) {
+			if m.IsAssigned(task, 2, now) {
 				assigned[m.self.Name] = true
 			}
 		}
 		assert.Equal(t, len(assigned), 2, task)
 		for _, m := range all {
-			first := m.Ranked(task, 1, now)
+			first := m.FirstOthers(task, 1, now)
 			assert.Assert(t, len(first) == 1 && (assigned[first[0].Name] || assigned[m.self.Name]), "%s ranks %v first, which is not assigned to %s", m.self.Name, first, task)
 		}
 	}
-	assert.Equal(t, len(all[0].Ranked("any", 1, now.Add(deadAfter+1))), 0, "no other host is alive")
-	assert.Assert(t, all[0].OnDuty("any", 1, now.Add(deadAfter+1)), "a host that is alone has all tasks")
+	assert.Equal(t, len(all[0].FirstOthers("any", 1, now.Add(deadAfter+1))), 0, "no other host is alive")
+	assert.Assert(t, all[0].IsAssigned("any", 1, now.Add(deadAfter+1)), "a host that is alone has all tasks")
 }
 
 // TestDataCentreReturns guards against forwards to a data centre that is out of reach, and
@@ -120,11 +120,11 @@
 // grows with each answered forward.
 func TestDataCentreReturns(t *testing.T) {
 	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
-	x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
+	x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
 	place := func(string) (vetchtrail.RegionID, bool) { return 2, true }
 	view := func(at time.Time) vetchtrail.RemoteView {
 		var v vetchtrail.View
-		a.Fill(&v, "s", place, at)
+		a.AppendRemotes(&v, "s", place, at)
 		assert.Equal(t, len(v.Remotes), 1)
 		return v.Remotes[0]
 	}
@@ -171,7 +171,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			a, x, y := newMembership("a", "dc", 1), newMembership("x", "other", 9), newMembership("y", "other", 8)
-			x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
+			x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
 			exchange(x, y, now)
 			a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 			for _, o := range c.returned {
@@ -188,7 +188,7 @@
 				assert.Equal(t, picked[n], strings.Contains(c.picked, n), n)
 			}
 			var v vetchtrail.View
-			a.Fill(&v, "s", func(string) (vetchtrail.RegionID, bool) { return 2, true }, at)
+			a.AppendRemotes(&v, "s", func(string) (vetchtrail.RegionID, bool) { return 2, true }, at)
 			assert.Equal(t, v.Remotes[0].Reachable, c.picked != "")
 			assert.Equal(t, v.Remotes[0].WarmUpShare < 1, len(c.returned) == 2)
 		})
@@ -269,9 +269,9 @@
 // of hosts, endpoints and remote data centres.
 func connectedPair(hosts, endpoints, dataCentres int) (a, b *Membership) {
 	a, b = newMembership("dc-host-001", "dc", 1), newMembership("dc-host-002", "dc", 2)
-	var placed []load.Placed
+	var placed []load.EndpointInRegion
 	for i := range endpoints {
-		placed = append(placed, load.Placed{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("dc-engine-%03d", i), Service: "model", Slots: 8}})
+		placed = append(placed, load.EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("dc-engine-%03d", i), Service: "model", Slots: 8}})
 	}
 	a.cfg.Load.Configure(placed)
 	b.cfg.Load.Configure(placed)
@@ -281,7 +281,7 @@
 	exchange(a, b, now)
 	for i := range dataCentres {
 		x := newMembership(fmt.Sprintf("other-%02d-host-001", i), fmt.Sprintf("other-%02d", i), 1)
-		x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "model", Slots: 8}}})
+		x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "model", Slots: 8}}})
 		for k := range hosts - 1 {
 			y := newMembership(fmt.Sprintf("other-%02d-host-%03d", i, k+2), fmt.Sprintf("other-%02d", i), byte(k+2))
 			x.merge(y.heartbeatTo(x.self.PeerAddr, now), now)
--- a/process/membership/rank.go
+++ b/process/membership/rank.go
@@ -28,8 +28,8 @@
 	return region, dataCentre
 }
 
-// Ranked returns the first n of the other live hosts of this host's region for a task.
-func (m *Membership) Ranked(task string, n int, now time.Time) []vetchtrail.Host {
+// FirstOthers returns the first n of the other live hosts of this host's region for a task.
+func (m *Membership) FirstOthers(task string, n int, now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := ranking{task: task}
@@ -37,9 +37,9 @@
 	return r.first(n)
 }
 
-// RankedIn returns the first n live hosts of a region for a task. This host is among the
+// FirstInRegion returns the first n live hosts of a region for a task. This host is among the
 // candidates if it is in the region.
-func (m *Membership) RankedIn(region, task string, n int, now time.Time) []vetchtrail.Host {
+func (m *Membership) FirstInRegion(region, task string, n int, now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := ranking{task: task}
@@ -107,10 +107,10 @@
 	}
 }
 
-// HeardPart returns the share of the known hosts of this host's region, itself included,
+// SeenShare returns the share of the known hosts of this host's region, itself included,
 // from which heartbeats or digests still arrive. The others have stopped, or are cut off
 // and still run.
-func (m *Membership) HeardPart(now time.Time) float64 {
+func (m *Membership) SeenShare(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all, heard := 1, 1
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -44,7 +44,7 @@
 	}
 	assert.Equal(t, len(ranks), 6, "%v", ranks)
 	for _, m := range all {
-		first := m.Ranked("duty", 1, now)[0].Name
+		first := m.FirstOthers("duty", 1, now)[0].Name
 		if m.self.Name != ranks[0] {
 			assert.Equal(t, first, ranks[0])
 		} else {
@@ -61,10 +61,10 @@
 	seed := newMembership("seed", "other", 9)
 	first, second := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
 	swapWithSeed := func(m *Membership, at time.Time) {
-		reply := seed.Swapped(&schema.Digests{From: m.self.Name, Digest: withoutMembers(m.localDigest(at))})
+		reply := seed.HandleDigests(&schema.Digests{From: m.self.Name, Digest: withoutMembers(m.localDigest(at))})
 		m.mergeSwapReply(reply, at, at)
 		if reply.GetWantMembers() { // as swapWith does
-			seed.Swapped(&schema.Digests{From: m.self.Name, Digest: m.localDigest(at)})
+			seed.HandleDigests(&schema.Digests{From: m.self.Name, Digest: m.localDigest(at)})
 		}
 	}
 	swapWithSeed(first, now)
@@ -83,11 +83,11 @@
 // does a task of the listed ones as well, so that too many hosts do it.
 func TestUnlistedHostRanksLast(t *testing.T) {
 	m := newMembership("a", "dc", 1)
-	assert.Equal(t, m.Before("duty", now), 0, "no host is listed")
-	m.SetListed([]vetchtrail.Host{{Name: "b", Region: "elsewhere"}})
-	assert.Equal(t, m.Before("duty", now), 0, "no host of the region is listed")
-	m.SetListed([]vetchtrail.Host{{Name: "b", Region: m.self.Region}})
-	assert.Assert(t, m.Before("duty", now) > 100)
+	assert.Equal(t, m.ListedRank("duty", now), 0, "no host is listed")
+	m.SetListedHosts([]vetchtrail.Host{{Name: "b", Region: "elsewhere"}})
+	assert.Equal(t, m.ListedRank("duty", now), 0, "no host of the region is listed")
+	m.SetListedHosts([]vetchtrail.Host{{Name: "b", Region: m.self.Region}})
+	assert.Assert(t, m.ListedRank("duty", now) > 100)
 }
 
 // TestRelayedLoads guards against load reports that are relayed without need, or not at all.
@@ -111,13 +111,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			m := newMembership("a", "dc", 1)
-			m.cfg.WholeRegion = c.wholeRegion
-			m.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
+			m.cfg.CallsWholeRegion = c.wholeRegion
+			m.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
 			r := vetchtrail.LoadReport{ReceivedAt: now.Add(-c.age), Running: 3}
 			if c.fetched {
 				m.cfg.Load.Report("e", r, time.Time{})
 			} else {
-				m.cfg.Load.ReportShort(load.Short("e"), r, time.Time{})
+				m.cfg.Load.ReportByHash(load.NameHash("e"), r, time.Time{})
 			}
 			to := &sentState{}
 			assert.Equal(t, len(m.loadsFor(to, now)), c.want)
--- a/process/membership/rate_limits_test.go
+++ b/process/membership/rate_limits_test.go
@@ -25,7 +25,7 @@
 	l.received++
 	limit, startedAt, err := schema.ToRateLimit(m, l.at)
 	assert.NilError(l.t, err)
-	l.table.HearLimit(m.GetEndpoint(), startedAt, limit)
+	l.table.RecordRateLimit(m.GetEndpoint(), startedAt, limit)
 }
 
 // TestRateLimitsSentOnce guards against heartbeats that carry each rate limit every time,
@@ -35,16 +35,16 @@
 	startedAt := now.Add(-time.Hour)
 	a, b := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
 	l := &rateLimitRecorder{t: t, table: b.cfg.Load, at: now}
-	b.cfg.Rates = l
+	b.cfg.RateLimits = l
 	for _, m := range []*Membership{a, b} {
-		m.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: startedAt}}})
+		m.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: startedAt}}})
 	}
 	advertise := func(rate float64, second int) { // to a; 0 lifts the limit
 		at := now.Add(time.Duration(second) * time.Second)
-		a.cfg.Load.HearLimit("e", startedAt, vetchtrail.RateLimit{Advertised: rate > 0, Rate: rate, RequestedAt: at, ReceivedAt: at.Add(100 * time.Millisecond)})
+		a.cfg.Load.RecordRateLimit("e", startedAt, vetchtrail.RateLimit{Advertised: rate > 0, Rate: rate, RequestedAt: at, ReceivedAt: at.Add(100 * time.Millisecond)})
 	}
 	known := func() (rate float64, limited bool) { // to b
-		limit, _ := b.cfg.Load.Limit("e")
+		limit, _ := b.cfg.Load.RateLimit("e")
 		return limit.Rate, limit.Advertised
 	}
 	exchangeAt := func(second int) {
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -20,10 +20,10 @@
 // only to hosts that request them.
 const maxInlineMembers = 16
 
-// PassEach is the number of hosts that each host relays a digest to. Of a data centre,
+// RelayFanout is the number of hosts that each host relays a digest to. Of a data centre,
 // the digests of three swaps are new enough at a time, and each of them reaches all but
 // a few of a hundred hosts.
-const PassEach = 4
+const RelayFanout = 4
 
 // due reports whether the newest digest of a data centre is to be relayed to a member.
 // A digest with a newer configuration is relayed at once. Another is relayed
@@ -32,7 +32,7 @@
 	if !d.digestTime.After(r.digestTime) {
 		return false
 	}
-	return now.Sub(r.sentAt) >= RelayInterval && d.relayCount < PassEach || d.digest.GetNewest() > r.newest
+	return now.Sub(r.sentAt) >= RelayInterval && d.relayCount < RelayFanout || d.digest.GetNewest() > r.newest
 }
 
 // relaysFor returns the digests of remote data centres to send to a member. A host relays
@@ -70,7 +70,7 @@
 	var out []string
 	for name, d := range m.remotes {
 		missing := !d.complete && (len(d.digest.GetMembers()) == 0 || now.Sub(d.incompleteSince) >= RelayInterval)
-		if missing && now.Sub(d.membersRequested) >= Tick {
+		if missing && now.Sub(d.membersRequested) >= HeartbeatInterval {
 			d.membersRequested = now
 			out = append(out, name)
 		}
--- a/process/membership/relay_test.go
+++ b/process/membership/relay_test.go
@@ -35,16 +35,16 @@
 		y := newMembership(fmt.Sprintf("y%03d", n), "other", byte(n))
 		other.merge(y.heartbeatTo(other.self.PeerAddr, s.now), s.now)
 	}
-	other.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "far", Service: "s", Slots: 4}}})
-	for n := range int((settleTime + observedTime) / Tick) {
+	other.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "far", Service: "s", Slots: 4}}})
+	for n := range int((settleTime + observedTime) / HeartbeatInterval) {
 		s.tick()
-		if n%int(SwapTick/Tick) == 0 {
+		if n%int(SwapInterval/HeartbeatInterval) == 0 {
 			s.swapWith(other)
 		}
 		if r.reachedAfter == 0 && s.allReach("other") {
-			r.reachedAfter = time.Duration(n) * Tick
+			r.reachedAfter = time.Duration(n) * HeartbeatInterval
 		}
-		if n < int(settleTime/Tick) {
+		if n < int(settleTime/HeartbeatInterval) {
 			s.digestCount, r.startBytes = 0, float64(s.digestBytes)/float64(hosts)/settleTime.Seconds()
 			continue
 		}
@@ -63,7 +63,7 @@
 // with it.
 func (s *simulation) swapWith(other *Membership) {
 	for _, m := range s.hosts {
-		if m.OnDuty("digest other", 1, s.now) {
+		if m.IsAssigned("digest other", 1, s.now) {
 			m.mu.Lock()
 			m.mergeDigest(other.localDigest(s.now), s.now, s.now)
 			m.mu.Unlock()
@@ -83,7 +83,7 @@
 			r := runRelays(hosts)
 			t.Logf("out of reach in %d of %d checks, %.1f digests relayed a second and host, all hosts reach it after %s", r.unreachable, r.checks, r.relayRate, r.reachedAfter)
 			assert.Assert(t, r.unreachable*100 <= r.checks, "out of reach in %d of %d checks", r.unreachable, r.checks)
-			assert.Assert(t, r.relayRate <= PassEach+1, "%.1f digests relayed a second and host", r.relayRate)
+			assert.Assert(t, r.relayRate <= RelayFanout+1, "%.1f digests relayed a second and host", r.relayRate)
 			assert.Assert(t, r.reachedAfter > 0 && r.reachedAfter <= reachedWithin, "all hosts reach it after %s", r.reachedAfter)
 		})
 	}
@@ -132,7 +132,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			a, b, x := newMembership("a", "dc", 1), newMembership("b", "dc", 2), newMembership("x", "other", 9)
-			x.cfg.Load.Configure([]load.Placed{{Endpoint: vetchtrail.Endpoint{Name: "far", Service: "s", Slots: 4}}})
+			x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "far", Service: "s", Slots: 4}}})
 			for n := range c.hosts - 1 {
 				x.merge(newMembership(fmt.Sprint("y", n), "other", byte(n+10)).heartbeatTo(x.self.PeerAddr, now), now)
 			}
--- a/process/membership/remote.go
+++ b/process/membership/remote.go
@@ -43,11 +43,11 @@
 
 // DataCentre is the state of a remote data centre, as operators see it.
 type DataCentre struct {
-	Name      string
-	Region    string
-	Revision  uint64    // lowest among its hosts
-	Heard     time.Time // when its newest digest was made
-	Reachable bool      // whether the digest is new enough and some of its hosts are known
+	Name       string
+	Region     string
+	Revision   uint64    // lowest among its hosts
+	DigestTime time.Time // when its newest digest was made
+	Reachable  bool      // whether the digest is new enough and some of its hosts are known
 }
 
 // DataCentres returns the remote data centres, sorted by name.
@@ -58,7 +58,7 @@
 	for name, d := range m.remotes {
 		out = append(out, DataCentre{
 			Name: name, Region: d.digest.GetRegion(), Revision: d.digest.GetRevision(),
-			Heard: d.digestTime, Reachable: now.Sub(d.digestTime) < reachableFor && len(d.digest.GetMembers()) > 0,
+			DigestTime: d.digestTime, Reachable: now.Sub(d.digestTime) < reachableFor && len(d.digest.GetMembers()) > 0,
 		})
 	}
 	slices.SortFunc(out, func(a, b DataCentre) int { return strings.Compare(a.Name, b.Name) })
@@ -70,15 +70,15 @@
 	warmUpStep  = 0.1 // added to the share for each answered forward
 )
 
-// Fill implements vetchtrail.Hosts. It leaves out data centres that do not run the
+// AppendRemotes implements vetchtrail.Hosts. It leaves out data centres that do not run the
 // service, and those of this host's region if hosts call its endpoints directly.
-func (m *Membership) Fill(v *vetchtrail.View, service string, place func(region string) (vetchtrail.RegionID, bool), now time.Time) {
+func (m *Membership) AppendRemotes(v *vetchtrail.View, service string, place func(region string) (vetchtrail.RegionID, bool), now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, d := range m.remotes {
 		region, ok := place(d.digest.GetRegion())
 		summary := d.service(service)
-		if !ok || summary == nil || (m.cfg.WholeRegion && d.digest.GetRegion() == m.self.Region) {
+		if !ok || summary == nil || (m.cfg.CallsWholeRegion && d.digest.GetRegion() == m.self.Region) {
 			continue
 		}
 		v.Remotes = append(v.Remotes, vetchtrail.RemoteView{
--- a/process/notices/metrics.go
+++ b/process/notices/metrics.go
@@ -8,12 +8,14 @@
 
 // Names of the metrics that count announcements of endpoints and fields of answers that no code reads.
 const (
-	Name        = "vetchtrail_endpoint_notices_total"
-	UnknownName = "vetchtrail_endpoint_fields_unknown_total"
+	NoticesMetric       = "vetchtrail_endpoint_notices_total"
+	UnknownFieldsMetric = "vetchtrail_endpoint_fields_unknown_total"
 )
 
 // countNotice counts an announcement by its content.
-func countNotice(says string) { metrics.GetOrCreateCounter(Name + `{says="` + says + `"}`).Inc() }
+func countNotice(says string) {
+	metrics.GetOrCreateCounter(NoticesMetric + `{says="` + says + `"}`).Inc()
+}
 
 // countUnknownField counts an unknown field by its name, without the characters that a metric's label can't
 // hold.
@@ -24,5 +26,5 @@
 		}
 		return r
 	}, field)
-	metrics.GetOrCreateCounter(UnknownName + `{field="` + label + `"}`).Inc()
+	metrics.GetOrCreateCounter(UnknownFieldsMetric + `{field="` + label + `"}`).Inc()
 }
--- a/process/notices/notices.go
+++ b/process/notices/notices.go
@@ -16,11 +16,11 @@
 
 // Table records announcements of endpoints. *load.Table implements it.
 type Table interface {
-	// HearNotice records the announcement of an endpoint's answer, and returns what of it is new.
-	HearNotice(name string, born time.Time, n vetchtrail.Availability) load.NoticeNews
-	// HearNoticeShort does the same for an announcement that another host received. It names the endpoint by
+	// RecordAnnouncement records the announcement of an endpoint's answer, and returns what of it is new.
+	RecordAnnouncement(name string, born time.Time, n vetchtrail.Availability) load.AnnouncementNews
+	// RecordAnnouncementByHash does the same for an announcement that another host received. It names the endpoint by
 	// load.Short.
-	HearNoticeShort(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) load.NoticeNews
+	RecordAnnouncementByHash(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) load.AnnouncementNews
 }
 
 // Config configures Notices.
@@ -35,7 +35,7 @@
 type Notices struct {
 	vetchtrail.Observer
 	cfg        Config
-	logLimiter logs.Sparse // by endpoint
+	logLimiter logs.Throttle // by endpoint
 
 	mu            sync.Mutex
 	unknownFields map[string]bool // names that were logged
@@ -50,29 +50,29 @@
 func (n *Notices) AvailabilityReported(e vetchtrail.Endpoint, notice vetchtrail.Availability, err error) {
 	if err != nil {
 		countNotice("misread")
-		if n.logLimiter.May(e.Name, notice.ReceivedAt) {
+		if n.logLimiter.Allow(e.Name, notice.ReceivedAt) {
 			n.cfg.Log.Warn("endpoint's availability can't be parsed", "endpoint", e.Name, "error", err)
 		}
 	}
-	news := n.cfg.Table.HearNotice(e.Name, e.Born, notice)
-	if news.Leaves {
+	news := n.cfg.Table.RecordAnnouncement(e.Name, e.Born, notice)
+	if news.Leaving {
 		countNotice("leaving")
 		n.cfg.Log.Info("endpoint says that it leaves", "endpoint", e.Name, "service", e.Service)
 	}
 	if news.Paused {
 		countNotice("paused")
-		if n.logLimiter.May(e.Name, notice.ReceivedAt) {
+		if n.logLimiter.Allow(e.Name, notice.ReceivedAt) {
 			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", notice.PausedUntil.Sub(notice.ReceivedAt))
 		}
 	}
 }
 
-// Learn records another host's message that an endpoint is leaving.
-func (n *Notices) Learn(from string, m *schema.EndpointLeaves) {
+// RecordFromPeer records another host's message that an endpoint is leaving.
+func (n *Notices) RecordFromPeer(from string, m *schema.EndpointLeaves) {
 	now := time.Now()
 	notice, startedAt := schema.ToLeaves(m, now)
-	news := n.cfg.Table.HearNoticeShort(m.GetEndpoint(), startedAt, notice, now)
-	if !news.Leaves {
+	news := n.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, notice, now)
+	if !news.Leaving {
 		return
 	}
 	countNotice("leaving, told by a host")
--- a/process/notices/notices_test.go
+++ b/process/notices/notices_test.go
@@ -41,7 +41,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			table := load.New()
-			table.Configure([]load.Placed{{Endpoint: e}})
+			table.Configure([]load.EndpointInRegion{{Endpoint: e}})
 			var out bytes.Buffer
 			n := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
 			for _, received := range c.notices {
--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -35,19 +35,19 @@
 	maxUptime = 100 * 365 * 24 * time.Hour
 )
 
-// Duties assigns tasks to hosts.
-type Duties interface {
-	// OnDuty reports whether this host is among the first n hosts for a task.
-	OnDuty(task string, n int, now time.Time) bool
+// Assignments assigns tasks to hosts.
+type Assignments interface {
+	// IsAssigned reports whether this host is among the first n hosts for a task.
+	IsAssigned(task string, n int, now time.Time) bool
 }
 
 // Config configures a Poller.
 type Config struct {
-	Table  *load.Table
-	Duties Duties
-	Every  time.Duration  // interval between two polls of an endpoint
-	Hosts  netip.AddrPort // address of the platform's list of hosts; not valid: there is none
-	Log    *slog.Logger
+	Table    *load.Table
+	Duties   Assignments
+	Interval time.Duration  // interval between two polls of an endpoint
+	ListAddr netip.AddrPort // address of the platform's list of hosts; not valid: there is none
+	Log      *slog.Logger
 }
 
 // Poller fetches load reports and the platform's list of hosts.
@@ -77,7 +77,7 @@
 
 // Run polls the endpoints until ctx ends.
 func (p *Poller) Run(ctx context.Context) {
-	t := time.NewTicker(p.cfg.Every)
+	t := time.NewTicker(p.cfg.Interval)
 	defer t.Stop()
 	for {
 		p.startPolls(time.Now())
@@ -102,11 +102,11 @@
 // reports are missing.
 func (p *Poller) due(name string, now time.Time) bool {
 	task := "poll " + name
-	if p.cfg.Duties.OnDuty(task, 1, now) {
+	if p.cfg.Duties.IsAssigned(task, 1, now) {
 		return true
 	}
-	reportedAt := p.cfg.Table.Reported(name)
-	return now.Sub(reportedAt) > standbyIntervals*p.cfg.Every && p.cfg.Duties.OnDuty(task, 2, now)
+	reportedAt := p.cfg.Table.ReportedAt(name)
+	return now.Sub(reportedAt) > standbyIntervals*p.cfg.Interval && p.cfg.Duties.IsAssigned(task, 2, now)
 }
 
 // begin marks a poll of an endpoint as in progress; false: one is already.
@@ -133,7 +133,7 @@
 	if err := p.getJSON(e.Addr, "/load", &r); err != nil {
 		p.cfg.Log.Debug("load report not fetched", "endpoint", e.Name, "error", err)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.cfg.Table.Down(e.Name, time.Now())
+			p.cfg.Table.MarkUnreachable(e.Name, time.Now())
 		}
 		return
 	}
@@ -164,7 +164,7 @@
 // takes endpoints out of use. They return when the list no longer has them as leaving, nor does any other
 // source.
 func (p *Poller) RunList(ctx context.Context) {
-	if !p.cfg.Hosts.IsValid() {
+	if !p.cfg.ListAddr.IsValid() {
 		return
 	}
 	t := time.NewTicker(listInterval)
@@ -183,13 +183,13 @@
 // intervals, so that one failed request doesn't put a leaving endpoint back into use.
 func (p *Poller) pollList(now time.Time) {
 	var entries []listedEndpoint
-	if err := p.getJSON(p.cfg.Hosts, "/hosts", &entries); err != nil {
+	if err := p.getJSON(p.cfg.ListAddr, "/hosts", &entries); err != nil {
 		p.cfg.Log.Debug("list of hosts not fetched", "error", err)
 		return
 	}
 	for _, entry := range entries {
 		if entry.State == "leaving" {
-			p.cfg.Table.Leave(entry.Endpoint, now.Add(2*listInterval))
+			p.cfg.Table.MarkLeaving(entry.Endpoint, now.Add(2*listInterval))
 		}
 	}
 }
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -137,7 +137,7 @@
 	f := h.fleet
 	c := Config{
 		Self: h.host, Regions: func() []string { return []string{regionName(0), regionName(1), regionName(2)} }, Hosts: h, Peers: h,
-		Refuses: h.refuses, Leaving: func(string) bool { return false }, Keeper: h, Log: slog.New(slog.DiscardHandler),
+		RefusesConnections: h.refuses, IsLeaving: func(string) bool { return false }, Persister: h, Log: slog.New(slog.DiscardHandler),
 		Clock: f.steadyClock,
 	}
 	if f.disabled == "clock that stops during suspension" {
@@ -148,7 +148,7 @@
 		}
 	}
 	if f.disabled == "no persistence" {
-		c.Keeper = nil
+		c.Persister = nil
 	}
 	q := New(c)
 	ctx, stop := context.WithCancel(context.Background())
@@ -271,7 +271,7 @@
 	if h.fleet.disabled == "no crash reports" {
 		return nil, errUnreachable
 	}
-	return send(ctx, h, addr, m, (*Quarantines).HostEnded)
+	return send(ctx, h, addr, m, (*Quarantines).HandleCrashes)
 }
 
 // Hold implements Peers.
@@ -279,7 +279,7 @@
 	if h.fleet.disabled == "no propagation" {
 		return nil, errUnreachable
 	}
-	return send(ctx, h, addr, m, (*Quarantines).HostHolds)
+	return send(ctx, h, addr, m, (*Quarantines).HandleEntries)
 }
 
 // Save implements vetchtrail.HoldKeeper.
--- a/process/quarantines/losses.go
+++ b/process/quarantines/losses.go
@@ -59,7 +59,7 @@
 
 // ResponseLost implements vetchtrail.Quarantine.
 func (q *Quarantines) ResponseLost(e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, t vetchtrail.Timing) {
-	if q.cfg.Off || !mayBeCrash(o) || t.Sent.IsZero() {
+	if q.cfg.Disabled || !mayBeCrash(o) || t.Sent.IsZero() {
 		return
 	}
 	now := q.cfg.Clock()
@@ -119,7 +119,7 @@
 		time.Sleep(secondProbeDelay)
 		refused = q.refusesConnections(e)
 	}
-	if !refused || q.cfg.Leaving(e.Name) {
+	if !refused || q.cfg.IsLeaving(e.Name) {
 		q.lossTracker.finishProbe(e.Name, q.cfg.Clock().Add(probeCooldown))
 		return
 	}
@@ -130,7 +130,7 @@
 func (q *Quarantines) refusesConnections(e vetchtrail.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return q.cfg.Refuses(ctx, e)
+	return q.cfg.RefusesConnections(ctx, e)
 }
 
 // finishProbe ends the probe of an endpoint that has not crashed.
@@ -186,7 +186,7 @@
 // no longer listed, or is listed with a later start time.
 func (q *Quarantines) Listed(l *vetchtrail.Listing) {
 	for _, name := range q.lossTracker.crashedByListing(l) {
-		if !q.cfg.Leaving(name) {
+		if !q.cfg.IsLeaving(name) {
 			q.EndpointCrashed(name, "listed no longer")
 		}
 	}
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -50,12 +50,12 @@
 			q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
 			var err error
 			if c.crashes != nil {
-				_, err = q.HostEnded(c.crashes)
+				_, err = q.HandleCrashes(c.crashes)
 			} else {
-				_, err = q.HostHolds(c.entries)
+				_, err = q.HandleEntries(c.entries)
 			}
 			assert.Assert(t, err != nil)
-			entries, suspects := q.Holds()
+			entries, suspects := q.Entries()
 			assert.Equal(t, len(entries)+len(suspects), 0)
 		})
 	}
@@ -66,7 +66,7 @@
 func TestReceivedDurationCapped(t *testing.T) {
 	q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
 	hash := harmlessRequest(1).ContentHash()
-	_, err := q.HostHolds(&schema.Holds{Holds: []*schema.Hold{{Digest: hash[:], Strike: 1, Remaining: int64(1000 * time.Hour)}}})
+	_, err := q.HandleEntries(&schema.Holds{Holds: []*schema.Hold{{Digest: hash[:], Strike: 1, Remaining: int64(1000 * time.Hour)}}})
 	assert.NilError(t, err)
 	entry, quarantined := q.Quarantined(harmlessRequest(1))
 	assert.Assert(t, quarantined)
@@ -89,7 +89,7 @@
 			return
 		}
 		q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
-		if _, err := q.HostEnded(&m); err != nil {
+		if _, err := q.HandleCrashes(&m); err != nil {
 			assert.Assert(t, !q.history.AwaitingReports(testNow), "refused and recorded: %v", err)
 		}
 	})
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -28,7 +28,7 @@
 
 // Run detects poison requests and exchanges entries until ctx ends.
 func (q *Quarantines) Run(ctx context.Context) {
-	if q.cfg.Off {
+	if q.cfg.Disabled {
 		return
 	}
 	syncTimer := time.NewTimer(syncInterval)
@@ -128,9 +128,9 @@
 	wg.Wait()
 }
 
-// HostHolds merges the entries of another host. It replies with all entries of this host if the
+// HandleEntries merges the entries of another host. It replies with all entries of this host if the
 // versions differ. An aggregator forwards changes to the hosts of its region.
-func (q *Quarantines) HostHolds(m *schema.Holds) (*schema.Holds, error) {
+func (q *Quarantines) HandleEntries(m *schema.Holds) (*schema.Holds, error) {
 	now := q.cfg.Clock()
 	entries, err := schema.ToHolds(m.GetHolds(), now)
 	if err != nil {
@@ -263,7 +263,7 @@
 // platform.
 func (q *Quarantines) persist(ctx context.Context, now time.Time) {
 	rank, isAggregator := q.persistRank()
-	if q.cfg.Keeper == nil || !isAggregator {
+	if q.cfg.Persister == nil || !isAggregator {
 		return
 	}
 	q.mu.Lock()
@@ -274,7 +274,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 	defer cancel()
-	if err := q.cfg.Keeper.Save(ctx, put, drop); err != nil {
+	if err := q.cfg.Persister.Save(ctx, put, drop); err != nil {
 		q.cfg.Log.Warn("quarantine entries not persisted on the platform", "holds", len(put), "over", len(drop), "error", err)
 		return
 	}
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -57,14 +57,14 @@
 	Regions func() []string
 	Hosts   Hosts
 	Peers   Peers
-	// Refuses reports whether an endpoint refuses connections.
-	Refuses func(ctx context.Context, e vetchtrail.Endpoint) bool
-	// Leaving reports whether an endpoint is known to be leaving. That it stops then is no crash.
-	Leaving func(name string) bool
-	Keeper  vetchtrail.QuarantineStore // nil: entries last only as long as a host has them
-	Clock   func() time.Time           // runs on while the host is suspended
-	Off     bool                       // nothing is detected or quarantined
-	Log     *slog.Logger
+	// RefusesConnections reports whether an endpoint refuses connections.
+	RefusesConnections func(ctx context.Context, e vetchtrail.Endpoint) bool
+	// IsLeaving reports whether an endpoint is known to be leaving. That it stops then is no crash.
+	IsLeaving func(name string) bool
+	Persister vetchtrail.QuarantineStore // nil: entries last only as long as a host has them
+	Clock     func() time.Time           // runs on while the host is suspended
+	Disabled  bool                       // nothing is detected or quarantined
+	Log       *slog.Logger
 }
 
 // Quarantines detects and refuses poison requests on one host, together with the other hosts. It
@@ -107,7 +107,7 @@
 // Quarantined implements vetchtrail.Quarantine. While nothing is quarantined it costs one atomic load.
 // Otherwise it computes the request's content hash, once per request, and looks it up.
 func (q *Quarantines) Quarantined(r *vetchtrail.Request) (vetchtrail.QuarantineEntry, bool) {
-	if q.cfg.Off || !q.entries.AnyActive() {
+	if q.cfg.Disabled || !q.entries.AnyActive() {
 		return vetchtrail.QuarantineEntry{}, false
 	}
 	return q.entries.Lookup(r.ContentHash(), q.cfg.Clock)
@@ -128,8 +128,8 @@
 	}
 }
 
-// Holds returns the requests that are quarantined or were lately, and the suspects.
-func (q *Quarantines) Holds() ([]vetchtrail.QuarantineEntry, []quarantine.Suspect) {
+// Entries returns the requests that are quarantined or were lately, and the suspects.
+func (q *Quarantines) Entries() ([]vetchtrail.QuarantineEntry, []quarantine.Suspect) {
 	now := q.cfg.Clock()
 	isAggregator := q.isAggregator()
 	q.mu.Lock()
--- a/process/quarantines/quarantines_test.go
+++ b/process/quarantines/quarantines_test.go
@@ -136,7 +136,7 @@
 func TestHarmlessNotQuarantined(t *testing.T) {
 	withFleet(t, "", 9, func(t *testing.T, f *fleet) {
 		f.run(nil, 100*time.Millisecond, 20*time.Second)
-		entries, _ := f.hosts[4].q.Holds()
+		entries, _ := f.hosts[4].q.Entries()
 		assert.Equal(t, len(entries), 1)
 		assert.Equal(t, entries[0].ContentHash, poisonRequest().ContentHash())
 	})
@@ -166,7 +166,7 @@
 	withFleet(t, "", 6, func(t *testing.T, f *fleet) {
 		countSuspects := func() (reported, hashes int) {
 			for _, h := range f.hosts {
-				_, suspects := h.q.Holds()
+				_, suspects := h.q.Entries()
 				h.q.mu.Lock()
 				hashes += len(h.q.watched.expiresAt)
 				h.q.mu.Unlock()
--- a/process/quarantines/race_test.go
+++ b/process/quarantines/race_test.go
@@ -18,6 +18,6 @@
 	defer f.close()
 	faults := []fault{{After: time.Second, Kind: "kill", Host: 4, For: time.Second}, {After: time.Second, Kind: "partition", Host: 7, For: time.Second}}
 	f.run(faults, 50*time.Millisecond, 6*time.Second)
-	entries, _ := f.hosts[0].q.Holds()
+	entries, _ := f.hosts[0].q.Entries()
 	assert.Equal(t, len(entries), 1, "the poison request is not quarantined")
 }
--- a/process/quarantines/report.go
+++ b/process/quarantines/report.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// HostEnded records what another host saw and replies with the suspects.
-func (q *Quarantines) HostEnded(m *schema.Ends) (*schema.Holds, error) {
+// HandleCrashes records what another host saw and replies with the suspects.
+func (q *Quarantines) HandleCrashes(m *schema.Ends) (*schema.Holds, error) {
 	now := q.cfg.Clock()
 	var crashes []quarantine.Crash
 	var served []servedRequest
--- a/process/quotas/exchange.go
+++ b/process/quotas/exchange.go
@@ -37,7 +37,7 @@
 		case <-t.C:
 		}
 		now := time.Now()
-		if len(q.cfg.Bounds().RegionNames()) > 1 {
+		if len(q.cfg.QuotaSource().RegionNames()) > 1 {
 			q.exchange(ctx, now)
 		}
 		if !now.Before(forget) {
@@ -78,11 +78,11 @@
 		if !q.ownsShard(shard, now) || len(demands) == 0 {
 			continue
 		}
-		for _, region := range q.cfg.Bounds().RegionNames() {
+		for _, region := range q.cfg.QuotaSource().RegionNames() {
 			if region == q.cfg.Self.Region {
 				continue
 			}
-			for _, h := range q.cfg.Hosts.RankedIn(region, q.shardTask(shard), 1, now) {
+			for _, h := range q.cfg.Hosts.FirstInRegion(region, q.shardTask(shard), 1, now) {
 				go q.exchangeWith(ctx, region, h, shard, demands)
 			}
 		}
@@ -91,7 +91,7 @@
 
 // ownsShard reports whether this host is its region's owner of a shard, and notes since when.
 func (q *Quotas) ownsShard(shard int, now time.Time) bool {
-	first := q.cfg.Hosts.RankedIn(q.cfg.Self.Region, q.shardTask(shard), 1, now)
+	first := q.cfg.Hosts.FirstInRegion(q.cfg.Self.Region, q.shardTask(shard), 1, now)
 	owns := len(first) > 0 && first[0].Name == q.cfg.Self.Name
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -161,9 +161,9 @@
 	}
 }
 
-// Claimed handles the demand report of the owner in another region. It returns this region's
+// HandleDemand handles the demand report of the owner in another region. It returns this region's
 // demand for the same workspaces, which is 0 where nobody here makes requests.
-func (q *Quotas) Claimed(m *schema.Claims) *schema.Claims {
+func (q *Quotas) HandleDemand(m *schema.Claims) *schema.Claims {
 	now := time.Now()
 	q.receive(m, now)
 	out := &schema.Claims{From: q.cfg.Self.Name, Region: q.cfg.Self.Region, Shard: m.GetShard()}
--- a/process/quotas/lease.go
+++ b/process/quotas/lease.go
@@ -49,7 +49,7 @@
 // after it, until one replies. It returns false if none did.
 func (q *Quotas) requestLease(r quota.LeaseRequest) (quota.LeaseReply, bool) {
 	now := time.Now()
-	for _, h := range q.cfg.Hosts.RankedIn(q.cfg.Self.Region, q.shardTask(q.shardOf(r.Workspace)), q.ownersToTry(), now) {
+	for _, h := range q.cfg.Hosts.FirstInRegion(q.cfg.Self.Region, q.shardTask(q.shardOf(r.Workspace)), q.ownersToTry(), now) {
 		if h.Name == q.cfg.Self.Name {
 			return convertClock(q.grantAsOwner(q.cfg.Self.Name, r, now), now, q.cfg.Clock()), true
 		}
@@ -126,8 +126,8 @@
 	q.unreachable[host] = until
 }
 
-// Granted handles a lease request from another host.
-func (q *Quotas) Granted(m *schema.GrantRequest) *schema.GrantReply {
+// HandleLeaseRequest handles a lease request from another host.
+func (q *Quotas) HandleLeaseRequest(m *schema.GrantRequest) *schema.GrantReply {
 	now := time.Now()
 	reply := q.grantAsOwner(m.GetFrom(), quota.LeaseRequest{Workspace: m.GetWorkspace(), MinUnits: m.GetLeast(), WantedUnits: m.GetWant(), DemandedUnits: m.GetAsked(), UnleasedUnits: m.GetSpent()}, now)
 	out := &schema.GrantReply{Granted: reply.Units, Left: reply.RegionLeft, Age: int64(reply.ReportAge), Share: reply.HostRate, Part: reply.RegionShare}
@@ -142,16 +142,16 @@
 // grantAsOwner answers a lease request as the owner of a workspace's quota, by the
 // configuration of this host. If that has no limit for the workspace, it leases nothing.
 func (q *Quotas) grantAsOwner(from string, r quota.LeaseRequest, now time.Time) quota.LeaseReply {
-	bound := q.cfg.Bounds().Quota(r.Workspace)
+	bound := q.cfg.QuotaSource().Quota(r.Workspace)
 	if !bound.IsLimited() {
 		return quota.LeaseReply{RetryAt: now.Add(ownerRetryDelay)}
 	}
-	heardShare := q.cfg.Hosts.HeardPart(now)
+	heardShare := q.cfg.Hosts.SeenShare(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	o := q.owned(r.Workspace)
 	o.lastUsed = now
-	if q.cfg.Way == WayTold {
+	if q.cfg.Strategy == StrategyAssigned {
 		return quota.LeaseReply{HostRate: o.assigner.HostRate(from, r.DemandedUnits, bound, now), ReportAge: o.RegionSplit.ReportAge(now)}
 	}
 	return o.Grant(r, bound, q.cfg.Tolerance, heardShare, now)
@@ -162,7 +162,7 @@
 func (q *Quotas) owned(workspace string) *ownedQuota {
 	o, ok := q.ownedQuotas[workspace]
 	if !ok {
-		owned := quota.NewOwner(len(q.cfg.Bounds().RegionNames()), q.ownershipStart(q.shardOf(workspace), time.Now()))
+		owned := quota.NewOwner(len(q.cfg.QuotaSource().RegionNames()), q.ownershipStart(q.shardOf(workspace), time.Now()))
 		o = &ownedQuota{Owner: *owned, assigner: quota.NewShareAssigner(owned.RegionSplit)}
 		q.ownedQuotas[workspace] = o
 	}
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -20,16 +20,16 @@
 
 // Strategies to enforce a quota.
 const (
-	// WayLeased leases units from the owner in each region.
-	WayLeased = "leased"
-	// WayTold assigns a rate to each host by the recent demand of its callers.
-	WayTold = "told"
-	// WayEqual gives each host an equal share.
-	WayEqual = "equal"
+	// StrategyLeased leases units from the owner in each region.
+	StrategyLeased = "leased"
+	// StrategyAssigned assigns a rate to each host by the recent demand of its callers.
+	StrategyAssigned = "told"
+	// StrategyEqual gives each host an equal share.
+	StrategyEqual = "equal"
 )
 
-// Ways are the names of the strategies, as the setting quotas.way has them.
-var Ways = []string{WayLeased, WayTold, WayEqual}
+// Strategies are the names of the strategies, as the setting quotas.way has them.
+var Strategies = []string{StrategyLeased, StrategyAssigned, StrategyEqual}
 
 // Peers sends requests to other hosts.
 type Peers interface {
@@ -41,18 +41,18 @@
 
 // Hosts is the view of the other hosts, from the membership.
 type Hosts interface {
-	// RankedIn returns the n live hosts of a region that rank first for a task. The first of them
+	// FirstInRegion returns the n live hosts of a region that rank first for a task. The first of them
 	// is the owner.
-	RankedIn(region, task string, n int, now time.Time) []vetchtrail.Host
-	// HeardPart returns the fraction of the region's hosts that this host receives heartbeats
+	FirstInRegion(region, task string, n int, now time.Time) []vetchtrail.Host
+	// SeenShare returns the fraction of the region's hosts that this host receives heartbeats
 	// from.
-	HeardPart(now time.Time) float64
+	SeenShare(now time.Time) float64
 	// Count returns the number of known hosts, including crashed ones.
 	Count() int
 }
 
-// Bounds is the configuration of the quotas.
-type Bounds interface {
+// QuotaSource is the configuration of the quotas.
+type QuotaSource interface {
 	// Quota returns the quota of a workspace or endpoint by its name. One without a limit needs no
 	// enforcement.
 	Quota(name string) vetchtrail.Quota
@@ -62,12 +62,12 @@
 
 // Config configures Quotas.
 type Config struct {
-	Self      vetchtrail.Host
-	Bounds    func() Bounds
-	Hosts     Hosts
-	Peers     Peers
-	Tolerance quota.Tolerance
-	Way       string
+	Self        vetchtrail.Host
+	QuotaSource func() QuotaSource
+	Hosts       Hosts
+	Peers       Peers
+	Tolerance   quota.Tolerance
+	Strategy    string
 	// Task is the name of the task to own quotas, which is divided into Shards. Hosts rank
 	// themselves for each shard by hashing this name and the shard number.
 	Task   string
@@ -119,8 +119,8 @@
 
 // New returns Quotas that hold no leases.
 func New(c Config) *Quotas {
-	if c.Way == "" {
-		c.Way = WayLeased
+	if c.Strategy == "" {
+		c.Strategy = StrategyLeased
 	}
 	if c.Clock == nil {
 		c.Clock = time.Now
@@ -139,7 +139,7 @@
 
 // Take implements vetchtrail.Quotas.
 func (q *Quotas) Take(ctx context.Context, workspace string, cost float64) vetchtrail.QuotaVerdict {
-	bound := q.cfg.Bounds().Quota(workspace)
+	bound := q.cfg.QuotaSource().Quota(workspace)
 	if !bound.IsLimited() {
 		return vetchtrail.QuotaVerdict{Granted: true}
 	}
@@ -148,10 +148,10 @@
 	defer l.mu.Unlock()
 	now := q.cfg.Clock()
 	l.holder.RecordDemand(cost, now)
-	switch q.cfg.Way {
-	case WayEqual:
+	switch q.cfg.Strategy {
+	case StrategyEqual:
 		return q.takeEqualShare(l, cost, bound, now)
-	case WayTold:
+	case StrategyAssigned:
 		return q.takeAssignedShare(l, workspace, cost, bound, now)
 	}
 	for range maxReplyWaits {
@@ -222,10 +222,10 @@
 	l := q.localOf(workspace)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch now := q.cfg.Clock(); q.cfg.Way {
-	case WayEqual:
+	switch now := q.cfg.Clock(); q.cfg.Strategy {
+	case StrategyEqual:
 		l.equalShare.Return(cost)
-	case WayTold:
+	case StrategyAssigned:
 		l.assigned.Return(cost)
 	default:
 		l.holder.Return(cost, now)
@@ -298,11 +298,11 @@
 	defer l.mu.Unlock()
 	now := q.cfg.Clock()
 	switch {
-	case ok && q.cfg.Way == WayTold:
+	case ok && q.cfg.Strategy == StrategyAssigned:
 		l.assigned.ApplyReply(reply.HostRate, now)
 	case ok:
 		l.holder.ApplyReply(r, reply, now)
-		l.equalShare.SetRegionShare(reply.RegionShare, len(q.cfg.Bounds().RegionNames()))
+		l.equalShare.SetRegionShare(reply.RegionShare, len(q.cfg.QuotaSource().RegionNames()))
 	default:
 		l.holder.RestoreRequest(r)
 		l.unreachableUntil = now.Add(ownerRetryDelay)
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return to.Granted(m), nil
+	return to.HandleLeaseRequest(m), nil
 }
 
 func (v hostView) Claim(_ context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error) {
@@ -60,10 +60,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return to.Claimed(m), nil
+	return to.HandleDemand(m), nil
 }
 
-func (v hostView) RankedIn(region, _ string, n int, _ time.Time) []vetchtrail.Host {
+func (v hostView) FirstInRegion(region, _ string, n int, _ time.Time) []vetchtrail.Host {
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	var out []vetchtrail.Host
@@ -76,7 +76,7 @@
 }
 
 func (v hostView) Count() int                  { return len(v.net.hosts) }
-func (v hostView) HeardPart(time.Time) float64 { return 1 }
+func (v hostView) SeenShare(time.Time) float64 { return 1 }
 
 // onVirtualTime runs a test on virtual time, as demand decays with time and the result must
 // not depend on the speed of the machine.
@@ -99,7 +99,7 @@
 		region := string(rune('a' + i%3))
 		h := vetchtrail.Host{Name: fmt.Sprint(region, i), Region: region, PeerAddr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i+1))}
 		host := New(Config{
-			Self: h, Bounds: func() Bounds { return configuration }, Hosts: hostView{n, h.Name}, Peers: hostView{n, h.Name}, Way: strategy,
+			Self: h, QuotaSource: func() QuotaSource { return configuration }, Hosts: hostView{n, h.Name}, Peers: hostView{n, h.Name}, Strategy: strategy,
 			Tolerance: quota.Tolerance{Window: 8 * time.Second, Overage: 0.1}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		n.hosts, n.byAddr[h.PeerAddr] = append(n.hosts, h), host
@@ -119,11 +119,11 @@
 		maxGranted  int
 		reachable   bool
 	}{
-		"leased":                       {WayLeased, nil, 20, 150, true},
-		"told":                         {WayTold, nil, 10, 150, true},
-		"equal":                        {WayEqual, nil, 10, 150, true},
-		"leased, one host partitioned": {WayLeased, []string{"a3"}, 20, 150, true},
-		"leased, all partitioned":      {WayLeased, []string{"a0", "b1", "c2", "a3", "b4", "c5"}, 5, 150, true},
+		"leased":                       {StrategyLeased, nil, 20, 150, true},
+		"told":                         {StrategyAssigned, nil, 10, 150, true},
+		"equal":                        {StrategyEqual, nil, 10, 150, true},
+		"leased, one host partitioned": {StrategyLeased, []string{"a3"}, 20, 150, true},
+		"leased, all partitioned":      {StrategyLeased, []string{"a0", "b1", "c2", "a3", "b4", "c5"}, 5, 150, true},
 	}
 	for name, c := range cases {
 		onVirtualTime(t, name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 func TestUnreachableOwners(t *testing.T) { onVirtualTime(t, "partitioned", testUnreachableOwners) }
 
 func testUnreachableOwners(t *testing.T) {
-	n, hosts := newNetwork(t, WayLeased, vetchtrail.Quota{Rate: 900, Burst: 900}, 3)
+	n, hosts := newNetwork(t, StrategyLeased, vetchtrail.Quota{Rate: 900, Burst: 900}, 3)
 	isolated := hosts[6] // the third host of its region, which owns no shard
 	n.partitioned[isolated.cfg.Self.Name] = true
 	granted := 0
@@ -164,7 +164,7 @@
 
 // TestReturn guards against losing the units of requests that did not run.
 func TestReturn(t *testing.T) {
-	for _, strategy := range Ways {
+	for _, strategy := range Strategies {
 		onVirtualTime(t, strategy, func(t *testing.T) {
 			_, hosts := newNetwork(t, strategy, vetchtrail.Quota{Rate: 0.001, Burst: 100}, 1)
 			granted := 0
@@ -181,7 +181,7 @@
 
 // TestUnbounded guards against messages between hosts for a workspace without a quota.
 func TestUnbounded(t *testing.T) {
-	n, hosts := newNetwork(t, WayLeased, vetchtrail.Quota{}, 2)
+	n, hosts := newNetwork(t, StrategyLeased, vetchtrail.Quota{}, 2)
 	for range 100 {
 		assert.Assert(t, hosts[3].Take(context.Background(), "w", 1e9).Granted)
 	}
@@ -201,7 +201,7 @@
 	}
 	for name, c := range cases {
 		onVirtualTime(t, name, func(t *testing.T) {
-			n, hosts := newNetwork(t, WayLeased, vetchtrail.Quota{Rate: 1000, Burst: 1000}, 1)
+			n, hosts := newNetwork(t, StrategyLeased, vetchtrail.Quota{Rate: 1000, Burst: 1000}, 1)
 			n.partitioned["c2"] = c.partitioned
 			for range 3 {
 				hosts[0].Take(context.Background(), "w", 1500)
@@ -222,7 +222,7 @@
 // ever.
 func TestIdleQuotasForgotten(t *testing.T) {
 	onVirtualTime(t, "a minute later", func(t *testing.T) {
-		_, hosts := newNetwork(t, WayLeased, vetchtrail.Quota{Rate: 100, Burst: 100}, 1)
+		_, hosts := newNetwork(t, StrategyLeased, vetchtrail.Quota{Rate: 100, Burst: 100}, 1)
 		hosts[0].Take(context.Background(), "w", 1)
 		hosts[0].forget(time.Now(), time.Now())
 		assert.Equal(t, len(hosts[0].localQuota), 1)
--- a/process/ratelimits/bench_test.go
+++ b/process/ratelimits/bench_test.go
@@ -56,11 +56,11 @@
 	b.Helper()
 	f := newFleet(1, 1, "")
 	table := load.New()
-	var placed []load.Placed
+	var placed []load.EndpointInRegion
 	var all []vetchtrail.Endpoint
 	for i := range endpoints {
 		e := vetchtrail.Endpoint{Name: fmt.Sprint("i-", i), Service: "s", Slots: 8}
-		placed, all = append(placed, load.Placed{Endpoint: e}), append(all, e)
+		placed, all = append(placed, load.EndpointInRegion{Endpoint: e}), append(all, e)
 	}
 	table.Configure(placed)
 	l := New(Config{Self: f.hosts[0].Host, Table: table, Hosts: hostView{f, f.hosts[0]}, Peers: hostView{f, f.hosts[0]}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
--- a/process/ratelimits/fleet_test.go
+++ b/process/ratelimits/fleet_test.go
@@ -100,7 +100,7 @@
 // It must be called with f.mu locked, or before the simulation runs.
 func (f *fleet) start(h *host, startedAt time.Time) {
 	h.table = load.New()
-	h.table.Configure([]load.Placed{{Endpoint: f.endpoint()}})
+	h.table.Configure([]load.EndpointInRegion{{Endpoint: f.endpoint()}})
 	h.startedAt, h.received, h.changedAt = startedAt, map[int]time.Time{}, time.Now()
 	h.ctx, h.stop = context.WithCancel(context.Background())
 	h.limits = New(Config{
@@ -127,15 +127,15 @@
 	disabled guard
 }
 
-// HearLimit implements Table.
-func (t table) HearLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+// RecordRateLimit implements Table.
+func (t table) RecordRateLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	switch t.disabled {
 	case guardReportOrder:
 		report.RequestedAt, report.ReceivedAt = time.Now(), time.Now()
 	case guardInstance:
 		born = time.Time{}
 	}
-	return t.Table.HearLimit(name, born, report)
+	return t.Table.RecordRateLimit(name, born, report)
 }
 
 // generateLoad makes requests at a host, at a mean rate per second, until a given time.
@@ -206,9 +206,9 @@
 // deliverLimit delivers a rate limit to a host. It records a violation if the limit is from an
 // earlier instance and the host applies it to a later one.
 func (f *fleet) deliverLimit(limits *RateLimits, tab *load.Table, e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
-	_, born := tab.Limit(fleetName)
+	_, born := tab.RateLimit(fleetName)
 	limits.RateLimitReported(e, report, nil)
-	if is, _ := tab.Limit(fleetName); !born.Equal(e.Born) && is == report {
+	if is, _ := tab.RateLimit(fleetName); !born.Equal(e.Born) && is == report {
 		f.mu.Lock()
 		f.violation = "a limit of an earlier instance was applied"
 		f.mu.Unlock()
@@ -284,7 +284,7 @@
 	f.endpointStartedAt = time.Now()
 	f.advertised = append(f.advertised, advertisement{time.Now(), -1})
 	for _, h := range f.hosts {
-		h.table.Configure([]load.Placed{{Endpoint: f.endpoint()}})
+		h.table.Configure([]load.EndpointInRegion{{Endpoint: f.endpoint()}})
 	}
 }
 
--- a/process/ratelimits/network_test.go
+++ b/process/ratelimits/network_test.go
@@ -37,7 +37,7 @@
 		return nil, errors.Wrap(ctx.Err(), "message lost")
 	}
 	time.Sleep(transit)
-	reply := limits.Permitted(m)
+	reply := limits.HandleLeaseRequest(m)
 	time.Sleep(transit)
 	return reply, ctx.Err()
 }
@@ -60,8 +60,8 @@
 	return f.reaches(a, b) || recentlyReached
 }
 
-// RankedIn implements quotas.Hosts.
-func (v hostView) RankedIn(_, task string, n int, now time.Time) []vetchtrail.Host {
+// FirstInRegion implements quotas.Hosts.
+func (v hostView) FirstInRegion(_, task string, n int, now time.Time) []vetchtrail.Host {
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
 	var out []vetchtrail.Host
@@ -87,8 +87,8 @@
 // Count implements quotas.Hosts.
 func (v hostView) Count() int { return len(v.f.hosts) }
 
-// HeardPart implements quotas.Hosts.
-func (v hostView) HeardPart(now time.Time) float64 {
+// SeenShare implements quotas.Hosts.
+func (v hostView) SeenShare(now time.Time) float64 {
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
 	if v.f.disabled == guardSharedOwner || v.f.disabled == guardHeardShare {
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -22,14 +22,14 @@
 // Table is what this host knows of its endpoints.
 type Table interface {
 	vetchtrail.Observer
-	// HearLimit applies a rate limit that an endpoint advertised, unless it is older than the
+	// RecordRateLimit applies a rate limit that an endpoint advertised, unless it is older than the
 	// stored one. It returns the stored limit before and after. ok is false if the endpoint is
 	// unknown or the report is from another instance of it.
-	HearLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool)
-	// Limit returns the last rate limit of an endpoint, and the start time of its instance.
-	Limit(name string) (l vetchtrail.RateLimit, born time.Time)
-	// Rationed stores how many requests were left of an endpoint's rate and, if none, until when.
-	Rationed(name string, left float64, until time.Time)
+	RecordRateLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool)
+	// RateLimit returns the last rate limit of an endpoint, and the start time of its instance.
+	RateLimit(name string) (l vetchtrail.RateLimit, born time.Time)
+	// SetRateLeft stores how many requests were left of an endpoint's rate and, if none, until when.
+	SetRateLeft(name string, left float64, until time.Time)
 }
 
 // Peers sends requests to other hosts.
@@ -46,9 +46,9 @@
 	Peers Peers
 	// Clock continues while the host is suspended, so that reservations expire meanwhile. The
 	// default is time.Now.
-	Clock func() time.Time
-	Off   bool // limits are received and shared with other hosts, but not enforced
-	Log   *slog.Logger
+	Clock    func() time.Time
+	Disabled bool // limits are received and shared with other hosts, but not enforced
+	Log      *slog.Logger
 }
 
 // RateLimits enforces rate limits at one host, together with the RateLimits of the other
@@ -60,7 +60,7 @@
 	rateQuotas *quotas.Quotas // the rate limits as quotas of requests
 	startedAt  time.Time
 
-	logLimiter logs.Sparse // limits log lines, by endpoint
+	logLimiter logs.Throttle // limits log lines, by endpoint
 
 	mu           sync.Mutex
 	reservations map[string]uint64 // number used, by endpoint
@@ -73,7 +73,7 @@
 	}
 	l := &RateLimits{Observer: c.Table, cfg: c, reservations: map[string]uint64{}, startedAt: time.Now()}
 	l.rateQuotas = quotas.New(quotas.Config{
-		Self: c.Self, Bounds: func() quotas.Bounds { return rateBounds{l} }, Hosts: settledHosts{Hosts: c.Hosts, limits: l}, Peers: leaseTransport{l},
+		Self: c.Self, QuotaSource: func() quotas.QuotaSource { return rateBounds{l} }, Hosts: settledHosts{Hosts: c.Hosts, limits: l}, Peers: leaseTransport{l},
 		Task: "keep rates", Shards: shards, Strict: true, Clock: c.Clock, Log: c.Log,
 	})
 	return l
@@ -86,7 +86,7 @@
 func (l *RateLimits) RateLimitReported(e vetchtrail.Endpoint, report vetchtrail.RateLimit, err error) {
 	if err != nil {
 		countUnreadable()
-		if l.logLimiter.May(e.Name, report.ReceivedAt) {
+		if l.logLimiter.Allow(e.Name, report.ReceivedAt) {
 			l.cfg.Log.Warn("endpoint names a rate that can't be read", "endpoint", e.Name, "error", err)
 		}
 		return
@@ -97,7 +97,7 @@
 // applyLimit stores a reported rate limit. If the rate fell, it drops what this host has
 // leased of the higher one.
 func (l *RateLimits) applyLimit(e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
-	was, is, ok := l.cfg.Table.HearLimit(e.Name, e.Born, report)
+	was, is, ok := l.cfg.Table.RecordRateLimit(e.Name, e.Born, report)
 	if !ok {
 		return
 	}
@@ -115,7 +115,7 @@
 		l.cfg.Log.Info("endpoint names no rate any more", "endpoint", e.Name, "service", e.Service, "was", was.Rate)
 	case !was.Advertised && is.Advertised:
 		l.cfg.Log.Info("endpoint names a rate", "endpoint", e.Name, "service", e.Service, "rate", is.Rate)
-	case is.Advertised && is.Rate != was.Rate && l.logLimiter.May(e.Name, is.ReceivedAt):
+	case is.Advertised && is.Rate != was.Rate && l.logLimiter.Allow(e.Name, is.ReceivedAt):
 		l.cfg.Log.Info("endpoint names another rate", "endpoint", e.Name, "service", e.Service, "rate", is.Rate, "was", was.Rate)
 	}
 }
--- a/process/ratelimits/ratelimits_test.go
+++ b/process/ratelimits/ratelimits_test.go
@@ -31,7 +31,7 @@
 func TestLogLines(t *testing.T) {
 	e := vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: start}
 	table := load.New()
-	table.Configure([]load.Placed{{Endpoint: e}})
+	table.Configure([]load.EndpointInRegion{{Endpoint: e}})
 	var out bytes.Buffer
 	l := New(Config{Table: table, Log: slog.New(slog.NewJSONHandler(&out, nil))})
 	for i := range 100 {
@@ -77,7 +77,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: start}
 			table := load.New()
-			table.Configure([]load.Placed{{Endpoint: e}})
+			table.Configure([]load.EndpointInRegion{{Endpoint: e}})
 			suspended := time.Duration(0)
 			startedAt := time.Now()
 			f := newFleet(1, 1, "")
@@ -94,7 +94,7 @@
 			l.RateLimitReported(e, advertised(c.rate, 2, 3), nil)
 			if c.restarted {
 				e.Born = start.Add(time.Hour)
-				table.Configure([]load.Placed{{Endpoint: e}})
+				table.Configure([]load.EndpointInRegion{{Endpoint: e}})
 				l.RateLimitReported(e, advertised(40, 3_600_001, 3_600_002), nil)
 			}
 			assert.Equal(t, l.Allows(p, e), c.covered)
@@ -136,7 +136,7 @@
 			task := fmt.Sprintf("keep rates %d", xxhash.Sum64String(fleetName)%shards)
 			requester := 0 // a host that is not the owner
 			for i, h := range f.hosts {
-				if (hostView{f, h}).RankedIn("r", task, 1, time.Now())[0].Name != h.Name || c.hosts == 1 {
+				if (hostView{f, h}).FirstInRegion("r", task, 1, time.Now())[0].Name != h.Name || c.hosts == 1 {
 					requester = i
 				}
 			}
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -45,7 +45,7 @@
 
 // Quota implements quotas.Bounds.
 func (b rateBounds) Quota(name string) vetchtrail.Quota {
-	limit, _ := b.l.cfg.Table.Limit(name)
+	limit, _ := b.l.cfg.Table.RateLimit(name)
 	if !limit.Advertised {
 		return vetchtrail.Quota{}
 	}
@@ -63,9 +63,9 @@
 	limits *RateLimits
 }
 
-// RankedIn implements quotas.Hosts.
-func (s settledHosts) RankedIn(region, task string, n int, now time.Time) []vetchtrail.Host {
-	out := s.Hosts.RankedIn(region, task, n, now)
+// FirstInRegion implements quotas.Hosts.
+func (s settledHosts) FirstInRegion(region, task string, n int, now time.Time) []vetchtrail.Host {
+	out := s.Hosts.FirstInRegion(region, task, n, now)
 	if len(out) == 1 && out[0].Name == s.limits.cfg.Self.Name && now.Sub(s.limits.startedAt) < settleTime {
 		return nil
 	}
@@ -82,7 +82,7 @@
 	if v.Granted {
 		l.addReservation(e.Name)
 		countReply("granted")
-		l.cfg.Table.Rationed(e.Name, max(0, v.RegionLeft), time.Time{})
+		l.cfg.Table.SetRateLeft(e.Name, max(0, v.RegionLeft), time.Time{})
 		return vetchtrail.Reservation{Endpoint: e.Name, StartedAt: e.Born, Rate: limit.Rate, ValidUntil: l.cfg.Clock().Add(reservationTime)}, retryAt, true
 	}
 	if _, binds := l.limit(e.Name); !binds { // the owner reported that the limit was removed
@@ -92,14 +92,14 @@
 	if earliest := time.Now().Add(minRetryDelay); v.RetryAt.Before(earliest) {
 		v.RetryAt = earliest
 	}
-	l.cfg.Table.Rationed(e.Name, max(0, v.RegionLeft), v.RetryAt)
+	l.cfg.Table.SetRateLeft(e.Name, max(0, v.RegionLeft), v.RetryAt)
 	return p, v.RetryAt, false
 }
 
 // limit returns the rate limit that an endpoint advertised, and whether it is enforced.
 func (l *RateLimits) limit(name string) (limit vetchtrail.RateLimit, binds bool) {
-	limit, _ = l.cfg.Table.Limit(name)
-	return limit, limit.Advertised && !l.cfg.Off
+	limit, _ = l.cfg.Table.RateLimit(name)
+	return limit, limit.Advertised && !l.cfg.Disabled
 }
 
 // Cancel implements vetchtrail.Permits.
@@ -145,16 +145,16 @@
 	return nil, errors.New("ratelimits: demand for rate limits is not exchanged between regions")
 }
 
-// Permitted handles a lease request from another host.
-func (l *RateLimits) Permitted(m *schema.PermitRequest) *schema.PermitReply {
+// HandleLeaseRequest handles a lease request from another host.
+func (l *RateLimits) HandleLeaseRequest(m *schema.PermitRequest) *schema.PermitReply {
 	l.Learn(m.GetKnown())
 	name := m.GetAsk().GetWorkspace()
-	return &schema.PermitReply{Grant: l.rateQuotas.Granted(m.GetAsk()), Known: l.knownRate(name)}
+	return &schema.PermitReply{Grant: l.rateQuotas.HandleLeaseRequest(m.GetAsk()), Known: l.knownRate(name)}
 }
 
 // knownRate returns what this host knows of an endpoint's rate limit, or nil if nothing.
 func (l *RateLimits) knownRate(name string) *schema.EndpointRate {
-	limit, born := l.cfg.Table.Limit(name)
+	limit, born := l.cfg.Table.RateLimit(name)
 	if limit.ReceivedAt.IsZero() {
 		return nil
 	}
@@ -169,7 +169,7 @@
 	now := time.Now()
 	report, born, err := schema.ToRateLimit(m, now)
 	if err != nil {
-		if !l.logLimiter.May(m.GetEndpoint(), now) {
+		if !l.logLimiter.Allow(m.GetEndpoint(), now) {
 			return
 		}
 		l.cfg.Log.Warn("rate limit reported by another host is invalid", "endpoint", m.GetEndpoint(), "error", err)
@@ -197,8 +197,8 @@
 	}
 }
 
-// Sent returns how many reservations this host has used for an endpoint.
-func (l *RateLimits) Sent(name string) uint64 {
+// ReservationsUsed returns how many reservations this host has used for an endpoint.
+func (l *RateLimits) ReservationsUsed(name string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reservations[name]
--- a/process/ratelimits/strategies_test.go
+++ b/process/ratelimits/strategies_test.go
@@ -30,12 +30,12 @@
 
 // Reserve implements vetchtrail.Permits.
 func (p *equalPart) Reserve(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Reservation, time.Time, bool) {
-	limit, _ := p.h.table.Limit(e.Name)
+	limit, _ := p.h.table.RateLimit(e.Name)
 	if !limit.Advertised {
 		return vetchtrail.Reservation{}, time.Time{}, true
 	}
 	now := time.Now()
-	alive := hostView{p.f, p.h}.RankedIn("r", "use "+e.Name, 1<<16, now)
+	alive := hostView{p.f, p.h}.FirstInRegion("r", "use "+e.Name, 1<<16, now)
 	users := min(len(alive), p.users(len(alive), len(p.f.hosts)))
 	index := slices.IndexFunc(alive, func(h vetchtrail.Host) bool { return h.Name == p.h.Name })
 	if index >= users {
@@ -58,7 +58,7 @@
 
 // Allows implements vetchtrail.Permits.
 func (p *equalPart) Allows(reservation vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
-	limit, _ := p.h.table.Limit(e.Name)
+	limit, _ := p.h.table.RateLimit(e.Name)
 	return !limit.Advertised || reservation.Endpoint != ""
 }
 
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -190,7 +190,7 @@
 		// A tenth of the requests, and a few attempts for a service with little traffic.
 		Retries: Retries{Window: 10 * time.Second, Share: 0.1, Base: 5},
 		// Without overage and slack, the hosts together may not exceed a quota.
-		Quotas: Quotas{Way: quotas.WayLeased, Window: 10 * time.Second},
+		Quotas: Quotas{Way: quotas.StrategyLeased, Window: 10 * time.Second},
 		Platform: Platform{Kind: PlatformOwn, KnownWithin: defaultKnownWithin, Weights: Weights{
 			Model: document.Weights{Tail: tailWeight, Away: awayWeight, Cost: costWeight, Read: readWeight},
 			Plain: document.Weights{Tail: tailWeight, Away: awayWeight},
@@ -257,7 +257,7 @@
 		{!(s.Limits.Link >= 0) || !(s.Limits.Processor >= 0), "limits", "must not be below 0"},
 		{s.Retries.Window < time.Second, "retries.window", "must be 1s or more"},
 		{s.Retries.Share < 0 || s.Retries.Base < 0, "retries", "must not be below 0"},
-		{!slices.Contains(quotas.Ways, s.Quotas.Way), "quotas.way", "is not one of " + strings.Join(quotas.Ways, ", ")},
+		{!slices.Contains(quotas.Strategies, s.Quotas.Way), "quotas.way", "is not one of " + strings.Join(quotas.Strategies, ", ")},
 		{s.Quotas.Window < time.Second, "quotas.window", "must be 1s or more"},
 		{!(s.Quotas.Overage >= 0) || !(s.Quotas.Slack >= 0), "quotas", "must not be below 0"},
 		{s.TLS.On() && s.TLS.PrivateNetwork, "tls.private_network", "can't be combined with certificate, key and authority"},
--- a/request/dispatch/availability_test.go
+++ b/request/dispatch/availability_test.go
@@ -14,7 +14,7 @@
 // announceLeaving has an endpoint announce that it is leaving.
 func announceLeaving(d *Dispatcher, name string) {
 	now := time.Now()
-	d.cfg.Endpoints.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
+	d.cfg.Endpoints.(*load.Table).RecordAnnouncement(name, time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 }
 
 // TestLeavingEndpointBeforeSend checks that a request is not sent to an endpoint that announced after the
@@ -72,7 +72,7 @@
 // announcePause has an endpoint announce that it accepts nothing from this host for a time.
 func announcePause(d *Dispatcher, name string, pause time.Duration) {
 	now := time.Now()
-	d.cfg.Endpoints.(*load.Table).HearNotice(name, time.Time{}, vetchtrail.Availability{PausedUntil: now.Add(pause), RequestedAt: now, ReceivedAt: now})
+	d.cfg.Endpoints.(*load.Table).RecordAnnouncement(name, time.Time{}, vetchtrail.Availability{PausedUntil: now.Add(pause), RequestedAt: now, ReceivedAt: now})
 }
 
 // refuseWithPause has the endpoint refuse a request and announce a pause.
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -144,9 +144,9 @@
 	}, 7)
 	assert.NilError(t, err)
 	table := load.New()
-	var placed []load.Placed
+	var placed []load.EndpointInRegion
 	for i := range endpoints {
-		placed = append(placed, load.Placed{Endpoint: vetchtrail.Endpoint{
+		placed = append(placed, load.EndpointInRegion{Endpoint: vetchtrail.Endpoint{
 			Name: string(rune('1' + i)), Service: "s", Region: "a", DataCentre: "a-1", Slots: 4, Addr: netip.MustParseAddrPort("10.0.0.1:1"),
 		}})
 	}
@@ -154,7 +154,7 @@
 	self := vetchtrail.Host{Name: "self", Region: "a", DataCentre: "a-1", State: vetchtrail.HostReady}
 	discardLog := slog.New(slog.NewTextHandler(io.Discard, nil))
 	m := membership.New(membership.Config{Self: self, Load: table, Revision: ruleSet.Revision, Log: discardLog})
-	m.Swapped(&schema.Digests{From: "remote", Digest: &schema.Digest{
+	m.HandleDigests(&schema.Digests{From: "remote", Digest: &schema.Digest{
 		DataCentre: "b-1", Region: "b", Revision: 7,
 		Members:  []*schema.Member{{Name: "remote", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}},
 		Services: []*schema.ServiceDigest{{Service: "s", Free: 4, Slots: 4}},
@@ -269,7 +269,7 @@
 			d := newDispatcher(t, targets, 1)
 			slow := &schema.Digest{DataCentre: "b-1", Region: "b", Revision: 7, Services: []*schema.ServiceDigest{{Service: "s", Free: 4, Slots: 4, WaitMillis: 2000}},
 				Members: []*schema.Member{{Name: "remote", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}}}
-			d.cfg.Membership.(*membership.Membership).Swapped(&schema.Digests{From: "remote", Digest: slow})
+			d.cfg.Membership.(*membership.Membership).HandleDigests(&schema.Digests{From: "remote", Digest: slow})
 			for i := range 8 {
 				d.cfg.Endpoints.Acquire("1", &vetchtrail.Request{ID: string(rune('a' + i)), Service: "s"}, time.Now())
 			}
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -51,7 +51,7 @@
 	v.QueueWait = d.waitQueue(r.Service).EstimatedWait().Seconds()
 	d.cfg.Endpoints.Fill(v, r, now)
 	v.ExpectedEvents = expectedEvents(r, s.EventTokens, v.ExpectedEvents)
-	d.cfg.Membership.Fill(v, r.Service, func(name string) (vetchtrail.RegionID, bool) {
+	d.cfg.Membership.AppendRemotes(v, r.Service, func(name string) (vetchtrail.RegionID, bool) {
 		region, ok := newest.Region(name)
 		return region.ID, ok
 	}, now)
--- a/request/dispatch/reservation_test.go
+++ b/request/dispatch/reservation_test.go
@@ -27,7 +27,7 @@
 func (l *fakeRateLimits) Reserve(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Reservation, time.Time, bool) {
 	if slices.Contains(l.exhausted, e.Name) {
 		until := time.Now().Add(700 * time.Millisecond)
-		l.table.Rationed(e.Name, 0, until)
+		l.table.SetRateLeft(e.Name, 0, until)
 		return vetchtrail.Reservation{}, until, false
 	}
 	l.taken++
@@ -53,7 +53,7 @@
 	table := d.cfg.Endpoints.(*load.Table)
 	for i := range endpoints {
 		at := time.Now()
-		table.HearLimit(string(rune('1'+i)), time.Time{}, vetchtrail.RateLimit{Advertised: true, Rate: 2, RequestedAt: at, ReceivedAt: at})
+		table.RecordRateLimit(string(rune('1'+i)), time.Time{}, vetchtrail.RateLimit{Advertised: true, Rate: 2, RequestedAt: at, ReceivedAt: at})
 	}
 	edits := d.cfg.Rules().Edits()
 	for _, e := range table.Endpoints() {
--- a/standin/capacity/model.go
+++ b/standin/capacity/model.go
@@ -127,18 +127,18 @@
 	hostsPerCentre := s.Hosts / s.DataCentres
 	endpointsPerCentre := s.Endpoints / s.DataCentres
 	pollSeconds := settings.Default().Timing.Poll.Seconds()
-	exchanges := min(membership.Fanout, hostsPerCentre-1) / membership.Tick.Seconds() // begun by this host; it answers as many
+	exchanges := min(membership.Fanout, hostsPerCentre-1) / membership.HeartbeatInterval.Seconds() // begun by this host; it answers as many
 	messages := 2 * exchanges
 	polls := endpointsPerCentre / hostsPerCentre / pollSeconds
 	// A message to a peer holds only the load reports that are newer than the last
 	// message to it. reportShare is the share of messages with a new report of a given
 	// endpoint, which this host polls.
 	endpointsPerHost := endpointsPerCentre / hostsPerCentre
-	peers := min(hostsPerCentre-1, 2*membership.NearEach*math.Ceil(math.Log2(hostsPerCentre))) // those that this host chose, and those that chose it
+	peers := min(hostsPerCentre-1, 2*membership.GossipPeersPerDoubling*math.Ceil(math.Log2(hostsPerCentre))) // those that this host chose, and those that chose it
 	messagesPerPeer := messages / max(peers, 1)
 	reportShare := min(1, 1/pollSeconds/max(messagesPerPeer, 1e-9))
-	digestSwaps := (s.DataCentres - 1) / hostsPerCentre / membership.SwapTick.Seconds()
-	digestRelays := (s.DataCentres - 1) * min(messages, min(membership.PassEach, hostsPerCentre-1)/membership.SwapTick.Seconds())
+	digestSwaps := (s.DataCentres - 1) / hostsPerCentre / membership.SwapInterval.Seconds()
+	digestRelays := (s.DataCentres - 1) * min(messages, min(membership.RelayFanout, hostsPerCentre-1)/membership.SwapInterval.Seconds())
 	changes := s.ChangesPerDay / secondsPerDay
 	return []RoleCost{
 		{
@@ -167,7 +167,7 @@
 		{
 			Role: "configuration watcher", Mechanism: "two hosts a data centre watch the next key; the rest pull from peers",
 			Messages: changes, Bytes: changes * 300, CPU: changes * m.ChangeCPU.At(s.Workspaces) / 1e9, Memory: m.Workspaces.At(s.Workspaces) + 512*1024,
-			Reads: s.DataCentres * min(daemon.Watchers, hostsPerCentre) * (2*changes + 2/changelog.WatchTime.Seconds()),
+			Reads: s.DataCentres * min(daemon.StoreWatchers, hostsPerCentre) * (2*changes + 2/changelog.WatchTime.Seconds()),
 		},
 		{
 			Role: "configuration writer", Mechanism: "one compare-and-swap a change, a snapshot now and then",
