--- a/cmd/vetchtrail/config.go
+++ b/cmd/vetchtrail/config.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	d := document.Of(current)
+	d := document.FromRules(current)
 	text, err := d.YAML()
 	if err != nil {
 		return err
@@ -134,9 +134,9 @@
 // describeEdit returns the line of the diff for an edit.
 func describeEdit(e vetchtrail.Edit) string {
 	if _, ok := e.(vetchtrail.Remove); ok {
-		return "remove " + rules.Title(e)
+		return "remove " + rules.ItemName(e)
 	}
-	return fmt.Sprintf("put    %s: %+v", rules.Title(e), e)
+	return fmt.Sprintf("put    %s: %+v", rules.ItemName(e), e)
 }
 
 // configHistory shows accepted changes.
@@ -174,7 +174,7 @@
 		}
 		e := historyEntry{Revision: change.Revision, At: change.At, Author: change.Author, Reason: change.Reason, ID: change.ID}
 		for _, edit := range change.Edits {
-			e.Edits = append(e.Edits, rules.Title(edit))
+			e.Edits = append(e.Edits, rules.ItemName(edit))
 		}
 		entries = append(entries, e)
 	}
--- a/cmd/vetchtrail/globals.go
+++ b/cmd/vetchtrail/globals.go
@@ -136,7 +136,7 @@
 	}
 	result := changeResult{ID: change.ID, Result: reply.GetResult().String(), Revision: reply.GetRevision(), Text: reply.GetText()}
 	for _, e := range edits {
-		result.Edits = append(result.Edits, rules.Title(e))
+		result.Edits = append(result.Edits, rules.ItemName(e))
 	}
 	if err := proposalError(reply, change.ID); err != nil {
 		return err
--- a/cmd/vetchtrail/workspace.go
+++ b/cmd/vetchtrail/workspace.go
@@ -94,7 +94,7 @@
 	if !exists {
 		return exitError{exitInvalid, errors.Errorf("there is no workspace %s", c.Name)}
 	}
-	return g.print(document.OfWorkspace(w), func(out *tabwriter.Writer) { printWorkspace(out, w) })
+	return g.print(document.FromWorkspace(w), func(out *tabwriter.Writer) { printWorkspace(out, w) })
 }
 
 // printWorkspace prints one line for each property of a workspace.
--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -84,12 +84,12 @@
 	return &daemon.Hosted{
 		Feed: func(f vetchtrail.PollCoordinator) vetchtrail.Feed {
 			return platform.NewFeed(platform.FeedConfig{
-				Store: s.Platform.Store, Places: s.Platform.DataCentres, Log: log, Following: f, Clock: clock.Boot,
+				Store: s.Platform.Store, DataCentreRegions: s.Platform.DataCentres, Log: log, Following: f, Clock: clock.Boot,
 				Weights: platform.Weights{Model: vetchtrail.Weights(s.Platform.Weights.Model), Plain: vetchtrail.Weights(s.Platform.Weights.Plain)},
 			})
 		},
 		Registry:   platform.NewRegistry(s.Platform.Store, log),
-		Quarantine: platform.NewHolds(s.Platform.Store, log),
+		Quarantine: platform.NewQuarantineStore(s.Platform.Store, log),
 		Dialect:    platform.Dialect{},
 		Directory: func(m *membership.Membership, homes func(string) ([]string, bool)) daemon.Directory {
 			return platform.NewDirectory(m, homes, log)
--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -36,12 +36,12 @@
 		return unauthorized(err), false
 	}
 	r.Credential = vetchtrail.HashKey(key)
-	workspace, known := s.cfg.Rules().Holder(r.Credential)
+	workspace, known := s.cfg.Rules().KeyOwner(r.Credential)
 	upToDate := true
 	if !known && s.cfg.Refresh != nil {
 		// The key may be in a newer configuration that this host has not received yet.
 		upToDate = s.cfg.Refresh(c.RequestCtx())
-		workspace, known = s.cfg.Rules().Holder(r.Credential)
+		workspace, known = s.cfg.Rules().KeyOwner(r.Credential)
 	}
 	if known {
 		r.Workspace = workspace
--- a/connection/caller/responses.go
+++ b/connection/caller/responses.go
@@ -80,7 +80,7 @@
 // centre come first, shuffled so that callers spread over them.
 func (s *Server) handleHosts(c fiber.Ctx) error {
 	now := time.Now()
-	list := hostsResponse{RefreshAt: now.Add(hostListTTL), Key: s.cfg.Keeper.Issue(now).String()}
+	list := hostsResponse{RefreshAt: now.Add(hostListTTL), Key: s.cfg.IssuedKeys.Issue(now).String()}
 	for _, h := range s.cfg.Membership.Hosts(now) {
 		if h.State == vetchtrail.HostReady {
 			list.Hosts = append(list.Hosts, newHostEntry(h, weightLocal))
@@ -111,7 +111,7 @@
 	}
 	list := keysResponse{Keys: make([]string, 0, n)}
 	for range n {
-		list.Keys = append(list.Keys, s.cfg.Keeper.Issue(time.Now()).String())
+		list.Keys = append(list.Keys, s.cfg.IssuedKeys.Issue(time.Now()).String())
 	}
 	return c.JSON(list)
 }
--- a/connection/caller/route_counter.go
+++ b/connection/caller/route_counter.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Asked returns how many requests of a route this host has received.
-func (s *Server) Asked(route string) int {
+// RouteRequestCount returns how many requests of a route this host has received.
+func (s *Server) RouteRequestCount(route string) int {
 	s.routeCounter.mu.Lock()
 	defer s.routeCounter.mu.Unlock()
 	return s.routeCounter.counts[route]
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -104,7 +104,7 @@
 func (s *Server) applyRoute(c fiber.Ctx, r *vetchtrail.Request, m *rules.Match, now time.Time) {
 	current := s.cfg.Rules()
 	region, _ := current.Region(s.cfg.Region)
-	r.EntryRegion, r.Route, r.Service = region.ID, m.Name, m.Target(rand.Float64())
+	r.EntryRegion, r.Route, r.Service = region.ID, m.Name, m.PickService(rand.Float64())
 	if v, ok := current.Service(r.Service); ok {
 		r.Kind = v.Kind
 	}
@@ -159,7 +159,7 @@
 	}
 	c.Status(p.status)
 	for _, f := range p.header {
-		if f.Name != endpoint.HeaderEndpoint || s.cfg.Explain {
+		if f.Name != endpoint.HeaderEndpoint || s.cfg.ExposeEndpoint {
 			c.Response().Header.Add(f.Name, f.Value)
 		}
 	}
--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -47,15 +47,15 @@
 
 // Config configures a Server.
 type Config struct {
-	Runner     Runner
-	Rules      func() *rules.Rules
-	Membership *membership.Membership
-	Keeper     *once.Registry
-	BodyLimit  int                // of a request's body, in bytes
-	Explain    bool               // name the endpoint in a response header
-	Region     string             // this host's region
-	Dialect    vetchtrail.Dialect // for routed requests; nil: dialect.Plain
-	RoutesOnly bool               // answer 404 to requests that match no route
+	Runner         Runner
+	Rules          func() *rules.Rules
+	Membership     *membership.Membership
+	IssuedKeys     *once.Registry
+	BodyLimit      int                // of a request's body, in bytes
+	ExposeEndpoint bool               // name the endpoint in a response header
+	Region         string             // this host's region
+	Dialect        vetchtrail.Dialect // for routed requests; nil: dialect.Plain
+	RoutesOnly     bool               // answer 404 to requests that match no route
 	// Refresh fetches the configuration if another host or the store has a newer one, and
 	// applies it. It reports whether the configuration in force is now the newest as far as
 	// this host can know.
@@ -75,7 +75,7 @@
 // New returns a Server. Serve starts it.
 func New(c Config) *Server {
 	if c.Dialect == nil {
-		c.Dialect = dialect.Plain{}
+		c.Dialect = dialect.Default{}
 	}
 	s := &Server{cfg: c, disconnectWatcher: newDisconnectWatcher()}
 	s.app = fiber.New(fiber.Config{
@@ -108,8 +108,8 @@
 // Shutdown stops listening and waits until the requests in flight have ended.
 func (s *Server) Shutdown(ctx context.Context) error { return s.app.ShutdownWithContext(ctx) }
 
-// Cut closes all connections at once, also those with requests in flight.
-func (s *Server) Cut() {
+// CloseConnections closes all connections at once, also those with requests in flight.
+func (s *Server) CloseConnections() {
 	if c := s.connTracker.Load(); c != nil {
 		c.closeAll()
 	}
@@ -160,7 +160,7 @@
 	}
 	c.Status(p.status)
 	for _, f := range p.header {
-		if f.Name != endpoint.HeaderEndpoint || s.cfg.Explain {
+		if f.Name != endpoint.HeaderEndpoint || s.cfg.ExposeEndpoint {
 			c.Set(f.Name, f.Value)
 		}
 	}
--- a/connection/caller/server_test.go
+++ b/connection/caller/server_test.go
@@ -61,7 +61,7 @@
 	})
 	s := New(Config{
 		Runner: run, Rules: current, Membership: m, Region: "r", BodyLimit: 4096, Refresh: refresh,
-		Keeper: once.New(once.Config{Host: "h", KeyTime: time.Minute}),
+		IssuedKeys: once.New(once.Config{Host: "h", KeyTime: time.Minute}),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -22,9 +22,9 @@
 	// Status 429 (RFC 6585) needs no such mark.
 	HeaderNotStarted = "X-Not-Started"
 	headerLastEvent  = "Last-Event-Id"
-	// HeaderRate is an endpoint's rate limit in requests a second, for all hosts together. It
+	// HeaderRateLimit is an endpoint's rate limit in requests a second, for all hosts together. It
 	// holds as long as the endpoint's responses have the field.
-	HeaderRate = "X-Rate-Limit"
+	HeaderRateLimit = "X-Rate-Limit"
 	// HeaderLeaving is 1 in the responses of an endpoint that will stop soon and accepts no
 	// new requests.
 	HeaderLeaving = "X-Leaving"
@@ -47,11 +47,11 @@
 	maxTimeout = 10 * time.Minute
 )
 
-// Plain is the project's own vetchtrail.Dialect.
-type Plain struct{}
+// Default is the project's own vetchtrail.Dialect.
+type Default struct{}
 
 // ParseRequest implements vetchtrail.Dialect. It makes an id for a request that has none.
-func (Plain) ParseRequest(get vetchtrail.HeaderGetter, r *vetchtrail.Request, now time.Time) error {
+func (Default) ParseRequest(get vetchtrail.HeaderGetter, r *vetchtrail.Request, now time.Time) error {
 	r.ID = get(HeaderRequestID)
 	if r.ID == "" {
 		r.ID = uuid.NewString()
@@ -80,7 +80,7 @@
 }
 
 // ParseKey implements vetchtrail.Dialect. The key is a bearer token (RFC 6750).
-func (Plain) ParseKey(get vetchtrail.HeaderGetter) (string, error) {
+func (Default) ParseKey(get vetchtrail.HeaderGetter) (string, error) {
 	text := get(HeaderAuthorization)
 	scheme, key, _ := strings.Cut(text, " ")
 	if text == "" {
@@ -93,12 +93,12 @@
 }
 
 // IsReserved implements vetchtrail.Dialect.
-func (Plain) IsReserved(name string) bool {
+func (Default) IsReserved(name string) bool {
 	return name == HeaderRequestID || name == headerLastEvent || name == HeaderWorkspace
 }
 
 // SetRequestHeader implements vetchtrail.Dialect.
-func (Plain) SetRequestHeader(set func(name, value string), _ vetchtrail.Endpoint, r *vetchtrail.Request, _ time.Time) {
+func (Default) SetRequestHeader(set func(name, value string), _ vetchtrail.Endpoint, r *vetchtrail.Request, _ time.Time) {
 	set(HeaderRequestID, r.ID)
 	if r.Workspace != "" {
 		set(HeaderWorkspace, r.Workspace)
@@ -109,9 +109,9 @@
 }
 
 // ParseResponse implements vetchtrail.Dialect.
-func (Plain) ParseResponse(status int, get vetchtrail.HeaderGetter, _ *vetchtrail.Request) vetchtrail.ResponseHead {
+func (Default) ParseResponse(status int, get vetchtrail.HeaderGetter, _ *vetchtrail.Request) vetchtrail.ResponseHead {
 	out := vetchtrail.ResponseHead{
-		ColdStart: -1, Rate: vetchtrail.ParseRateLimit(get(HeaderRate)),
+		ColdStart: -1, Rate: vetchtrail.ParseRateLimit(get(HeaderRateLimit)),
 		Availability: vetchtrail.ParseAvailability(get(HeaderLeaving), get(headerRetryAfter), status == statusServiceUnavailable),
 	}
 	if status == statusTooManyRequests || (status == statusServiceUnavailable && get(HeaderNotStarted) != "") {
@@ -123,14 +123,14 @@
 // knownFields has the response header fields that some code reads, or that contain nothing
 // about the endpoint. Names are spelled as fasthttp normalizes them.
 var knownFields = map[string]bool{
-	HeaderRequestID: true, HeaderNotStarted: true, HeaderRate: true, HeaderLeaving: true, headerRetryAfter: true, "Content-Type": true, "Cache-Control": true,
+	HeaderRequestID: true, HeaderNotStarted: true, HeaderRateLimit: true, HeaderLeaving: true, headerRetryAfter: true, "Content-Type": true, "Cache-Control": true,
 	"Content-Encoding": true,
 }
 
 // IsKnown implements vetchtrail.Dialect.
-func (Plain) IsKnown(name string) bool { return knownFields[name] }
+func (Default) IsKnown(name string) bool { return knownFields[name] }
 
 // SetResponseHeader implements vetchtrail.Dialect.
-func (Plain) SetResponseHeader(set func(name, value string), r *vetchtrail.Request) {
+func (Default) SetResponseHeader(set func(name, value string), r *vetchtrail.Request) {
 	set(HeaderRequestID, r.ID)
 }
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -59,18 +59,18 @@
 	Observer vetchtrail.Observer // nil: none
 }
 
-// Caller calls endpoints. It implements vetchtrail.EndpointCaller.
-type Caller struct {
+// Client calls endpoints. It implements vetchtrail.EndpointCaller.
+type Client struct {
 	cfg  Config
 	pool pool
 }
 
 // New returns a Caller without connections.
-func New(c Config) *Caller {
+func New(c Config) *Client {
 	if c.Dialect == nil {
-		c.Dialect = dialect.Plain{}
+		c.Dialect = dialect.Default{}
 	}
-	k := &Caller{cfg: c}
+	k := &Client{cfg: c}
 	k.pool.idle = map[poolKey][]*conn{}
 	k.pool.dialer = dial.Dialer(dialTimeout)
 	return k
@@ -78,7 +78,7 @@
 
 // attempt is one request sent to one endpoint.
 type attempt struct {
-	client          *Caller
+	client          *Client
 	endpoint        vetchtrail.Endpoint
 	req             *vetchtrail.Request
 	answer          vetchtrail.ResponseWriter
@@ -92,7 +92,7 @@
 }
 
 // Call implements vetchtrail.EndpointCaller.
-func (k *Caller) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
+func (k *Client) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
 	t := &attempt{client: k, endpoint: e, req: r, answer: a}
 	c, err := k.pool.get(ctx, poolKeyOf(e), r.Repeatable)
 	if err != nil {
@@ -114,8 +114,8 @@
 	return o, t.timing
 }
 
-// Refuses reports whether an endpoint refuses connections, as a crashed one does.
-func (k *Caller) Refuses(ctx context.Context, e vetchtrail.Endpoint) bool {
+// RefusesConnection reports whether an endpoint refuses connections, as a crashed one does.
+func (k *Client) RefusesConnection(ctx context.Context, e vetchtrail.Endpoint) bool {
 	c, err := k.pool.dialer.DialContext(ctx, "tcp", e.Addr.String())
 	if err == nil {
 		_ = c.Close()
@@ -210,7 +210,7 @@
 
 // setUnroutedFields sets the header fields of requests that belong to no route.
 func (t *attempt) setUnroutedFields(req *fasthttp.Request) {
-	dialect.Plain{}.SetRequestHeader(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
+	dialect.Default{}.SetRequestHeader(req.Header.Set, t.endpoint, t.req, t.timing.Sent)
 	if t.req.IdempotencyKey != "" {
 		req.Header.Set("Idempotency-Key", t.req.IdempotencyKey)
 	}
@@ -276,7 +276,7 @@
 	}
 	knows := t.client.cfg.Dialect.IsKnown
 	if t.req.Route == "" {
-		knows = dialect.Plain{}.IsKnown
+		knows = dialect.Default{}.IsKnown
 	}
 	for name := range t.resp.Header.All() {
 		if !hopByHop[string(name)] && !knows(string(name)) {
@@ -302,7 +302,7 @@
 // routed one, dialect.Plain for others.
 func (t *attempt) interpretHead() vetchtrail.ResponseHead {
 	if t.req.Route == "" {
-		return dialect.Plain{}.ParseResponse(t.resp.StatusCode(), t.headerField, t.req)
+		return dialect.Default{}.ParseResponse(t.resp.StatusCode(), t.headerField, t.req)
 	}
 	return t.client.cfg.Dialect.ParseResponse(t.resp.StatusCode(), t.headerField, t.req)
 }
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -179,9 +179,9 @@
 	p.idle[key] = append(p.idle[key], c)
 }
 
-// Keep closes the idle connections to all process instances but those of the given
+// CloseIdleExcept closes the idle connections to all process instances but those of the given
 // endpoints.
-func (k *Caller) Keep(endpoints []*vetchtrail.Endpoint) {
+func (k *Client) CloseIdleExcept(endpoints []*vetchtrail.Endpoint) {
 	known := make(map[poolKey]bool, len(endpoints))
 	for _, e := range endpoints {
 		known[poolKeyOf(*e)] = true
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -26,8 +26,8 @@
 	Since(revision uint64) ([]vetchtrail.Change, *schema.Snapshot)
 }
 
-// Lister serves this host's latest listing to other hosts.
-type Lister interface {
+// Listings serves this host's latest listing to other hosts.
+type Listings interface {
 	ServeListing(q *schema.ListRequest) *schema.Listing
 }
 
@@ -55,14 +55,14 @@
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
-	Membership Membership
-	Changes    Changes
-	Lister     Lister
-	Runner     Runner
-	Quotas     Quotas
-	RateLimits RateLimits
-	Holds      Quarantines
-	Operators  schema.DRPCOperatorsServer
+	Membership  Membership
+	Changes     Changes
+	Listings    Listings
+	Runner      Runner
+	Quotas      Quotas
+	RateLimits  RateLimits
+	Quarantines Quarantines
+	Operators   schema.DRPCOperatorsServer
 }
 
 // Server serves the calls of other hosts and of operators.
@@ -112,7 +112,7 @@
 
 // List implements schema.DRPCPeersServer.
 func (s *Server) List(_ context.Context, q *schema.ListRequest) (*schema.Listing, error) {
-	return s.cfg.Lister.ServeListing(q), nil
+	return s.cfg.Listings.ServeListing(q), nil
 }
 
 // Grant implements schema.DRPCPeersServer.
@@ -132,12 +132,12 @@
 
 // Ended implements schema.DRPCPeersServer.
 func (s *Server) Ended(_ context.Context, m *schema.Ends) (*schema.Holds, error) {
-	return s.cfg.Holds.HandleCrashes(m)
+	return s.cfg.Quarantines.HandleCrashes(m)
 }
 
 // Hold implements schema.DRPCPeersServer.
 func (s *Server) Hold(_ context.Context, m *schema.Holds) (*schema.Holds, error) {
-	return s.cfg.Holds.HandleEntries(m)
+	return s.cfg.Quarantines.HandleEntries(m)
 }
 
 // Forward implements schema.DRPCPeersServer.
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -115,7 +115,7 @@
 	tls             *tls.Config                     // of the listener for peers; nil: no TLS
 	hosted          *Hosted                         // nil unless the platform is hosted
 	directory       Directory                       // nil unless the platform is hosted
-	endpoints       *endpoint.Caller                // sends requests to endpoints
+	endpoints       *endpoint.Client                // sends requests to endpoints
 	timing          atomic.Pointer[settings.Timing] // replaced by Reload; read when the host leaves
 	appliedRevision atomic.Uint64                   // of the configuration that all parts of this host use; announced to other hosts
 	lastUpdate      lastUpdate
@@ -161,8 +161,8 @@
 	})
 	var err error
 	d.server, err = peer.NewServer(peer.ServerConfig{
-		Membership: d.membership, Changes: d.changes, Lister: d.lists, Runner: d.dispatcher, Quotas: d.quotas, RateLimits: d.rateLimits,
-		Holds: d.quarantines, Operators: &operatorServer{d: d},
+		Membership: d.membership, Changes: d.changes, Listings: d.lists, Runner: d.dispatcher, Quotas: d.quotas, RateLimits: d.rateLimits,
+		Quarantines: d.quarantines, Operators: &operatorServer{d: d},
 	})
 	return d, err
 }
@@ -182,7 +182,7 @@
 		dialect = d.hosted.Dialect
 		d.directory = d.hosted.Directory(d.membership, func(name string) ([]string, bool) {
 			rules := d.changes.Rules()
-			return rules.HomesOf(name, d.callers.Asked), rules.Revision() > 0
+			return rules.BestRegions(name, d.callers.RouteRequestCount), rules.Revision() > 0
 		})
 	}
 	d.quotas = quotas.New(quotas.Config{
@@ -205,8 +205,8 @@
 		RetryBudget: d.budget(d.cfg.Retries), Quotas: d.quotas, Quarantine: d.quarantines, RateLimits: d.rateLimits, Disabled: off,
 	})
 	d.callers = caller.New(caller.Config{
-		Runner: d.dispatcher, Rules: d.changes.Rules, Membership: d.membership, Keeper: idempotencyKeys,
-		BodyLimit: d.cfg.Limits.Body, Explain: d.cfg.Explain, Region: d.cfg.Region,
+		Runner: d.dispatcher, Rules: d.changes.Rules, Membership: d.membership, IssuedKeys: idempotencyKeys,
+		BodyLimit: d.cfg.Limits.Body, ExposeEndpoint: d.cfg.Explain, Region: d.cfg.Region,
 		Dialect: dialect, RoutesOnly: d.hosted != nil, Refresh: d.refreshConfiguration,
 	})
 	return nil
@@ -386,7 +386,7 @@
 // hosted platform updateTable does this.
 func (d *Daemon) applyConfigurations(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := d.changes.Grown()
+		changed := d.changes.Updated()
 		rules := d.changes.Rules()
 		var placed []load.EndpointInRegion
 		for _, e := range rules.Endpoints(d.cfg.DataCentre) {
--- a/process/daemon/hosted.go
+++ b/process/daemon/hosted.go
@@ -181,7 +181,7 @@
 			}
 		}
 	})
-	d.endpoints.Keep(l.Endpoints)
+	d.endpoints.CloseIdleExcept(l.Endpoints)
 	last.releaseMemoryAfterGrowth(len(l.Endpoints), now)
 }
 
--- a/process/daemon/hosted_test.go
+++ b/process/daemon/hosted_test.go
@@ -73,7 +73,7 @@
 	d, err := New(Config{
 		Settings: s, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Hosted: &Hosted{
-			Feed: func(vetchtrail.PollCoordinator) vetchtrail.Feed { return feed }, Registry: noRegistry{}, Dialect: dialect.Plain{},
+			Feed: func(vetchtrail.PollCoordinator) vetchtrail.Feed { return feed }, Registry: noRegistry{}, Dialect: dialect.Default{},
 			Directory: func(*membership.Membership, func(string) ([]string, bool)) Directory { return noDirectory{} },
 		},
 	})
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -87,7 +87,7 @@
 		r.Result = schema.ProposeReply_INVALID
 	case errors.As(err, &conflict):
 		r.Result, r.Revision = schema.ProposeReply_CONFLICT, conflict.Current
-	case errors.Is(err, changelog.ErrUnsettled):
+	case errors.Is(err, changelog.ErrOutcomeUnknown):
 		r.Result = schema.ProposeReply_UNKNOWN
 	default:
 		r.Result = schema.ProposeReply_UNAVAILABLE
@@ -116,7 +116,7 @@
 // Status implements schema.DRPCOperatorsServer.
 func (o *operatorServer) Status(context.Context, *schema.StatusRequest) (*schema.StatusReply, error) {
 	now := time.Now()
-	out := &schema.StatusReply{Host: o.d.self.Name, Revision: o.d.changes.Revision(), StoreHeard: unixNanos(o.d.changes.StoreHeard())}
+	out := &schema.StatusReply{Host: o.d.self.Name, Revision: o.d.changes.Revision(), StoreHeard: unixNanos(o.d.changes.LastStoreAnswer())}
 	for _, h := range o.d.membership.Hosts(now) {
 		out.Hosts = append(out.Hosts, &schema.HostStatus{
 			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Callers: h.CallerAddr.String(), Peers: h.PeerAddr.String(),
@@ -215,7 +215,7 @@
 
 // Release implements schema.DRPCOperatorsServer.
 func (o *operatorServer) Release(_ context.Context, m *schema.ReleaseRequest) (*schema.ReleaseReply, error) {
-	d, err := schema.ToDigest(m.GetDigest())
+	d, err := schema.ToContentHash(m.GetDigest())
 	if err != nil {
 		return nil, err
 	}
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -14,7 +14,7 @@
 func (d *Daemon) newQuarantines(off vetchtrail.Mechanisms) {
 	d.quarantines = quarantines.New(quarantines.Config{
 		Self: d.self, Regions: func() []string { return d.changes.Rules().RegionNames() }, Hosts: liveHosts{d.membership}, Peers: d.peers,
-		RefusesConnections: d.endpoints.Refuses, IsLeaving: d.endpointLeaving, Persister: d.quarantineKeeper(), Clock: clock.Boot,
+		RefusesConnections: d.endpoints.RefusesConnection, IsLeaving: d.endpointLeaving, Persister: d.quarantineKeeper(), Clock: clock.Boot,
 		Disabled: off.Has(vetchtrail.MechanismQuarantine), Log: d.log,
 	})
 }
--- a/process/daemon/stop.go
+++ b/process/daemon/stop.go
@@ -23,7 +23,7 @@
 		}
 		return errors.Wrap(err, "daemon.Run: callers")
 	case <-ctx.Done():
-		d.callers.Cut()
+		d.callers.CloseConnections()
 		d.shutdown(context.WithoutCancel(ctx))
 		return nil
 	case <-d.leaveRequested:
@@ -39,7 +39,7 @@
 	}
 	sleep(ctx, drainPollInterval) // lets the last responses go out whole
 	if ctx.Err() != nil {
-		d.callers.Cut()
+		d.callers.CloseConnections()
 	}
 	d.shutdown(context.WithoutCancel(ctx))
 	return nil
--- a/process/lists/serve_test.go
+++ b/process/lists/serve_test.go
@@ -216,9 +216,9 @@
 	}{
 		"diff from another revision": {&schema.Listing{Revision: 9, Seen: 9, Since: 3}, ErrBaseMismatch},
 		"wrong checksum":             {&schema.Listing{Revision: 9, Seen: 9, Since: 1, Sum: 1}, ErrBaseMismatch},
-		"kind not in the message":    {&schema.Listing{Revision: 9, Seen: 9, Endpoints: []*schema.Listed{{Name: "e", Kind: 7, Address: []byte{10, 0, 0, 1, 80, 0}}}}, schema.ErrListing},
-		"address of 3 bytes":         {&schema.Listing{Revision: 9, Seen: 9, Kinds: []*schema.ListedKind{{}}, Endpoints: []*schema.Listed{{Name: "e", Address: []byte{1, 2, 3}}}}, schema.ErrListing},
-		"no endpoint name":           {&schema.Listing{Revision: 9, Seen: 9, Kinds: []*schema.ListedKind{{}}, Endpoints: []*schema.Listed{{Address: []byte{10, 0, 0, 1, 80, 0}}}}, schema.ErrListing},
+		"kind not in the message":    {&schema.Listing{Revision: 9, Seen: 9, Endpoints: []*schema.Listed{{Name: "e", Kind: 7, Address: []byte{10, 0, 0, 1, 80, 0}}}}, schema.ErrInvalidListing},
+		"address of 3 bytes":         {&schema.Listing{Revision: 9, Seen: 9, Kinds: []*schema.ListedKind{{}}, Endpoints: []*schema.Listed{{Name: "e", Address: []byte{1, 2, 3}}}}, schema.ErrInvalidListing},
+		"no endpoint name":           {&schema.Listing{Revision: 9, Seen: 9, Kinds: []*schema.ListedKind{{}}, Endpoints: []*schema.Listed{{Address: []byte{10, 0, 0, 1, 80, 0}}}}, schema.ErrInvalidListing},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -272,7 +272,7 @@
 func (m *Membership) leavingSince(after, now time.Time) []*schema.EndpointLeaves {
 	var out []*schema.EndpointLeaves
 	for _, l := range m.cfg.Load.LeavingAfter(after, now) {
-		out = append(out, schema.FromLeaves(l.NameHash, l.StartedAt, l.FirstAnnouncedAt, now))
+		out = append(out, schema.FromLeaving(l.NameHash, l.StartedAt, l.FirstAnnouncedAt, now))
 	}
 	return out
 }
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -22,7 +22,7 @@
 // RecordFromPeer implements Notices.
 func (l *leavingRecorder) RecordFromPeer(_ string, m *schema.EndpointLeaves) {
 	l.received++
-	notice, startedAt := schema.ToLeaves(m, l.at)
+	notice, startedAt := schema.ToLeaving(m, l.at)
 	l.table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, notice, l.at)
 }
 
--- a/process/notices/notices.go
+++ b/process/notices/notices.go
@@ -70,7 +70,7 @@
 // RecordFromPeer records another host's message that an endpoint is leaving.
 func (n *Notices) RecordFromPeer(from string, m *schema.EndpointLeaves) {
 	now := time.Now()
-	notice, startedAt := schema.ToLeaves(m, now)
+	notice, startedAt := schema.ToLeaving(m, now)
 	news := n.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, notice, now)
 	if !news.Leaving {
 		return
--- a/process/quarantines/messages.go
+++ b/process/quarantines/messages.go
@@ -12,7 +12,7 @@
 
 // fromCrash returns the message for a crash. Times are sent as ages at now.
 func fromCrash(c quarantine.Crash, now time.Time) *schema.End {
-	m := &schema.End{Endpoint: c.Endpoint, Born: schema.Nanos(c.StartedAt), Age: int64(now.Sub(c.At))}
+	m := &schema.End{Endpoint: c.Endpoint, Born: schema.FromTime(c.StartedAt), Age: int64(now.Sub(c.At))}
 	for _, r := range c.InFlight {
 		m.Ran = append(m.Ran, r.ContentHash[:]...)
 		streaming := byte(0)
@@ -30,7 +30,7 @@
 	if len(hashes) != len(streaming)*len(vetchtrail.ContentHash{}) || m.GetEndpoint() == "" || m.GetAge() < 0 {
 		return quarantine.Crash{}, errors.Errorf("quarantines: invalid crash: %d bytes of content hashes for %d requests at %q", len(hashes), len(streaming), m.GetEndpoint())
 	}
-	c := quarantine.Crash{Endpoint: m.GetEndpoint(), StartedAt: schema.Moment(m.GetBorn()), At: now.Add(-time.Duration(m.GetAge()))}
+	c := quarantine.Crash{Endpoint: m.GetEndpoint(), StartedAt: schema.ToTime(m.GetBorn()), At: now.Add(-time.Duration(m.GetAge()))}
 	for i, b := range streaming {
 		c.InFlight = append(c.InFlight, quarantine.InFlight{ContentHash: vetchtrail.ContentHash(hashes[i*len(vetchtrail.ContentHash{}) : (i+1)*len(vetchtrail.ContentHash{})]), Streaming: b != 0})
 	}
@@ -51,7 +51,7 @@
 func toSuspects(in []*schema.Suspect) ([]quarantine.Suspect, error) {
 	out := make([]quarantine.Suspect, 0, len(in))
 	for _, m := range in {
-		hash, err := schema.ToDigest(m.GetDigest())
+		hash, err := schema.ToContentHash(m.GetDigest())
 		if err != nil {
 			return nil, errors.Wrap(err, "quarantines: invalid suspects")
 		}
--- a/process/quarantines/report.go
+++ b/process/quarantines/report.go
@@ -164,7 +164,7 @@
 		crashes = append(crashes, crash)
 	}
 	for _, reported := range m.GetServed() {
-		hash, err := schema.ToDigest(reported.GetDigest())
+		hash, err := schema.ToContentHash(reported.GetDigest())
 		if err != nil {
 			return nil, err
 		}
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -142,7 +142,7 @@
 func (d *Dispatcher) applyRules(r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	newest := d.cfg.Rules()
 	if r.Credential != (vetchtrail.KeyHash{}) {
-		if holder, ok := newest.Holder(r.Credential); !ok || holder != r.Workspace {
+		if holder, ok := newest.KeyOwner(r.Credential); !ok || holder != r.Workspace {
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonUnknownKey, time.Time{}), false
 		}
 	}
@@ -168,11 +168,11 @@
 // evaluateRules returns the home, priority and allowed regions that the
 // configuration defines for a request, by its route or, without one, by its
 // service. The reason is set if the request may not run at all.
-func evaluateRules(newest *rules.Rules, r *vetchtrail.Request) (rules.Judgement, vetchtrail.Reason) {
+func evaluateRules(newest *rules.Rules, r *vetchtrail.Request) (rules.Constraints, vetchtrail.Reason) {
 	if r.Route != "" {
-		return newest.JudgeRoute(r.Route, r.Service, r.Workspace, r.EntryRegion)
+		return newest.RouteConstraints(r.Route, r.Service, r.Workspace, r.EntryRegion)
 	}
-	j, ok := newest.Judge(r.Service, r.Workspace, r.EntryRegion)
+	j, ok := newest.ServiceConstraints(r.Service, r.Workspace, r.EntryRegion)
 	if !ok {
 		return j, vetchtrail.ReasonUnknownService
 	}
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -35,7 +35,7 @@
 	d := newDispatcher(t, targets, endpoints)
 	ruleSet := d.cfg.Rules()
 	applyEdits := func(edits ...vetchtrail.Edit) {
-		next, err := ruleSet.Build(edits)
+		next, err := ruleSet.ApplyEdits(edits)
 		assert.NilError(t, err)
 		ruleSet = next
 	}
--- a/schema/convert.go
+++ b/schema/convert.go
@@ -16,7 +16,7 @@
 		Revision: c.Revision,
 		Author:   c.Author,
 		Reason:   c.Reason,
-		At:       Nanos(c.At),
+		At:       FromTime(c.At),
 		Expect:   c.Expect,
 		Edits:    FromEdits(c.Edits),
 	}
@@ -33,7 +33,7 @@
 		Revision: m.GetRevision(),
 		Author:   m.GetAuthor(),
 		Reason:   m.GetReason(),
-		At:       Moment(m.GetAt()),
+		At:       ToTime(m.GetAt()),
 		Expect:   m.GetExpect(),
 		Edits:    edits,
 	}, nil
@@ -279,7 +279,7 @@
 		ExpectedTokens: int(m.GetAnswerTokens()), MaxTokens: int(m.GetMostTokens()), CallerCanRetry: m.GetFresh(),
 		FirstEventBy: timeAfter(m.GetBeginRemaining(), now),
 	}
-	if hash, err := ToDigest(m.GetDigest()); err == nil {
+	if hash, err := ToContentHash(m.GetDigest()); err == nil {
 		r.SetContentHash(hash)
 	}
 	return r, nil
@@ -327,17 +327,17 @@
 	return o
 }
 
-// Nanos returns a moment as messages contain it: Unix nanoseconds, or 0 for the
+// FromTime returns a moment as messages contain it: Unix nanoseconds, or 0 for the
 // zero time.
-func Nanos(t time.Time) int64 {
+func FromTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixNano()
 }
 
-// Moment reverses Nanos.
-func Moment(n int64) time.Time {
+// ToTime reverses Nanos.
+func ToTime(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
 	}
--- a/schema/leaving.go
+++ b/schema/leaving.go
@@ -6,10 +6,10 @@
 	"vetchtrail"
 )
 
-// FromLeaves returns the message which reports that a process instance of an
+// FromLeaving returns the message which reports that a process instance of an
 // endpoint announced at a moment that it is leaving. The endpoint is identified
 // by the short form of its name, and the moment is sent as its age at now.
-func FromLeaves(short uint32, startedAt, announcedAt, now time.Time) *EndpointLeaves {
+func FromLeaving(short uint32, startedAt, announcedAt, now time.Time) *EndpointLeaves {
 	m := &EndpointLeaves{Endpoint: short, AgeMillis: uint32(max(0, now.Sub(announcedAt).Milliseconds()))}
 	if !startedAt.IsZero() {
 		m.Born = startedAt.UnixNano()
@@ -17,9 +17,9 @@
 	return m
 }
 
-// ToLeaves returns what a message that arrived now reports, and the start time of
+// ToLeaving returns what a message that arrived now reports, and the start time of
 // the process instance that is leaving; zero: not known.
-func ToLeaves(m *EndpointLeaves, now time.Time) (n vetchtrail.Availability, startedAt time.Time) {
+func ToLeaving(m *EndpointLeaves, now time.Time) (n vetchtrail.Availability, startedAt time.Time) {
 	if m.GetBorn() != 0 {
 		startedAt = time.Unix(0, m.GetBorn())
 	}
--- a/schema/listing.go
+++ b/schema/listing.go
@@ -51,7 +51,7 @@
 		addr, _ := e.Addr.MarshalBinary() // it never returns an error
 		listed := &Listed{
 			Name: e.Name, Kind: index, Address: addr, Draining: e.Draining, Fenced: e.Fenced,
-			ColdRemaining: remaining(e.ColdUntil, now), Born: Nanos(e.Born),
+			ColdRemaining: remaining(e.ColdUntil, now), Born: FromTime(e.Born),
 		}
 		if e.Instance != e.Name {
 			listed.Instance = &e.Instance
@@ -60,8 +60,8 @@
 	}
 }
 
-// ErrListing means that an endpoint of a listing message can't be read.
-var ErrListing = errors.New("schema: invalid listing")
+// ErrInvalidListing means that an endpoint of a listing message can't be read.
+var ErrInvalidListing = errors.New("schema: invalid listing")
 
 // ToListing returns the listing of a message that arrived now. If the message
 // has Since, its endpoints are only those that differ from the listing of that
@@ -96,20 +96,20 @@
 // instance id in the message uses its name as the id.
 func toListed(listed *Listed, kinds []*ListedKind, now time.Time) (*vetchtrail.Endpoint, error) {
 	if int(listed.GetKind()) >= len(kinds) {
-		return nil, errors.Wrapf(ErrListing, "endpoint %.64q refers to kind %d of %d", listed.GetName(), listed.GetKind(), len(kinds))
+		return nil, errors.Wrapf(ErrInvalidListing, "endpoint %.64q refers to kind %d of %d", listed.GetName(), listed.GetKind(), len(kinds))
 	}
 	kind := kinds[listed.GetKind()]
 	e := &vetchtrail.Endpoint{
 		Name: listed.GetName(), Instance: listed.GetInstance(), Draining: listed.GetDraining(), Fenced: listed.GetFenced(),
 		Service: kind.GetService(), Region: kind.GetRegion(), DataCentre: kind.GetDataCentre(), Slots: int(kind.GetSlots()),
 		ColdUntil: timeAfter(listed.GetColdRemaining(), now), ColdRate: kind.GetColdRate(), MoveToken: kind.GetMoveToken(),
-		Born: Moment(listed.GetBorn()),
+		Born: ToTime(listed.GetBorn()),
 	}
 	if listed.Instance == nil {
 		e.Instance = e.Name
 	}
 	if err := e.Addr.UnmarshalBinary(listed.GetAddress()); err != nil || !e.Addr.IsValid() || e.Name == "" {
-		return nil, errors.Wrapf(ErrListing, "endpoint %.64q with an address of %d bytes: %v", e.Name, len(listed.GetAddress()), err)
+		return nil, errors.Wrapf(ErrInvalidListing, "endpoint %.64q with an address of %d bytes: %v", e.Name, len(listed.GetAddress()), err)
 	}
 	return e, nil
 }
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -55,7 +55,7 @@
 
 // ToHold returns the quarantine entry of a message that arrived now.
 func ToHold(m *Hold, now time.Time) (vetchtrail.QuarantineEntry, error) {
-	hash, err := ToDigest(m.GetDigest())
+	hash, err := ToContentHash(m.GetDigest())
 	if err != nil {
 		return vetchtrail.QuarantineEntry{}, errors.Wrap(err, "schema.ToHold")
 	}
@@ -68,8 +68,8 @@
 	}, nil
 }
 
-// ToDigest returns the content hash of a request from its bytes in a message.
-func ToDigest(in []byte) (vetchtrail.ContentHash, error) {
+// ToContentHash returns the content hash of a request from its bytes in a message.
+func ToContentHash(in []byte) (vetchtrail.ContentHash, error) {
 	if len(in) != contentHashBytes {
 		return vetchtrail.ContentHash{}, ErrContentHash
 	}
--- a/standin/capacity/model.go
+++ b/standin/capacity/model.go
@@ -167,7 +167,7 @@
 		{
 			Role: "configuration watcher", Mechanism: "two hosts a data centre watch the next key; the rest pull from peers",
 			Messages: changes, Bytes: changes * 300, CPU: changes * m.ChangeCPU.At(s.Workspaces) / 1e9, Memory: m.Workspaces.At(s.Workspaces) + 512*1024,
-			Reads: s.DataCentres * min(daemon.StoreWatchers, hostsPerCentre) * (2*changes + 2/changelog.WatchTime.Seconds()),
+			Reads: s.DataCentres * min(daemon.StoreWatchers, hostsPerCentre) * (2*changes + 2/changelog.WatchTimeout.Seconds()),
 		},
 		{
 			Role: "configuration writer", Mechanism: "one compare-and-swap a change, a snapshot now and then",
@@ -175,7 +175,7 @@
 		},
 		{
 			Role: "a host's start", Mechanism: "a snapshot and the changes after it",
-			Reads: s.HostsReplacedPerDay / secondsPerDay * (2 + m.Workspaces.At(s.Workspaces)/(900<<10) + changelog.SnapshotEvery/2),
+			Reads: s.HostsReplacedPerDay / secondsPerDay * (2 + m.Workspaces.At(s.Workspaces)/(900<<10) + changelog.SnapshotInterval/2),
 		},
 		{
 			Role: "at-most-once keeper", Mechanism: "keys bound to their issuer's incarnation; nothing shared",
--- a/standin/engine/announcement.go
+++ b/standin/engine/announcement.go
@@ -49,7 +49,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rateLimit != "" {
-		ctx.Response.Header.Set(dialect.HeaderRate, s.rateLimit)
+		ctx.Response.Header.Set(dialect.HeaderRateLimit, s.rateLimit)
 	}
 	if s.announced.Leaving != "" {
 		ctx.Response.Header.Set(dialect.HeaderLeaving, s.announced.Leaving)
--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -31,8 +31,8 @@
 
 	partBytes = 900 << 10 // the store accepts values of up to 1 MB
 
-	// SnapshotEvery is the number of revisions from one snapshot to the next.
-	SnapshotEvery = 64
+	// SnapshotInterval is the number of revisions from one snapshot to the next.
+	SnapshotInterval = 64
 	// maxRecentChanges is how many changes a host holds in memory, for peers
 	// that lag behind and for the history that operators read.
 	maxRecentChanges = 512
@@ -41,8 +41,8 @@
 	maxProposeAttempts = 8
 
 	defaultRetryInterval = 200 * time.Millisecond
-	// WatchTime is how long one call waits at the store for the next revision.
-	WatchTime = 20 * time.Second
+	// WatchTimeout is how long one call waits at the store for the next revision.
+	WatchTimeout = 20 * time.Second
 	// writeTimeout bounds the attempts to write one revision and to find out
 	// whether a write without an answer took effect.
 	writeTimeout = 10 * time.Second
@@ -84,8 +84,8 @@
 // Revision returns the revision of the newest configuration that this host holds.
 func (l *Log) Revision() uint64 { return l.Rules().Revision() }
 
-// StoreHeard returns when the store last answered a read; zero: never.
-func (l *Log) StoreHeard() time.Time {
+// LastStoreAnswer returns when the store last answered a read; zero: never.
+func (l *Log) LastStoreAnswer() time.Time {
 	n := l.lastAnswer.Load()
 	if n == 0 {
 		return time.Time{}
@@ -93,8 +93,8 @@
 	return time.Unix(0, n)
 }
 
-// Grown returns a channel that is closed when the host holds a newer revision.
-func (l *Log) Grown() <-chan struct{} {
+// Updated returns a channel that is closed when the host holds a newer revision.
+func (l *Log) Updated() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.updated
@@ -298,7 +298,7 @@
 		return err
 	}
 	l.lastAnswer.Store(time.Now().UnixNano())
-	e, err := l.store.Wait(ctx, key, max(existing.ModifyIndex, 1), time.Now().Add(WatchTime))
+	e, err := l.store.Wait(ctx, key, max(existing.ModifyIndex, 1), time.Now().Add(WatchTimeout))
 	if errors.Is(err, vetchtrail.ErrNotFound) {
 		l.lastAnswer.Store(time.Now().UnixNano())
 		// The key never appears if other hosts have moved on so far that its
--- a/version/changelog/changelog_test.go
+++ b/version/changelog/changelog_test.go
@@ -170,7 +170,7 @@
 	ctx := context.Background()
 	store := &fakeStore{entries: map[string]vetchtrail.StoreEntry{}}
 	l := newLog(store)
-	const changes = 5*SnapshotEvery + 3
+	const changes = 5*SnapshotInterval + 3
 	for n := range changes {
 		_, err := l.Propose(ctx, change(fmt.Sprint(n), 0))
 		assert.NilError(t, err)
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -14,10 +14,10 @@
 	"vetchtrail/version/rules"
 )
 
-// ErrUnsettled means that the store stopped answering while a change was
+// ErrOutcomeUnknown means that the store stopped answering while a change was
 // written, so that the change may still take effect. Proposing it again with
 // the same id shows whether it did.
-var ErrUnsettled = errors.New("the store stopped answering during the write: the change may take effect")
+var ErrOutcomeUnknown = errors.New("the store stopped answering during the write: the change may take effect")
 
 // Check reports whether a change is valid and fits the configuration that this
 // host holds. It returns the errors of Propose, but writes nothing.
@@ -113,7 +113,7 @@
 	if !mayBeWritten {
 		return false, errors.New("changelog.Propose: the store rejected every write")
 	}
-	return false, ErrUnsettled
+	return false, ErrOutcomeUnknown
 }
 
 // readBack reads and applies the change that the store holds at c's revision.
@@ -164,7 +164,7 @@
 // is only logged: the next snapshot takes this one's place.
 func (l *Log) snapshotIfDue(ctx context.Context) {
 	r := l.Rules()
-	if r.Revision()%SnapshotEvery != 0 {
+	if r.Revision()%SnapshotInterval != 0 {
 		return
 	}
 	if err := l.writeSnapshot(ctx); err != nil {
@@ -205,11 +205,11 @@
 // hosts that lag behind and deletes those of the interval before. It gives up
 // at the first error, and the remaining changes then stay in the store.
 func (l *Log) deleteOldChanges(ctx context.Context, revision uint64) {
-	const intervals = 3 * SnapshotEvery
+	const intervals = 3 * SnapshotInterval
 	if revision < intervals {
 		return
 	}
-	for n := revision - intervals + 1; n <= revision-intervals+SnapshotEvery; n++ {
+	for n := revision - intervals + 1; n <= revision-intervals+SnapshotInterval; n++ {
 		if err := l.store.Delete(ctx, logKey(n)); err != nil {
 			return
 		}
--- a/version/document/document.go
+++ b/version/document/document.go
@@ -149,8 +149,8 @@
 	return out
 }
 
-// Of returns the document that describes a configuration.
-func Of(r *rules.Rules) Document {
+// FromRules returns the document that describes a configuration.
+func FromRules(r *rules.Rules) Document {
 	var d Document
 	for _, edit := range r.Edits() {
 		switch e := edit.(type) {
@@ -168,7 +168,7 @@
 		case vetchtrail.PutRoute:
 			d.Routes = append(d.Routes, routeOf(e.Route))
 		case vetchtrail.PutWorkspace:
-			d.Workspaces = append(d.Workspaces, OfWorkspace(e.Workspace))
+			d.Workspaces = append(d.Workspaces, FromWorkspace(e.Workspace))
 		}
 	}
 	return d
--- a/version/document/workspace.go
+++ b/version/document/workspace.go
@@ -46,8 +46,8 @@
 	return out
 }
 
-// OfWorkspace returns a workspace as a document describes it.
-func OfWorkspace(w vetchtrail.Workspace) Workspace {
+// FromWorkspace returns a workspace as a document describes it.
+func FromWorkspace(w vetchtrail.Workspace) Workspace {
 	out := Workspace{Name: w.Name, Home: w.Home, Allowed: w.Allowed, Priority: w.Priority, Keys: w.Keys, Locked: w.Locked}
 	if q := w.Quota; q != (vetchtrail.Quota{}) {
 		out.Quota = &Quota{Rate: q.Rate, Burst: q.Burst, Unit: q.Unit.String(), Plain: q.Plain}
--- a/version/rules/apply.go
+++ b/version/rules/apply.go
@@ -15,7 +15,7 @@
 // returns a *vetchtrail.ChangeError if an edit or the resulting configuration
 // is not valid.
 func (r *Rules) Apply(c vetchtrail.Change) (*Rules, error) {
-	next, err := r.Build(c.Edits)
+	next, err := r.ApplyEdits(c.Edits)
 	if err != nil {
 		return nil, err
 	}
@@ -30,7 +30,7 @@
 // snapshot's revision. It validates each edit but not the result, since every
 // change up to that revision was validated when it was accepted.
 func Restore(edits []vetchtrail.Edit, revision uint64) (*Rules, error) {
-	next, err := Empty().Build(edits)
+	next, err := Empty().ApplyEdits(edits)
 	if err != nil {
 		return nil, err
 	}
@@ -38,9 +38,9 @@
 	return next, nil
 }
 
-// Build returns the configuration after edits, at the same revision. It
+// ApplyEdits returns the configuration after edits, at the same revision. It
 // validates each edit but not the result.
-func (r *Rules) Build(edits []vetchtrail.Edit) (*Rules, error) {
+func (r *Rules) ApplyEdits(edits []vetchtrail.Edit) (*Rules, error) {
 	b := builder{next: r.copy()}
 	for i, e := range edits {
 		if item, text := b.applyEdit(e); text != "" {
--- a/version/rules/difference.go
+++ b/version/rules/difference.go
@@ -11,14 +11,14 @@
 func (r *Rules) Difference(wanted *Rules) []vetchtrail.Edit {
 	current := map[string]vetchtrail.Edit{}
 	for _, e := range r.Edits() {
-		current[Title(e)] = e
+		current[ItemName(e)] = e
 	}
 	var out []vetchtrail.Edit
 	for _, e := range wanted.Edits() {
-		if old, ok := current[Title(e)]; !ok || !reflect.DeepEqual(old, e) {
+		if old, ok := current[ItemName(e)]; !ok || !reflect.DeepEqual(old, e) {
 			out = append(out, e)
 		}
-		delete(current, Title(e))
+		delete(current, ItemName(e))
 	}
 	return append(out, removals(r, current)...)
 }
@@ -29,7 +29,7 @@
 	edits := r.Edits()
 	var out []vetchtrail.Edit
 	for i := len(edits) - 1; i >= 0; i-- {
-		if _, ok := unwanted[Title(edits[i])]; ok {
+		if _, ok := unwanted[ItemName(edits[i])]; ok {
 			kind, name := itemOf(edits[i])
 			out = append(out, vetchtrail.Remove{Kind: kind, Name: name})
 		}
@@ -37,9 +37,9 @@
 	return out
 }
 
-// Title returns the kind and name of the item that an edit is about, as in
+// ItemName returns the kind and name of the item that an edit is about, as in
 // "endpoint krk-1".
-func Title(e vetchtrail.Edit) string {
+func ItemName(e vetchtrail.Edit) string {
 	kind, name := itemOf(e)
 	return string(kind) + " " + name
 }
--- a/version/rules/route.go
+++ b/version/rules/route.go
@@ -34,9 +34,9 @@
 	return Match{}, false
 }
 
-// Target selects one of the route's services, in proportion to their weights.
+// PickService selects one of the route's services, in proportion to their weights.
 // u is a random number from 0 up to but not including 1.
-func (m *Match) Target(u float64) string {
+func (m *Match) PickService(u float64) string {
 	total := 0
 	for _, t := range m.Targets {
 		total += t.Weight
@@ -51,30 +51,30 @@
 	return m.Targets[len(m.Targets)-1].Service
 }
 
-// JudgeRoute returns where a request of a route may be processed and with what
+// RouteConstraints returns where a request of a route may be processed and with what
 // priority, or the reason why it may not be processed. The configuration may
 // have changed since the request was matched: its route, the route's target
 // service or its workspace may have been removed. Both the route's homes and
 // the workspace's allowed regions limit where it may be processed. The
 // workspace's priority takes precedence over the route's rank.
-func (r *Rules) JudgeRoute(name, service, workspaceName string, entry vetchtrail.RegionID) (Judgement, vetchtrail.Reason) {
+func (r *Rules) RouteConstraints(name, service, workspaceName string, entry vetchtrail.RegionID) (Constraints, vetchtrail.Reason) {
 	t, ok := r.routes[name]
 	if !ok || !slices.ContainsFunc(t.Targets, func(x vetchtrail.Target) bool { return x.Service == service }) {
-		return Judgement{}, vetchtrail.ReasonNoRoute
+		return Constraints{}, vetchtrail.ReasonNoRoute
 	}
-	j := Judgement{Home: entry, Allowed: r.allowedRegions(&t), Priority: -t.Rank}
+	j := Constraints{Home: entry, Allowed: r.allowedRegions(&t), Priority: -t.Rank}
 	if workspaceName == "" && !t.Keyed {
 		return j, ""
 	}
 	w, ok := r.workspaces[workspaceShardOf(workspaceName)][workspaceName]
 	if !ok {
-		return Judgement{}, vetchtrail.ReasonUnknownWorkspace
+		return Constraints{}, vetchtrail.ReasonUnknownWorkspace
 	}
 	if w.home != noHome {
 		j.Home = vetchtrail.RegionID(w.home)
 	}
 	if w.allowed != 0 && j.Allowed&w.allowed == 0 {
-		return Judgement{}, vetchtrail.ReasonNoCommonHome
+		return Constraints{}, vetchtrail.ReasonNoCommonHome
 	}
 	if w.allowed != 0 {
 		j.Allowed &= w.allowed
@@ -113,11 +113,11 @@
 	return set
 }
 
-// HomesOf returns the regions that serve the requests to a host name best. Each
+// BestRegions returns the regions that serve the requests to a host name best. Each
 // route of the host name that has homes adds its number of requests, plus one,
 // to the weight of each of its homes; the result is the regions of the highest
 // weight, or none if no route of the host name has homes.
-func (r *Rules) HomesOf(host string, requestCount func(route string) int) []string {
+func (r *Rules) BestRegions(host string, requestCount func(route string) int) []string {
 	var weights [vetchtrail.MaxRegions]int
 	most := 0
 	for i := range r.routesByHost[host] {
--- a/version/rules/rules.go
+++ b/version/rules/rules.go
@@ -36,8 +36,8 @@
 	allowed vetchtrail.RegionSet // empty: only the home region of the request
 }
 
-// Judgement is where and how urgently the configuration lets a request run.
-type Judgement struct {
+// Constraints is where and how urgently the configuration lets a request run.
+type Constraints struct {
 	Home     vetchtrail.RegionID  // region that the request belongs to
 	Allowed  vetchtrail.RegionSet // regions that may process it
 	Priority int8                 // higher goes first
@@ -112,16 +112,16 @@
 	return out
 }
 
-// Judge returns where a request that belongs to no route may be processed, or
+// ServiceConstraints returns where a request that belongs to no route may be processed, or
 // false if the service is unknown. A workspace without a home has its home where
 // the request entered. A service without allowed regions is only processed in
 // the home region, since processing elsewhere needs an explicit permission.
-func (r *Rules) Judge(serviceName, workspaceName string, entry vetchtrail.RegionID) (Judgement, bool) {
+func (r *Rules) ServiceConstraints(serviceName, workspaceName string, entry vetchtrail.RegionID) (Constraints, bool) {
 	s, ok := r.services[serviceName]
 	if !ok {
-		return Judgement{}, false
+		return Constraints{}, false
 	}
-	j := Judgement{Home: entry, Allowed: s.allowed}
+	j := Constraints{Home: entry, Allowed: s.allowed}
 	w, known := r.workspaces[workspaceShardOf(workspaceName)][workspaceName]
 	if known && w.home != noHome {
 		j.Home = vetchtrail.RegionID(w.home)
--- a/version/rules/rules_test.go
+++ b/version/rules/rules_test.go
@@ -94,23 +94,23 @@
 	both, north := vetchtrail.RegionsOf(0, 1), vetchtrail.RegionsOf(1)
 	cases := map[string]struct {
 		service, workspace string
-		want               Judgement
+		want               Constraints
 	}{
-		"unknown workspace":                 {"quotes", "x", Judgement{Home: 0, Allowed: both}},
-		"workspace with allowed region":     {"quotes", "bound", Judgement{Home: 1, Allowed: north, Priority: 3}},
-		"home-only service, no home":        {"home-only", "x", Judgement{Home: 0, Allowed: vetchtrail.RegionsOf(0)}},
-		"home-only service, home":           {"home-only", "homely", Judgement{Home: 1, Allowed: north}},
-		"home-only service, allowed region": {"home-only", "bound", Judgement{Home: 1, Allowed: north, Priority: 3}},
-		"workspace without allowed regions": {"quotes", "homely", Judgement{Home: 1, Allowed: both}},
+		"unknown workspace":                 {"quotes", "x", Constraints{Home: 0, Allowed: both}},
+		"workspace with allowed region":     {"quotes", "bound", Constraints{Home: 1, Allowed: north, Priority: 3}},
+		"home-only service, no home":        {"home-only", "x", Constraints{Home: 0, Allowed: vetchtrail.RegionsOf(0)}},
+		"home-only service, home":           {"home-only", "homely", Constraints{Home: 1, Allowed: north}},
+		"home-only service, allowed region": {"home-only", "bound", Constraints{Home: 1, Allowed: north, Priority: 3}},
+		"workspace without allowed regions": {"quotes", "homely", Constraints{Home: 1, Allowed: both}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			j, ok := r.Judge(c.service, c.workspace, 0)
+			j, ok := r.ServiceConstraints(c.service, c.workspace, 0)
 			assert.Assert(t, ok)
 			assert.Equal(t, j, c.want)
 		})
 	}
-	_, ok := r.Judge("none", "x", 0)
+	_, ok := r.ServiceConstraints("none", "x", 0)
 	assert.Assert(t, !ok)
 }
 
@@ -159,7 +159,7 @@
 // TestRoutes checks which route a request belongs to, and which regions serve
 // the requests to a host name best.
 func TestRoutes(t *testing.T) {
-	config, err := Empty().Build([]vetchtrail.Edit{
+	config, err := Empty().ApplyEdits([]vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 0, Name: "north", DataCentres: []string{"n"}}},
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 1, Name: "south", DataCentres: []string{"s"}}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", AnswerWithin: time.Second}},
@@ -198,7 +198,7 @@
 	}
 	for name, c := range homes {
 		t.Run(name, func(t *testing.T) {
-			assert.DeepEqual(t, config.HomesOf(c.host, func(route string) int { return c.requests[route] }), c.want)
+			assert.DeepEqual(t, config.BestRegions(c.host, func(route string) int { return c.requests[route] }), c.want)
 		})
 	}
 }
@@ -231,7 +231,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := someRoute("r", "h", "/a/")
 			c.change(&r)
-			_, err := Empty().Build([]vetchtrail.Edit{
+			_, err := Empty().ApplyEdits([]vetchtrail.Edit{
 				vetchtrail.PutService{Service: vetchtrail.Service{Name: "app", AnswerWithin: time.Second}}, vetchtrail.PutRoute{Route: r},
 			})
 			assert.ErrorContains(t, err, c.text)
--- a/version/rules/workspace.go
+++ b/version/rules/workspace.go
@@ -42,8 +42,8 @@
 	return r.expand(name, w), true
 }
 
-// Holder returns the name of the workspace that owns a key.
-func (r *Rules) Holder(key vetchtrail.KeyHash) (workspace string, ok bool) {
+// KeyOwner returns the name of the workspace that owns a key.
+func (r *Rules) KeyOwner(key vetchtrail.KeyHash) (workspace string, ok bool) {
 	workspace, ok = r.keyOwners[keyShardOf(key)][key]
 	return workspace, ok
 }
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -41,13 +41,13 @@
 		t.Run(name, func(t *testing.T) {
 			before, err := Empty().Apply(vetchtrail.Change{Edits: append(baseEdits(), first)})
 			assert.NilError(t, err)
-			after, err := before.Build(c.edits)
+			after, err := before.ApplyEdits(c.edits)
 			assert.NilError(t, err)
 			for key, want := range c.owners {
-				got, _ := after.Holder(vetchtrail.HashKey(key))
+				got, _ := after.KeyOwner(vetchtrail.HashKey(key))
 				assert.Equal(t, got, want, key)
 			}
-			got, _ := before.Holder(vetchtrail.HashKey("old"))
+			got, _ := before.KeyOwner(vetchtrail.HashKey("old"))
 			assert.Equal(t, got, "w", "the configuration before the change was modified")
 			assert.Assert(t, before.Locked("w") && before.AnyLocked())
 			restored, err := Restore(after.Edits(), 1)
@@ -82,11 +82,11 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := config.Build([]vetchtrail.Edit{put(c.workspace)})
+			_, err := config.ApplyEdits([]vetchtrail.Edit{put(c.workspace)})
 			var changeErr *vetchtrail.ChangeError
 			assert.Assert(t, errors.As(err, &changeErr), "%v", err)
 			assert.Equal(t, changeErr.Text, c.text)
-			got, _ := config.Holder(vetchtrail.HashKey("secret"))
+			got, _ := config.KeyOwner(vetchtrail.HashKey("secret"))
 			assert.Equal(t, got, "w")
 		})
 	}
@@ -102,29 +102,29 @@
 			Targets: []vetchtrail.Target{{Service: "quotes", Weight: 1}},
 		}}
 	}
-	r, err := Empty().Build(append(baseEdits(), route("open", 1, false), route("keyed", 1, true), route("south", 0, true, "south"), route("low", 7, true),
+	r, err := Empty().ApplyEdits(append(baseEdits(), route("open", 1, false), route("keyed", 1, true), route("south", 0, true, "south"), route("low", 7, true),
 		put(vetchtrail.Workspace{Name: "usual"}), put(vetchtrail.Workspace{Name: "first", Priority: 1}),
 		put(vetchtrail.Workspace{Name: "northern", Allowed: []string{"north"}})))
 	assert.NilError(t, err)
 	cases := map[string]struct {
 		route, workspace string
-		want             Judgement
+		want             Constraints
 		reason           vetchtrail.Reason
 	}{
-		"no key needed":            {"open", "", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
-		"key needed":               {"keyed", "usual", Judgement{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
-		"key needed, no workspace": {"keyed", "", Judgement{}, vetchtrail.ReasonUnknownWorkspace},
-		"workspace removed":        {"keyed", "gone", Judgement{}, vetchtrail.ReasonUnknownWorkspace},
-		"priority before rank":     {"keyed", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 2}, ""},
-		"rank below the last":      {"low", "first", Judgement{Allowed: vetchtrail.AllRegions, Priority: 1}, ""},
-		"workspace's region":       {"keyed", "northern", Judgement{Allowed: vetchtrail.RegionsOf(1), Priority: -1}, ""},
-		"home of the route":        {"south", "usual", Judgement{Allowed: vetchtrail.RegionsOf(0)}, ""},
-		"no common region":         {"south", "northern", Judgement{}, vetchtrail.ReasonNoCommonHome},
-		"route removed":            {"none", "usual", Judgement{}, vetchtrail.ReasonNoRoute},
+		"no key needed":            {"open", "", Constraints{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
+		"key needed":               {"keyed", "usual", Constraints{Allowed: vetchtrail.AllRegions, Priority: -1}, ""},
+		"key needed, no workspace": {"keyed", "", Constraints{}, vetchtrail.ReasonUnknownWorkspace},
+		"workspace removed":        {"keyed", "gone", Constraints{}, vetchtrail.ReasonUnknownWorkspace},
+		"priority before rank":     {"keyed", "first", Constraints{Allowed: vetchtrail.AllRegions, Priority: 2}, ""},
+		"rank below the last":      {"low", "first", Constraints{Allowed: vetchtrail.AllRegions, Priority: 1}, ""},
+		"workspace's region":       {"keyed", "northern", Constraints{Allowed: vetchtrail.RegionsOf(1), Priority: -1}, ""},
+		"home of the route":        {"south", "usual", Constraints{Allowed: vetchtrail.RegionsOf(0)}, ""},
+		"no common region":         {"south", "northern", Constraints{}, vetchtrail.ReasonNoCommonHome},
+		"route removed":            {"none", "usual", Constraints{}, vetchtrail.ReasonNoRoute},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			j, reason := r.JudgeRoute(c.route, "quotes", c.workspace, 0)
+			j, reason := r.RouteConstraints(c.route, "quotes", c.workspace, 0)
 			assert.Equal(t, reason, c.reason)
 			assert.Equal(t, j, c.want)
 		})
@@ -138,7 +138,7 @@
 	for i := range 38_000 {
 		edits = append(edits, put(vetchtrail.Workspace{Name: fmt.Sprint("w", i), Keys: keyHashes(fmt.Sprint("key-number-", i), fmt.Sprint("other-key-", i))}))
 	}
-	r, err := Empty().Build(edits)
+	r, err := Empty().ApplyEdits(edits)
 	assert.NilError(b, err)
 	lookups := make([]string, 1024)
 	for i := range lookups {
@@ -146,7 +146,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, ok := r.Holder(vetchtrail.HashKey(lookups[i%len(lookups)])); !ok {
+		if _, ok := r.KeyOwner(vetchtrail.HashKey(lookups[i%len(lookups)])); !ok {
 			b.Fatal("not found")
 		}
 	}
