--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -92,8 +92,8 @@
 		return false, err
 	}
 	report, err := soak.Run(ctx, soak.Config{
-		Seed: seed, Length: time.Duration(a.Minutes * float64(time.Minute)), Rate: a.Rate, Callers: a.Callers, Spec: spec,
-		Binaries: a.Binaries, Directory: dir, Progress: os.Stderr, Deadly: a.Deadly, Rates: a.Rates, Words: a.Words,
+		Seed: seed, RunLength: time.Duration(a.Minutes * float64(time.Minute)), FaultRate: a.Rate, CallersPerHost: a.Callers, Spec: spec,
+		Binaries: a.Binaries, Directory: dir, Progress: os.Stderr, PoisonRequests: a.Deadly, RateLimits: a.Rates, Announcements: a.Words,
 	})
 	if err != nil {
 		return false, err
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -127,10 +127,10 @@
 	if err != nil {
 		return err
 	}
-	if err := m.system.Ready(revision); err != nil {
+	if err := m.system.AwaitReady(revision); err != nil {
 		return err
 	}
-	if err := m.system.Settled(); err != nil {
+	if err := m.system.AwaitReachable(); err != nil {
 		return err
 	}
 	fmt.Printf("   revision %d is in force on all %d hosts\n", revision, len(m.layout.Hosts))
@@ -225,18 +225,18 @@
 // sendModelRequest sends a request to the model through a host of region r, and checks
 // and counts the answer.
 func (m *demo) sendModelRequest(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort, prompt, workspace string, stream bool) {
-	a := client.Ask{
+	a := client.Request{
 		Host: callerAddr, Service: m.layout.Spec.Model.Name, Workspace: workspace, Prompt: prompt, Tokens: demoTokens, Stream: stream,
 	}
 	res := m.system.Client.Do(ctx, a)
 	m.currentStep().requests++
-	if !a.Right(res) {
+	if !a.IsCorrect(res) {
 		m.recordWrong(r, res)
 		return
 	}
-	if region := m.regionOf(res.Where); region != r.Name {
+	if region := m.regionOf(res.Endpoint); region != r.Name {
 		m.currentStep().otherRegion++
-		fmt.Printf("   %s: answered by %s in region %s\n", r.Name, res.Where, region)
+		fmt.Printf("   %s: answered by %s in region %s\n", r.Name, res.Endpoint, region)
 	}
 }
 
@@ -247,7 +247,7 @@
 		m.sendModelRequest(ctx, r, callerAddr, r.Name+": a bound drawing", r.Name+"-bound", true)
 		return
 	}
-	res := m.system.Client.Do(ctx, client.Ask{
+	res := m.system.Client.Do(ctx, client.Request{
 		Host: callerAddr, Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "bound", Tokens: demoTokens,
 	})
 	m.currentStep().requests++
@@ -269,9 +269,9 @@
 	}
 	var texts [2]string
 	for i := range texts {
-		res := m.system.Client.Plain(ctx, callerAddr, http.MethodPost, m.layout.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4, Tuesday")
+		res := m.system.Client.CallPlain(ctx, callerAddr, http.MethodPost, m.layout.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4, Tuesday")
 		m.currentStep().requests++
-		if res.Status != http.StatusOK || !res.Whole {
+		if res.Status != http.StatusOK || !res.Complete {
 			m.recordWrong(r, res)
 			return
 		}
@@ -286,7 +286,7 @@
 func (m *demo) recordWrong(r deployment.RegionSpec, res client.Result) {
 	m.currentStep().wrong++
 	fmt.Printf("   %s: WRONG: status %d outcome %q whole %t text %q detail %q error %v\n",
-		r.Name, res.Status, res.Outcome, res.Whole, res.Text, res.Detail, res.Err)
+		r.Name, res.Status, res.Outcome, res.Complete, res.Text, res.Detail, res.Err)
 }
 
 // regionOf returns the region of an endpoint, or an empty string if it is unknown.
@@ -304,7 +304,7 @@
 func (m *demo) awaitRegion(ctx context.Context, r deployment.RegionSpec) error {
 	deadline := time.Now().Add(regionReturnTimeout)
 	for time.Now().Before(deadline) {
-		res := m.system.Client.Do(ctx, client.Ask{
+		res := m.system.Client.Do(ctx, client.Request{
 			Host: m.callerAddr(r), Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "back?", Tokens: 1,
 		})
 		if res.Status == http.StatusOK {
--- a/cmd/standin/keys.go
+++ b/cmd/standin/keys.go
@@ -30,14 +30,14 @@
 		return err
 	}
 	r := m.layout.Spec.Regions[0]
-	m.expectRefusal(ctx, "no key", client.Ask{Workspace: demoWorkspace}, http.StatusUnauthorized)
-	m.expectRefusal(ctx, "a wrong key", client.Ask{Credential: "guess"}, http.StatusUnauthorized)
+	m.expectRefusal(ctx, "no key", client.Request{Workspace: demoWorkspace}, http.StatusUnauthorized)
+	m.expectRefusal(ctx, "a wrong key", client.Request{Credential: "guess"}, http.StatusUnauthorized)
 	served := 0
 	for range 8 * demoQuota {
-		res := m.system.Client.Do(ctx, m.withDefaults(client.Ask{Credential: demoKey}))
+		res := m.system.Client.Do(ctx, m.withDefaults(client.Request{Credential: demoKey}))
 		m.currentStep().requests++
 		switch {
-		case res.Status == http.StatusOK && res.Whole:
+		case res.Status == http.StatusOK && res.Complete:
 			served++
 		case res.Status == http.StatusTooManyRequests && res.Outcome == vetchtrail.OutcomeNotRun.String():
 			m.currentStep().refused++
@@ -53,7 +53,7 @@
 	if err := m.putWorkspace(ctx, "its key is taken away", workspace); err != nil {
 		return err
 	}
-	m.expectRefusal(ctx, "a key that was taken away", client.Ask{Credential: demoKey}, http.StatusUnauthorized)
+	m.expectRefusal(ctx, "a key that was taken away", client.Request{Credential: demoKey}, http.StatusUnauthorized)
 	return nil
 }
 
@@ -63,19 +63,19 @@
 	if err != nil {
 		return err
 	}
-	return m.system.Ready(revision)
+	return m.system.AwaitReady(revision)
 }
 
 // withDefaults returns the request with the host, service, prompt and length that all
 // requests of the key step have.
-func (m *demo) withDefaults(a client.Ask) client.Ask {
+func (m *demo) withDefaults(a client.Request) client.Request {
 	a.Host, a.Service, a.Prompt, a.Tokens = m.callerAddr(m.layout.Spec.Regions[0]), m.layout.Spec.Model.Name, "is it weldable?", demoTokens
 	return a
 }
 
 // expectRefusal sends a request that must be refused with the status and without having
 // run.
-func (m *demo) expectRefusal(ctx context.Context, who string, a client.Ask, status int) {
+func (m *demo) expectRefusal(ctx context.Context, who string, a client.Request, status int) {
 	res := m.system.Client.Do(ctx, m.withDefaults(a))
 	m.currentStep().requests++
 	if res.Status != status || res.Outcome != vetchtrail.OutcomeNotRun.String() {
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -61,7 +61,7 @@
 	defer stop()
 	return serve(ctx, c.Addr, engine.New(engine.Config{
 		Slots: c.Slots, Queue: c.Queue, Prefill: c.Prefill, Step: c.Step, Drag: c.Drag, Cache: c.Cache, Lag: c.Lag,
-		Mortality: engine.Mortality{Prompt: c.Deadly, After: c.After, Back: c.Back},
+		Crash: engine.CrashConfig{PoisonText: c.Deadly, CrashDelay: c.After, RestartDelay: c.Back},
 	}))
 }
 
--- a/request/quarantine/simulation_test.go
+++ b/request/quarantine/simulation_test.go
@@ -27,7 +27,7 @@
 	strategy          Strategy
 	rnd               *rand.Rand
 	now               time.Time
-	schedule          agenda.Agenda
+	schedule          agenda.EventQueue
 	endpoints         []*simEndpoint
 	history           *CrashHistory
 	entries           *Entries
@@ -63,7 +63,7 @@
 }
 
 func (sim *simulation) after(d time.Duration, do func()) {
-	sim.schedule.Put(sim.now.Add(d), do)
+	sim.schedule.Schedule(sim.now.Add(d), do)
 }
 
 func hashOf(n uint64) vetchtrail.ContentHash {
@@ -116,7 +116,7 @@
 
 func (sim *simulation) run() {
 	for {
-		at, do, ok := sim.schedule.Take(simStart.Add((simSeconds + 10) * time.Second))
+		at, do, ok := sim.schedule.Next(simStart.Add((simSeconds + 10) * time.Second))
 		if !ok {
 			return
 		}
--- a/request/quota/simulation_test.go
+++ b/request/quota/simulation_test.go
@@ -50,7 +50,7 @@
 	tolerance   Tolerance
 	rng         *rand.Rand
 	now         time.Time
-	events      agenda.Agenda
+	events      agenda.EventQueue
 	hosts       []*simHost
 	partitioned [3]bool // regions that are partitioned from the others
 	lossShare   float64 // fraction of messages lost
@@ -102,13 +102,13 @@
 
 // after schedules a function.
 func (s *sim) after(d time.Duration, do func()) {
-	s.events.Put(s.now.Add(d), do)
+	s.events.Schedule(s.now.Add(d), do)
 }
 
 // advance runs everything scheduled up to a given time.
 func (s *sim) advance(to time.Time) {
 	for {
-		at, do, ok := s.events.Take(to)
+		at, do, ok := s.events.Next(to)
 		if !ok {
 			break
 		}
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -153,7 +153,7 @@
 	name, o := args[0], parseOptions(args[1:])
 	h, err := s.fleet.Settings(o["host"])
 	if err != nil {
-		s.recordResult(name, client.Ask{}, client.Result{Err: err})
+		s.recordResult(name, client.Request{}, client.Result{Err: err})
 		return
 	}
 	ctx := context.Background()
@@ -162,13 +162,13 @@
 		if method == "" {
 			method = "GET"
 		}
-		s.recordResult(name, client.Ask{}, s.fleet.Client.Plain(ctx, h.Listen.Callers, method, s.d.Spec.Plain.Name, path, o["key"], o["workspace"], o["body"]))
+		s.recordResult(name, client.Request{}, s.fleet.Client.CallPlain(ctx, h.Listen.Callers, method, s.d.Spec.Plain.Name, path, o["key"], o["workspace"], o["body"]))
 		return
 	}
 	timeout, _ := time.ParseDuration(o["timeout"])
-	a := client.Ask{
+	a := client.Request{
 		Host: h.Listen.Callers, Service: s.d.Spec.Model.Name, Workspace: o["workspace"], Prompt: o["prompt"], Tokens: o.number("tokens", 8),
-		Stream: o["stream"] == "true", Key: o["key"], Timeout: timeout, Window: o.number("window", 0), StopAfter: o.number("stop", 0),
+		Stream: o["stream"] == "true", Key: o["key"], Timeout: timeout, ResumeWindowSeconds: o.number("window", 0), StopAfter: o.number("stop", 0),
 		Credential: o["credential"],
 	}
 	if v, ok := o["service"]; ok {
@@ -176,14 +176,14 @@
 	}
 	if from, ok := o["resume"]; ok {
 		s.mu.Lock()
-		a.LastID = s.results[from].LastID
+		a.LastEventID = s.results[from].LastEventID
 		s.mu.Unlock()
 	}
 	s.recordResult(name, a, s.fleet.Client.Do(ctx, a))
 }
 
 // recordResult keeps a request and its result under the request's name.
-func (s *script) recordResult(name string, a client.Ask, r client.Result) {
+func (s *script) recordResult(name string, a client.Request, r client.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests[name], s.results[name] = a, r
@@ -237,21 +237,21 @@
 		case "reason":
 			got = r.Reason
 		case "whole":
-			got = strconv.FormatBool(r.Whole)
+			got = strconv.FormatBool(r.Complete)
 		case "right":
-			got = strconv.FormatBool(a.Right(r))
+			got = strconv.FormatBool(a.IsCorrect(r))
 		case "region":
-			got = s.regionOf(r.Where)
+			got = s.regionOf(r.Endpoint)
 		case "retry":
 			got = strconv.FormatBool(!r.RetryAt.IsZero())
 		case "cut": // the connection broke, so that the response can't be taken for complete
 			got = strconv.FormatBool(r.Err != nil)
 		case "where":
-			got = r.Where
+			got = r.Endpoint
 		case "same":
 			got, want = r.Text, s.results[want].Text
 		case "joined":
-			got, want = s.results[want].Text+r.Text, s.requests[want].Want()
+			got, want = s.results[want].Text+r.Text, s.requests[want].ExpectedText()
 		case "soon": // the response ended within so many seconds, a generous bound on "at once"
 			n, _ := strconv.Atoi(want)
 			got, want = strconv.FormatBool(r.Took < time.Duration(n)*time.Second), "true"
@@ -344,15 +344,15 @@
 	case "stop":
 		return s.fleet.Stop(args[1])
 	case "freeze":
-		return s.fleet.Freeze(args[1])
+		return s.fleet.Suspend(args[1])
 	case "thaw":
-		return s.fleet.Thaw(args[1])
+		return s.fleet.Resume(args[1])
 	case "start":
 		return s.fleet.StartHost(args[1])
 	case "startendpoint":
 		return s.fleet.StartEndpoint(args[1])
 	case "up":
-		return s.fleet.HostUp(context.Background(), args[1])
+		return s.fleet.AwaitHost(context.Background(), args[1])
 	}
 	return fmt.Errorf("process: unknown action %s", args[0])
 }
--- a/scenario/config_history_test.go
+++ b/scenario/config_history_test.go
@@ -250,11 +250,11 @@
 			injected["kill"]++
 		case 4:
 			from, to := d.Spec.Regions[rnd.IntN(3)].Name, d.Spec.Regions[rnd.IntN(3)].Name
-			assert.NilError(t, f.Cut(ctx, from, to, true))
-			assert.NilError(t, f.Cut(ctx, from, deployment.PlatformName, true))
+			assert.NilError(t, f.CutLink(ctx, from, to, true))
+			assert.NilError(t, f.CutLink(ctx, from, deployment.PlatformName, true))
 			time.Sleep(time.Second)
-			assert.NilError(t, f.Cut(ctx, from, to, false))
-			assert.NilError(t, f.Cut(ctx, from, deployment.PlatformName, false))
+			assert.NilError(t, f.CutLink(ctx, from, to, false))
+			assert.NilError(t, f.CutLink(ctx, from, deployment.PlatformName, false))
 			injected["cut"]++
 		}
 	}
--- a/scenario/engine_run_test.go
+++ b/scenario/engine_run_test.go
@@ -70,14 +70,14 @@
 			rnd := rand.New(rand.NewPCG(5, uint64(caller)))
 			for n := 0; ctx.Err() == nil; n++ {
 				host, sentAt := x.d.Hosts[hosts[rnd.IntN(len(hosts))]], time.Now()
-				r := x.f.Client.Do(x.ctx, client.Ask{
+				r := x.f.Client.Do(x.ctx, client.Request{
 					Host: host.Listen.Callers, Service: x.d.Spec.Model.Name,
 					Prompt: "deed " + strconv.Itoa(caller) + " " + strconv.Itoa(n), Tokens: 4, Stream: true, Timeout: 3 * time.Second,
 				})
 				x.mu.Lock()
 				x.outcomes[r.Outcome+" "+r.Reason]++
-				if r.Whole {
-					x.relayed = append(x.relayed, relayed{host: host.Host, engine: r.Where, sentAt: sentAt, receivedAt: time.Now()})
+				if r.Complete {
+					x.relayed = append(x.relayed, relayed{host: host.Host, engine: r.Endpoint, sentAt: sentAt, receivedAt: time.Now()})
 				}
 				x.mu.Unlock()
 				time.Sleep(20 * time.Millisecond)
@@ -131,7 +131,7 @@
 
 // announce makes an engine announce its availability in its responses and returns the time at which
 // it began.
-func (x *engineRun) announce(name string, w engine.Words) time.Time {
+func (x *engineRun) announce(name string, w engine.Announcement) time.Time {
 	x.t.Helper()
 	addr, err := x.f.EndpointAddr(name)
 	assert.NilError(x.t, err)
--- a/scenario/faults_test.go
+++ b/scenario/faults_test.go
@@ -12,7 +12,7 @@
 // link implements "link cut|heal FROM TO": it cuts or restores the link from a region to another
 // region or the platform.
 func (s *script) link(_ *testscript.TestScript, args []string) error {
-	return s.fleet.Cut(context.Background(), args[1], args[2], args[0] == "cut")
+	return s.fleet.CutLink(context.Background(), args[1], args[2], args[0] == "cut")
 }
 
 // isolate implements "isolate cut|heal REGION [keep=platform]": it cuts or restores all links of a
@@ -23,17 +23,17 @@
 		if r.Name == args[1] {
 			continue
 		}
-		if err := s.fleet.Cut(ctx, args[1], r.Name, args[0] == "cut"); err != nil {
+		if err := s.fleet.CutLink(ctx, args[1], r.Name, args[0] == "cut"); err != nil {
 			return err
 		}
-		if err := s.fleet.Cut(ctx, r.Name, args[1], args[0] == "cut"); err != nil {
+		if err := s.fleet.CutLink(ctx, r.Name, args[1], args[0] == "cut"); err != nil {
 			return err
 		}
 	}
 	if o["keep"] == "platform" {
 		return nil
 	}
-	return s.fleet.Cut(ctx, args[1], deployment.PlatformName, args[0] == "cut")
+	return s.fleet.CutLink(ctx, args[1], deployment.PlatformName, args[0] == "cut")
 }
 
 // fault implements "fault store|ENDPOINT JSON": it sets the faults of the store or an endpoint.
--- a/scenario/keyed_history_test.go
+++ b/scenario/keyed_history_test.go
@@ -111,14 +111,14 @@
 			assert.NilError(x.t, x.f.StartHost(host.Host))
 			x.count["kill"]++
 		case 1:
-			assert.NilError(x.t, x.f.Freeze(host.Host))
+			assert.NilError(x.t, x.f.Suspend(host.Host))
 			time.Sleep(1500 * time.Millisecond)
-			assert.NilError(x.t, x.f.Thaw(host.Host))
+			assert.NilError(x.t, x.f.Resume(host.Host))
 			x.count["freeze"]++
 		case 2:
-			assert.NilError(x.t, x.f.Cut(x.ctx, from, to, true))
+			assert.NilError(x.t, x.f.CutLink(x.ctx, from, to, true))
 			time.Sleep(700 * time.Millisecond)
-			assert.NilError(x.t, x.f.Cut(x.ctx, from, to, false))
+			assert.NilError(x.t, x.f.CutLink(x.ctx, from, to, false))
 			x.count["cut"]++
 		case 3:
 			assert.NilError(x.t, x.f.Client.Put(x.ctx, x.d.Store, "/faults", kv.Faults{Outage: true}))
@@ -220,10 +220,10 @@
 	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
 	defer cancel()
 	call := time.Now().UnixNano()
-	res := f.Client.Plain(ctx, to, http.MethodPost, d.Spec.Plain.Name, "/bookings", key, "", "mill 4")
+	res := f.Client.CallPlain(ctx, to, http.MethodPost, d.Spec.Plain.Name, "/bookings", key, "", "mill 4")
 	end := time.Now().UnixNano()
 	out := response{outcome: res.Outcome, text: res.Text}
-	if res.Status == http.StatusOK && res.Whole {
+	if res.Status == http.StatusOK && res.Complete {
 		out.outcome = "answered"
 	}
 	if out.outcome == "" || out.outcome == "unknown" {
@@ -262,7 +262,7 @@
 	for _, h := range d.Hosts {
 		assert.NilError(t, f.Await(context.Background(), h.Host+" ready", func() bool {
 			return f.Client.Get(context.Background(), h.Listen.Callers, "/readyz", nil) == nil &&
-				f.Client.Do(context.Background(), client.Ask{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1}).Status == http.StatusOK
+				f.Client.Do(context.Background(), client.Request{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1}).Status == http.StatusOK
 		}))
 	}
 }
--- a/scenario/poison_test.go
+++ b/scenario/poison_test.go
@@ -88,7 +88,7 @@
 
 // ask sends a model request to a host and returns its result.
 func (x *poisonRun) ask(host int, prompt string) client.Result {
-	return x.f.Client.Do(x.ctx, client.Ask{
+	return x.f.Client.Do(x.ctx, client.Request{
 		Host: x.d.Hosts[host].Listen.Callers, Service: x.d.Spec.Model.Name, Prompt: prompt, Tokens: 8, Stream: true,
 		Timeout: 3 * time.Second,
 	})
@@ -114,7 +114,7 @@
 		r := x.ask(rnd.IntN(len(x.d.Hosts)), "parcel "+time.Now().String())
 		x.mu.Lock()
 		switch {
-		case r.Whole:
+		case r.Complete:
 			x.otherOutcomes["answered"]++
 		default:
 			x.otherOutcomes[r.Outcome+" "+r.Reason]++
@@ -143,10 +143,10 @@
 		if e.Service != x.d.Spec.Model.Name {
 			continue
 		}
-		var l engine.Life
+		var l engine.CrashHistory
 		err := x.f.Await(x.ctx, e.Name, func() bool { return x.f.Client.Get(x.ctx, e.Addr, "/life", &l) == nil })
 		assert.NilError(x.t, err)
-		crashes, arrivals = append(crashes, l.Ends...), append(arrivals, l.Deadly...)
+		crashes, arrivals = append(crashes, l.Crashes...), append(arrivals, l.PoisonRequests...)
 	}
 	slices.SortFunc(crashes, time.Time.Compare)
 	slices.SortFunc(arrivals, time.Time.Compare)
@@ -232,7 +232,7 @@
 		assert.NilError(t, x.f.StartHost(h.Host))
 	}
 	for i, h := range x.d.Hosts {
-		assert.NilError(t, x.f.Await(x.ctx, h.Host+" serves", func() bool { return x.ask(i, "x").Whole }))
+		assert.NilError(t, x.f.Await(x.ctx, h.Host+" serves", func() bool { return x.ask(i, "x").Complete }))
 	}
 	assert.Equal(t, x.poisonArrivals(), 0)
 }
@@ -298,9 +298,9 @@
 	x.t.Helper()
 	for _, r := range x.d.Spec.Regions {
 		if r.Name != region {
-			assert.NilError(x.t, x.f.Cut(x.ctx, region, r.Name, cut))
-			assert.NilError(x.t, x.f.Cut(x.ctx, r.Name, region, cut))
+			assert.NilError(x.t, x.f.CutLink(x.ctx, region, r.Name, cut))
+			assert.NilError(x.t, x.f.CutLink(x.ctx, r.Name, region, cut))
 		}
 	}
-	assert.NilError(x.t, x.f.Cut(x.ctx, region, deployment.PlatformName, cut))
+	assert.NilError(x.t, x.f.CutLink(x.ctx, region, deployment.PlatformName, cut))
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -76,7 +76,7 @@
 	f.Close()
 	programFailures.Lock()
 	defer programFailures.Unlock()
-	programFailures.list = append(programFailures.list, f.Complaints()...)
+	programFailures.list = append(programFailures.list, f.RacesAndPanics()...)
 }
 
 // newFleet starts the small deployment, of three regions with so many hosts and engines each, on
@@ -87,7 +87,7 @@
 	d := deployment.Build(spec)
 	f, err := fleet.Start(context.Background(), fleet.Config{
 		Deployment: d, Binaries: binaries, Directory: dir, EngineArgs: engineArgs,
-		Leave: 500 * time.Millisecond, Poll: 200 * time.Millisecond,
+		LeaveTime: 500 * time.Millisecond, PollInterval: 200 * time.Millisecond,
 	})
 	return f, d, err
 }
@@ -99,7 +99,7 @@
 
 	mu       sync.Mutex // guards the maps, whose keys are names of requests in the script
 	results  map[string]client.Result
-	requests map[string]client.Ask
+	requests map[string]client.Request
 	pending  map[string]chan struct{}
 }
 
@@ -108,7 +108,7 @@
 	scripts := sync.Map{}
 	stateOf := func(ts *testscript.TestScript) *script {
 		s, _ := scripts.LoadOrStore(ts.Name(), &script{
-			results: map[string]client.Result{}, requests: map[string]client.Ask{}, pending: map[string]chan struct{}{},
+			results: map[string]client.Result{}, requests: map[string]client.Request{}, pending: map[string]chan struct{}{},
 		})
 		return s.(*script)
 	}
--- a/scenario/soak_test.go
+++ b/scenario/soak_test.go
@@ -27,8 +27,8 @@
 			spec, err := deployment.Sized(int(firstAddressSlot+addressSlots.Add(1)), 3, 2, 1)
 			assert.NilError(t, err)
 			report, err := soak.Run(context.Background(), soak.Config{
-				Seed: seed, Length: length, Rate: rate, Callers: callers, Spec: spec, Binaries: binaries, Directory: t.TempDir(),
-				Deadly: seed == regularSeed, Rates: seed == regularSeed, Words: seed == regularSeed, // the failed seeds run as they did when they failed
+				Seed: seed, RunLength: length, FaultRate: rate, CallersPerHost: callers, Spec: spec, Binaries: binaries, Directory: t.TempDir(),
+				PoisonRequests: seed == regularSeed, RateLimits: seed == regularSeed, Announcements: seed == regularSeed, // the failed seeds run as they did when they failed
 			})
 			assert.NilError(t, err)
 			assert.Equal(t, len(report.Violations), 0, "%v", report.Violations)
--- a/soak/announcements.go
+++ b/soak/announcements.go
@@ -32,13 +32,13 @@
 		name := modelEngines[rnd.IntN(len(modelEngines))]
 		length := minLeavingDuration + time.Duration(rnd.Float64()*float64(maxLeavingDuration-minLeavingDuration))
 		if rnd.IntN(3) == 0 {
-			c.announce(ctx, name, engine.Words{Away: pauseSeconds})
-		} else if c.announce(ctx, name, engine.Words{Leaving: "1"}) {
+			c.announce(ctx, name, engine.Announcement{RejectSeconds: pauseSeconds})
+		} else if c.announce(ctx, name, engine.Announcement{Leaving: "1"}) {
 			from := time.Now()
 			sleep(ctx, length)
 			c.checkLeavingEngine(context.WithoutCancel(ctx), name, from)
 		}
-		c.announce(context.WithoutCancel(ctx), name, engine.Words{Anew: true})
+		c.announce(context.WithoutCancel(ctx), name, engine.Announcement{NewInstance: true})
 		sleep(ctx, leavingPause)
 	}
 }
@@ -56,7 +56,7 @@
 
 // announce makes an engine announce its availability in its responses. It returns false if the
 // engine could not be reached.
-func (c *checker) announce(ctx context.Context, name string, w engine.Words) bool {
+func (c *checker) announce(ctx context.Context, name string, w engine.Announcement) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	addr, err := c.fleet.EndpointAddr(name)
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	var words engine.Words
+	var words engine.Announcement
 	var list []ledger.Execution
 	addr, err := c.fleet.EndpointAddr(name)
 	if err == nil {
--- a/soak/check.go
+++ b/soak/check.go
@@ -152,12 +152,12 @@
 
 // checkModelResponse checks the content, the order and the duration of a response to a model
 // request.
-func (c *checker) checkModelResponse(a client.Ask, host string, began time.Time, r client.Result) {
-	want := a.Want()
+func (c *checker) checkModelResponse(a client.Request, host string, began time.Time, r client.Result) {
+	want := a.ExpectedText()
 	switch {
-	case r.Whole && r.Status == 200 && r.Text != want:
+	case r.Complete && r.Status == 200 && r.Text != want:
 		c.recordViolation("a complete response has the right content", "%s: got %q, want %q", host, r.Text, want)
-	case r.Status == 200 && !r.Whole && r.Err == nil:
+	case r.Status == 200 && !r.Complete && r.Err == nil:
 		c.recordViolation("a response that ends early does not look complete", "%s: ended without an error after %q", host, r.Text)
 	case len(r.Text) > len(want) || r.Text != want[:len(r.Text)]:
 		c.recordViolation("a stream arrives in order", "%s: %q is not a prefix of %q", host, r.Text, want)
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -27,8 +27,8 @@
 // each case gives the checker what a caller, an endpoint or a host may show, and the promise that
 // this breaks, if any.
 func TestPromiseChecks(t *testing.T) {
-	ask := client.Ask{Prompt: "p", Tokens: 3, Timeout: time.Second}
-	want := ask.Want()
+	ask := client.Request{Prompt: "p", Tokens: 3, Timeout: time.Second}
+	want := ask.ExpectedText()
 	began := time.Now()
 	at := func(n int, outcome, text string) attempt {
 		return attempt{began: began.Add(time.Duration(n) * time.Second), outcome: outcome, text: text}
@@ -38,13 +38,13 @@
 		want    string
 	}{
 		"right content": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: want})
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: want})
 		}, ""},
 		"wrong content": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: "x"})
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: "x"})
 		}, "a complete response has the right content"},
 		"short response that looks complete": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Whole: true, Text: want[:2]})
+			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: want[:2]})
 		}, "a complete response has the right content"},
 		"cut response": {func(c *checker) {
 			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[:2], Err: io.ErrUnexpectedEOF})
@@ -121,11 +121,11 @@
 		config    Config
 		wantError string
 	}{
-		"in bounds":  {Config{Length: time.Second, Rate: 1, Callers: 1, Spec: spec}, ""},
-		"no length":  {Config{Rate: 1, Callers: 1, Spec: spec}, "length"},
-		"fault rate": {Config{Length: time.Second, Rate: 99, Callers: 1, Spec: spec}, "faults a second"},
-		"callers":    {Config{Length: time.Second, Rate: 1, Callers: 99, Spec: spec}, "callers"},
-		"processes":  {Config{Length: time.Second, Rate: 1, Callers: 1, Spec: deployment.Small(1, 40, 40)}, "processes"},
+		"in bounds":  {Config{RunLength: time.Second, FaultRate: 1, CallersPerHost: 1, Spec: spec}, ""},
+		"no length":  {Config{FaultRate: 1, CallersPerHost: 1, Spec: spec}, "length"},
+		"fault rate": {Config{RunLength: time.Second, FaultRate: 99, CallersPerHost: 1, Spec: spec}, "faults a second"},
+		"callers":    {Config{RunLength: time.Second, FaultRate: 1, CallersPerHost: 99, Spec: spec}, "callers"},
+		"processes":  {Config{RunLength: time.Second, FaultRate: 1, CallersPerHost: 1, Spec: deployment.Small(1, 40, 40)}, "processes"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/soak/driver.go
+++ b/soak/driver.go
@@ -62,7 +62,7 @@
 // sendModelRequest sends a model request with a random prompt and length, and checks the response.
 func (v *driver) sendModelRequest(ctx context.Context, host int, stream bool, workspace string) {
 	h := v.d.Hosts[host]
-	a := client.Ask{
+	a := client.Request{
 		Host: h.Listen.Callers, Service: v.d.Spec.Model.Name, Workspace: workspace, Stream: stream, Timeout: modelTimeout,
 		Prompt: fmt.Sprintf("a drawing with the number %d", v.rnd.IntN(promptCount)), Tokens: 1 + v.rnd.IntN(maxTokens),
 	}
@@ -91,7 +91,7 @@
 // response that broke off, or unknown.
 func outcomeOf(r client.Result) string {
 	switch {
-	case r.Status == http.StatusOK && r.Whole:
+	case r.Status == http.StatusOK && r.Complete:
 		return "answered"
 	case r.Outcome == "not-run":
 		return "not-run"
@@ -114,7 +114,7 @@
 		to := v.d.Hosts[host]
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), modelTimeout+maxOverrun)
 		began := time.Now()
-		r := v.client.Plain(callCtx, to.Listen.Callers, http.MethodPost, v.d.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4")
+		r := v.client.CallPlain(callCtx, to.Listen.Callers, http.MethodPost, v.d.Spec.Plain.Name, "/bookings", hosts.Key, "", "mill 4")
 		cancel()
 		result := v.countOutcome(ctx, r)
 		if result == "cut" {
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -59,8 +59,8 @@
 
 // faultCalls returns the functions that set and clear a fault by a call to a stand-in.
 func (j *injector) faultCalls(ctx context.Context, e Fault) (set, clear func() error) {
-	linkFault := func(t link.Trouble) func() error {
-		return func() error { return j.fleet.Trouble(context.WithoutCancel(ctx), e.Target, e.To, t) }
+	linkFault := func(t link.Fault) func() error {
+		return func() error { return j.fleet.SetLinkFault(context.WithoutCancel(ctx), e.Target, e.To, t) }
 	}
 	storeFault := func(f kv.Faults) func() error {
 		return func() error { return j.fleet.Client.Put(context.WithoutCancel(ctx), j.d.Store, "/faults", f) }
@@ -76,13 +76,13 @@
 	}
 	switch e.Kind {
 	case LinkCut:
-		return linkFault(link.Trouble{Cut: true}), linkFault(link.Trouble{})
+		return linkFault(link.Fault{Cut: true}), linkFault(link.Fault{})
 	case LinkCutOneWay:
-		return linkFault(link.Trouble{Forth: true}), linkFault(link.Trouble{})
+		return linkFault(link.Fault{HoldOutbound: true}), linkFault(link.Fault{})
 	case LinkReset:
-		return linkFault(link.Trouble{Reset: true}), linkFault(link.Trouble{Reset: true})
+		return linkFault(link.Fault{Reset: true}), linkFault(link.Fault{Reset: true})
 	case LinkSlow:
-		return linkFault(link.Trouble{Delay: addedDelay}), linkFault(link.Trouble{})
+		return linkFault(link.Fault{Delay: addedDelay}), linkFault(link.Fault{})
 	case StoreDown:
 		return storeFault(kv.Faults{Outage: true}), storeFault(kv.Faults{})
 	case StoreSilent:
@@ -165,11 +165,11 @@
 
 // freeze suspends a process for the fault's duration.
 func (j *injector) freeze(ctx context.Context, e Fault) error {
-	if err := j.fleet.Freeze(e.Target); err != nil {
+	if err := j.fleet.Suspend(e.Target); err != nil {
 		return err
 	}
 	sleep(ctx, e.Duration)
-	return j.fleet.Thaw(e.Target)
+	return j.fleet.Resume(e.Target)
 }
 
 // killEngine kills an engine and starts it again. It first keeps the engine's records of what it
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -26,7 +26,7 @@
 func (v *driver) sendPoisonRequests(ctx context.Context) {
 	for ctx.Err() == nil {
 		h := v.d.Hosts[v.rnd.IntN(len(v.d.Hosts))]
-		r := v.client.Do(ctx, client.Ask{
+		r := v.client.Do(ctx, client.Request{
 			Host: h.Listen.Callers, Service: v.d.Spec.Model.Name, Stream: true, Timeout: modelTimeout, Prompt: poisonPrompt, Tokens: maxTokens,
 		})
 		switch {
@@ -57,11 +57,11 @@
 	if err != nil {
 		return 0
 	}
-	var l engine.Life
+	var l engine.CrashHistory
 	if c.fleet.Client.Get(ctx, addr, "/life", &l) != nil {
 		c.note("poison arrivals not read: engine not reached")
 	}
-	return len(l.Deadly)
+	return len(l.PoisonRequests)
 }
 
 // checkPoisonArrivals checks how often the poison request reached engines. Each region may need
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -24,21 +24,21 @@
 
 // Config holds the parameters of a run.
 type Config struct {
-	Seed      uint64        // of the schedule of faults and of the requests
-	Length    time.Duration // how long faults are injected
-	Rate      float64       // faults a second
-	Callers   int           // for each host
-	Spec      deployment.Spec
-	Binaries  string    // directory of the programs
-	Directory string    // for settings files and logs
-	Progress  io.Writer // receives a line every few seconds; nil: none
-	// Deadly makes one caller send a poison request, which crashes engines, again and again.
-	Deadly bool
-	// Rates makes engines advertise a rate limit in their responses, one engine at a time.
-	Rates bool
-	// Words makes engines announce that they are leaving, or reject requests and ask hosts to
+	Seed           uint64        // of the schedule of faults and of the requests
+	RunLength      time.Duration // how long faults are injected
+	FaultRate      float64       // faults a second
+	CallersPerHost int           // for each host
+	Spec           deployment.Spec
+	Binaries       string    // directory of the programs
+	Directory      string    // for settings files and logs
+	Progress       io.Writer // receives a line every few seconds; nil: none
+	// PoisonRequests makes one caller send a poison request, which crashes engines, again and again.
+	PoisonRequests bool
+	// RateLimits makes engines advertise a rate limit in their responses, one engine at a time.
+	RateLimits bool
+	// Announcements makes engines announce that they are leaving, or reject requests and ask hosts to
 	// pause, one engine at a time.
-	Words bool
+	Announcements bool
 }
 
 // Bounds of a run: what one machine can run, and how long a person waits for it.
@@ -53,15 +53,15 @@
 func (c *Config) Check() error {
 	processes := 3
 	for _, r := range c.Spec.Regions {
-		processes += r.Hosts + r.Engines + r.Plains
+		processes += r.Hosts + r.Engines + r.PlainEndpoints
 	}
 	switch {
-	case c.Length <= 0 || c.Length > maxRunLength:
-		return errors.Errorf("soak: length %s is out of bounds: must be above 0 and at most %s", c.Length, maxRunLength)
-	case c.Rate <= 0 || c.Rate > maxFaultRate:
-		return errors.Errorf("soak: %g faults a second are out of bounds: must be above 0 and at most %g", c.Rate, maxFaultRate)
-	case c.Callers <= 0 || c.Callers > maxCallersPerHost:
-		return errors.Errorf("soak: %d callers for each host are out of bounds: must be 1 to %d", c.Callers, maxCallersPerHost)
+	case c.RunLength <= 0 || c.RunLength > maxRunLength:
+		return errors.Errorf("soak: length %s is out of bounds: must be above 0 and at most %s", c.RunLength, maxRunLength)
+	case c.FaultRate <= 0 || c.FaultRate > maxFaultRate:
+		return errors.Errorf("soak: %g faults a second are out of bounds: must be above 0 and at most %g", c.FaultRate, maxFaultRate)
+	case c.CallersPerHost <= 0 || c.CallersPerHost > maxCallersPerHost:
+		return errors.Errorf("soak: %d callers for each host are out of bounds: must be 1 to %d", c.CallersPerHost, maxCallersPerHost)
 	case processes > maxProcesses:
 		return errors.Errorf("soak: %d processes are too many: must be at most %d", processes, maxProcesses)
 	}
@@ -87,7 +87,7 @@
 	d := deployment.Build(c.Spec)
 	f, err := fleet.Start(ctx, fleet.Config{
 		Deployment: d, Binaries: c.Binaries, Directory: c.Directory, EngineArgs: c.engineArgs(),
-		Leave: leaveDelay, Poll: pollInterval,
+		LeaveTime: leaveDelay, PollInterval: pollInterval,
 	})
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 	if err := configure(ctx, f, &d, c.Directory); err != nil {
 		return nil, err
 	}
-	faults := Schedule(c.Seed, c.Length, c.Rate, &d)
+	faults := Schedule(c.Seed, c.RunLength, c.FaultRate, &d)
 	r := &run{cfg: c, fleet: f, d: &d, checks: newChecker(f, &d, faults), report: &Report{Seed: c.Seed, Faults: faults, Outcomes: Tally{}}}
 	if err := r.execute(ctx); err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 // listens again after poisonRestartDelay.
 func (c *Config) engineArgs() []string {
 	args := []string{"--step=5ms"}
-	if c.Deadly {
+	if c.PoisonRequests {
 		args = append(args, "--deadly="+poisonPrompt, "--back="+poisonRestartDelay.String())
 	}
 	return args
@@ -135,7 +135,7 @@
 	}
 	for _, h := range d.Hosts {
 		err := f.Await(ctx, h.Host+" ready", func() bool {
-			ask := client.Ask{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1, Timeout: modelTimeout}
+			ask := client.Request{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1, Timeout: modelTimeout}
 			return f.Client.Get(ctx, h.Listen.Callers, "/readyz", nil) == nil && f.Client.Do(ctx, ask).Status == 200
 		})
 		if err != nil {
@@ -164,7 +164,7 @@
 	var callers, faults conc.WaitGroup
 	var drivers []*driver
 	for host := range r.d.Hosts {
-		for n := range r.cfg.Callers {
+		for n := range r.cfg.CallersPerHost {
 			v := &driver{
 				d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, uint64(host*maxCallersPerHost+n))),
 				homeHost: host, outcomes: Tally{}, recordOutcome: r.recordOutcome,
@@ -173,18 +173,18 @@
 			callers.Go(func() { v.run(callersCtx) })
 		}
 	}
-	if r.cfg.Deadly {
+	if r.cfg.PoisonRequests {
 		v := &driver{d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, 1<<20)), outcomes: Tally{}, recordOutcome: func(time.Time, string) {}}
 		callers.Go(func() { v.sendPoisonRequests(callersCtx) })
 	}
 	callers.Go(func() { r.checks.watchRevisions(callersCtx) })
 	callers.Go(func() { r.writeProgress(callersCtx) })
-	announceCtx, stopAnnouncing := context.WithDeadline(ctx, r.checks.startedAt.Add(r.cfg.Length))
+	announceCtx, stopAnnouncing := context.WithDeadline(ctx, r.checks.startedAt.Add(r.cfg.RunLength))
 	defer stopAnnouncing()
-	if r.cfg.Rates {
+	if r.cfg.RateLimits {
 		faults.Go(func() { r.checks.advertiseRateLimits(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<21))) })
 	}
-	if r.cfg.Words {
+	if r.cfg.Announcements {
 		faults.Go(func() { r.checks.announceAvailability(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<22))) })
 	}
 	errs := make(chan error, len(r.report.Faults)+1)
@@ -196,18 +196,18 @@
 			}
 		})
 	}
-	sleep(ctx, time.Until(r.checks.startedAt.Add(r.cfg.Length)))
+	sleep(ctx, time.Until(r.checks.startedAt.Add(r.cfg.RunLength)))
 	faults.Wait()
 	errs <- r.checkRecovery(ctx)
 	stop()
 	callers.Wait()
-	if r.cfg.Deadly {
+	if r.cfg.PoisonRequests {
 		sleep(ctx, 2*poisonRestartDelay) // until the engines that crashed last listen again
 	}
 	if err := r.checks.checkExecutions(ctx); err != nil {
 		return err
 	}
-	if r.cfg.Deadly {
+	if r.cfg.PoisonRequests {
 		r.checks.checkPoisonArrivals(ctx)
 	}
 	r.checks.checkRateLimits(ctx)
@@ -216,7 +216,7 @@
 			r.report.Outcomes[outcome] += n
 		}
 	}
-	for _, line := range r.fleet.Complaints() {
+	for _, line := range r.fleet.RacesAndPanics() {
 		r.checks.recordViolation("no program panics or races", "%s", line)
 	}
 	r.report.Violations, r.report.Notes = r.checks.violations, r.checks.notes
@@ -260,7 +260,7 @@
 // answers at least minAnsweredShare of the requests.
 func (r *run) checkRecovery(ctx context.Context) error {
 	for _, h := range r.d.Hosts {
-		if err := r.fleet.HostUp(ctx, h.Host); err != nil {
+		if err := r.fleet.AwaitHost(ctx, h.Host); err != nil {
 			return err
 		}
 	}
@@ -293,6 +293,6 @@
 		broken := len(r.checks.violations)
 		r.checks.mu.Unlock()
 		_, _ = fmt.Fprintf(r.cfg.Progress, "seed %d, %s of %s, %d promises broken\n", r.cfg.Seed,
-			time.Since(r.checks.startedAt).Round(time.Second), r.cfg.Length, broken)
+			time.Since(r.checks.startedAt).Round(time.Second), r.cfg.RunLength, broken)
 	}
 }
--- a/standin/agenda/agenda.go
+++ b/standin/agenda/agenda.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Agenda holds the scheduled events, ordered by time. It is not safe for
+// EventQueue holds the scheduled events, ordered by time. It is not safe for
 // concurrent use.
-type Agenda struct {
+type EventQueue struct {
 	queue        queue
 	lastSequence int // of the newest event
 }
@@ -22,16 +22,16 @@
 	do       func()
 }
 
-// Put schedules do for a virtual time. Events of the same time run in the order
+// Schedule schedules do for a virtual time. Events of the same time run in the order
 // in which they were put.
-func (a *Agenda) Put(at time.Time, do func()) {
+func (a *EventQueue) Schedule(at time.Time, do func()) {
 	a.lastSequence++
 	heap.Push(&a.queue, event{at: at, sequence: a.lastSequence, do: do})
 }
 
-// Take removes the earliest event and returns it with its time. ok is false if
+// Next removes the earliest event and returns it with its time. ok is false if
 // there is no event, or if the earliest one is after until: it stays queued.
-func (a *Agenda) Take(until time.Time) (at time.Time, do func(), ok bool) {
+func (a *EventQueue) Next(until time.Time) (at time.Time, do func(), ok bool) {
 	if len(a.queue) == 0 || a.queue[0].at.After(until) {
 		return time.Time{}, nil, false
 	}
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -29,10 +29,10 @@
 	Reason           string
 	Detail           string
 	RetryAt          time.Time     // when Retry-After of a problem document is over; zero: it has none
-	Whole            bool          // the answer was received to its end: the whole body, or the last event of a stream
+	Complete         bool          // the answer was received to its end: the whole body, or the last event of a stream
 	Text             string        // content of the answer, as far as it was received
-	LastID           string        // id of the newest event
-	Where            string        // name of the endpoint, from X-Vetchtrail-Endpoint
+	LastEventID      string        // id of the newest event
+	Endpoint         string        // name of the endpoint, from X-Vetchtrail-Endpoint
 	TimeToFirstToken time.Duration // until the first event, or the body of an answer that is not streamed
 	Took             time.Duration // from sending the request to the end of the answer
 	Err              error         // why the request could not be sent or the answer not be read
@@ -49,34 +49,36 @@
 	}}}
 }
 
-// Ask is a completion request to a model service.
-type Ask struct {
-	Host       netip.AddrPort // entry host
-	Service    string
-	Workspace  string // empty: none is named
-	Prompt     string
-	Tokens     int // of the answer
-	Stream     bool
-	Key        string        // idempotency key; empty: none
-	Timeout    time.Duration // sent as Request-Timeout; 0: none is sent
-	LastID     string        // resume after the event of this id; empty: from the start
-	Window     int           // seconds for which the stream may be resumed; 0: none is sent
-	StopAfter  int           // events after which the client closes the connection; 0: never
-	Credential string        // API key of a workspace; empty: none is sent
+// Request is a completion request to a model service.
+type Request struct {
+	Host                netip.AddrPort // entry host
+	Service             string
+	Workspace           string // empty: none is named
+	Prompt              string
+	Tokens              int // of the answer
+	Stream              bool
+	Key                 string        // idempotency key; empty: none
+	Timeout             time.Duration // sent as Request-Timeout; 0: none is sent
+	LastEventID         string        // resume after the event of this id; empty: from the start
+	ResumeWindowSeconds int           // seconds for which the stream may be resumed; 0: none is sent
+	StopAfter           int           // events after which the client closes the connection; 0: never
+	Credential          string        // API key of a workspace; empty: none is sent
 }
 
 // rawPrompt returns the prompt as the engine sees it: the JSON of the message's
 // content.
-func (a Ask) rawPrompt() string {
+func (a Request) rawPrompt() string {
 	b, _ := json.Marshal(a.Prompt)
 	return string(b)
 }
 
-// Want returns the complete answer that the engine must give.
-func (a Ask) Want() string { return engine.Answer(a.rawPrompt(), a.Tokens) }
+// ExpectedText returns the complete answer that the engine must give.
+func (a Request) ExpectedText() string { return engine.Answer(a.rawPrompt(), a.Tokens) }
 
-// Right reports whether a result is the complete and correct answer.
-func (a Ask) Right(r Result) bool { return r.Status == http.StatusOK && r.Whole && r.Text == a.Want() }
+// IsCorrect reports whether a result is the complete and correct answer.
+func (a Request) IsCorrect(r Result) bool {
+	return r.Status == http.StatusOK && r.Complete && r.Text == a.ExpectedText()
+}
 
 // message is a message of a completion request.
 type message struct {
@@ -94,7 +96,7 @@
 
 // Do sends a completion request and reads its answer to the end, or up to the event
 // of StopAfter.
-func (c *Client) Do(ctx context.Context, a Ask) Result {
+func (c *Client) Do(ctx context.Context, a Request) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	text, _ := json.Marshal(completionRequest{
@@ -107,9 +109,9 @@
 		h.Set("Authorization", "Bearer "+a.Credential)
 	}
 	setNonEmpty(h, "Idempotency-Key", a.Key)
-	setNonEmpty(h, "Last-Event-Id", a.LastID)
-	if a.Window > 0 {
-		h.Set("Resume-Window", strconv.Itoa(a.Window))
+	setNonEmpty(h, "Last-Event-Id", a.LastEventID)
+	if a.ResumeWindowSeconds > 0 {
+		h.Set("Resume-Window", strconv.Itoa(a.ResumeWindowSeconds))
 	}
 	if a.Timeout > 0 {
 		h.Set("Request-Timeout", strconv.FormatFloat(a.Timeout.Seconds(), 'f', 3, 64))
@@ -124,8 +126,8 @@
 	}
 }
 
-// Plain sends a request to a plain service. An empty key or workspace is not sent.
-func (c *Client) Plain(ctx context.Context, host netip.AddrPort, method, service, path, key, workspace, text string) Result {
+// CallPlain sends a request to a plain service. An empty key or workspace is not sent.
+func (c *Client) CallPlain(ctx context.Context, host netip.AddrPort, method, service, path, key, workspace, text string) Result {
 	h := http.Header{}
 	setNonEmpty(h, "Idempotency-Key", key)
 	setNonEmpty(h, "X-Workspace", workspace)
@@ -146,7 +148,7 @@
 		return Result{Err: err, Took: time.Since(began)}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	r := Result{Status: resp.StatusCode, Where: resp.Header.Get("X-Vetchtrail-Endpoint")}
+	r := Result{Status: resp.StatusCode, Endpoint: resp.Header.Get("X-Vetchtrail-Endpoint")}
 	switch resp.Header.Get("Content-Type") {
 	case "text/event-stream":
 		r.readEvents(resp.Body, began, stopAfter)
@@ -178,7 +180,7 @@
 func (r *Result) readBody(in io.Reader, began time.Time) {
 	text, err := io.ReadAll(in)
 	r.TimeToFirstToken = time.Since(began)
-	r.Text, r.Err, r.Whole = string(text), err, err == nil
+	r.Text, r.Err, r.Complete = string(text), err, err == nil
 	var chunk engine.Chunk
 	if json.Unmarshal(text, &chunk) == nil && len(chunk.Choices) == 1 && chunk.Choices[0].Message != nil {
 		r.Text = chunk.Choices[0].Message.Content
@@ -193,14 +195,14 @@
 	for s.Scan() {
 		line := s.Text()
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
-			r.LastID = id
+			r.LastEventID = id
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			r.Whole = true
+			r.Complete = true
 			continue
 		}
 		if r.TimeToFirstToken == 0 {
@@ -217,7 +219,7 @@
 		}
 	}
 	if r.Err = s.Err(); r.Err != nil {
-		r.Whole = false
+		r.Complete = false
 	}
 }
 
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -52,11 +52,11 @@
 
 // RegionSpec is a region with one data centre.
 type RegionSpec struct {
-	Name       string
-	DataCentre string
-	Hosts      int
-	Engines    int // endpoints of the model service
-	Plains     int // endpoints of the plain service
+	Name           string
+	DataCentre     string
+	Hosts          int
+	Engines        int // endpoints of the model service
+	PlainEndpoints int // endpoints of the plain service
 }
 
 // ServiceSpec is a service.
@@ -86,9 +86,9 @@
 	return Spec{
 		Subnet: subnet, Delay: 20 * time.Millisecond,
 		Regions: []RegionSpec{
-			{Name: "pl-south", DataCentre: "krk-hala", Hosts: 3, Engines: 4, Plains: 1},
-			{Name: "pl-central", DataCentre: "lodz-hala", Hosts: 3, Engines: 4, Plains: 1},
-			{Name: "pl-north", DataCentre: "gdn-hala", Hosts: 2, Engines: 4, Plains: 1},
+			{Name: "pl-south", DataCentre: "krk-hala", Hosts: 3, Engines: 4, PlainEndpoints: 1},
+			{Name: "pl-central", DataCentre: "lodz-hala", Hosts: 3, Engines: 4, PlainEndpoints: 1},
+			{Name: "pl-north", DataCentre: "gdn-hala", Hosts: 2, Engines: 4, PlainEndpoints: 1},
 		},
 		Model: ServiceSpec{Name: "quote-model", Weights: document.Weights{Tail: 1, Away: 0.1, Cost: 0.01}, Slots: 8, Within: 20 * time.Second, Queue: 64},
 		Plain: ServiceSpec{Name: "portal-app", Weights: document.Weights{Tail: 1, Away: 0.1, Cost: 0.01}, Slots: 64, Within: 5 * time.Second, Queue: 64},
@@ -101,9 +101,9 @@
 	return Spec{
 		Subnet: subnet, Delay: 25 * time.Millisecond,
 		Regions: []RegionSpec{
-			{Name: "ardeal", DataCentre: "cluj-hall", Hosts: 3, Engines: 4, Plains: 1},
-			{Name: "moldova", DataCentre: "iasi-hall", Hosts: 2, Engines: 4, Plains: 1},
-			{Name: "muntenia", DataCentre: "ploiesti-hall", Hosts: 2, Engines: 4, Plains: 1},
+			{Name: "ardeal", DataCentre: "cluj-hall", Hosts: 3, Engines: 4, PlainEndpoints: 1},
+			{Name: "moldova", DataCentre: "iasi-hall", Hosts: 2, Engines: 4, PlainEndpoints: 1},
+			{Name: "muntenia", DataCentre: "ploiesti-hall", Hosts: 2, Engines: 4, PlainEndpoints: 1},
 		},
 		Model: ServiceSpec{Name: "deed-reader", Weights: document.Weights{Tail: 1, Away: 3, Cost: 0.01}, Slots: 8, Within: 20 * time.Second, Queue: 64},
 		Plain: ServiceSpec{Name: "map-viewer", Weights: document.Weights{Tail: 1, Away: 3, Cost: 0.01}, Slots: 64, Within: 5 * time.Second, Queue: 64},
@@ -191,7 +191,7 @@
 	for n := range r.Engines {
 		d.addEndpoint(r, d.Spec.Model, fmt.Sprintf("%s-engine-%d", r.DataCentre, n+1), addr(i+1, d.Spec.Subnet, firstEngineNumber+n, portEngine))
 	}
-	for n := range r.Plains {
+	for n := range r.PlainEndpoints {
 		d.addEndpoint(r, d.Spec.Plain, fmt.Sprintf("%s-app-%d", r.DataCentre, n+1), addr(i+1, d.Spec.Subnet, firstPlainNumber+n, portEngine))
 	}
 	d.Document.Workspaces = append(d.Document.Workspaces, document.Workspace{
--- a/standin/engine/announcement.go
+++ b/standin/engine/announcement.go
@@ -9,13 +9,13 @@
 	"vetchtrail/connection/dialect"
 )
 
-// Words are what an engine announces about its availability in its answers, in
+// Announcement are what an engine announces about its availability in its answers, in
 // addition to its rate limit.
-type Words struct {
-	Leaving string `json:"leaving"` // value of the header X-Leaving in all answers; empty: no header
-	Away    string `json:"away"`    // Retry-After, in seconds, with which it rejects all requests; empty: it accepts them
-	// Anew makes it announce this as a new process instance: its uptime starts again.
-	Anew bool `json:"anew"`
+type Announcement struct {
+	Leaving       string `json:"leaving"` // value of the header X-Leaving in all answers; empty: no header
+	RejectSeconds string `json:"away"`    // Retry-After, in seconds, with which it rejects all requests; empty: it accepts them
+	// NewInstance makes it announce this as a new process instance: its uptime starts again.
+	NewInstance bool `json:"anew"`
 }
 
 // uptimeMillis returns the time since the process instance started, at least 1
@@ -30,7 +30,7 @@
 		writeJSON(ctx, s.announced)
 		return
 	}
-	var w Words
+	var w Announcement
 	if err := json.Unmarshal(ctx.PostBody(), &w); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.announced = w
-	if w.Anew {
+	if w.NewInstance {
 		s.startedAt = time.Now()
 	}
 }
@@ -69,5 +69,5 @@
 func (s *Server) rejectSeconds() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.announced.Away
+	return s.announced.RejectSeconds
 }
--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -10,22 +10,22 @@
 	"vetchtrail/standin/listen"
 )
 
-// Mortality is how an engine crashes under a poison request, and comes back.
-type Mortality struct {
-	Prompt string        // a request is a poison request if its prompt contains this text; empty: none is
-	After  time.Duration // from the start of the request to the crash
-	Back   time.Duration // from the crash until the engine listens again, with empty state
+// CrashConfig is how an engine crashes under a poison request, and comes back.
+type CrashConfig struct {
+	PoisonText   string        // a request is a poison request if its prompt contains this text; empty: none is
+	CrashDelay   time.Duration // from the start of the request to the crash
+	RestartDelay time.Duration // from the crash until the engine listens again, with empty state
 }
 
-// Life is the history of an engine's crashes.
-type Life struct {
-	Ends []time.Time `json:"ends"` // time of each crash
+// CrashHistory is the history of an engine's crashes.
+type CrashHistory struct {
+	Crashes []time.Time `json:"ends"` // time of each crash
 	// InFlight is the number of requests at each crash, running and queued, the
 	// poison request included.
 	InFlight []int `json:"beside"`
-	// Deadly is the time at which each poison request was started. It includes those
+	// PoisonRequests is the time at which each poison request was started. It includes those
 	// that caused no crash themselves, as the engine crashed under an earlier one.
-	Deadly []time.Time `json:"deadly"`
+	PoisonRequests []time.Time `json:"deadly"`
 }
 
 // serveWithCrashes handles the requests on a listener. After each crash it waits,
@@ -45,7 +45,7 @@
 		if ctx.Err() != nil || err != nil {
 			return err
 		}
-		sleep(ctx, s.cfg.Mortality.Back)
+		sleep(ctx, s.cfg.Crash.RestartDelay)
 		var lc net.ListenConfig
 		if l, err = lc.Listen(ctx, "tcp", l.Addr().String()); err != nil {
 			return err
@@ -60,20 +60,20 @@
 	s.ClearCache()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.announced, s.startedAt = Words{}, time.Now()
+	s.announced, s.startedAt = Announcement{}, time.Now()
 	s.streams, s.reports, s.waiting, s.running = map[string]*stream{}, nil, nil, 0
 }
 
 // crashIfPoison schedules a crash if the prompt is that of a poison request.
 func (s *Server) crashIfPoison(prompt string) {
-	if s.cfg.Mortality.Prompt == "" || !strings.Contains(prompt, s.cfg.Mortality.Prompt) {
+	if s.cfg.Crash.PoisonText == "" || !strings.Contains(prompt, s.cfg.Crash.PoisonText) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crashHistory.Deadly = append(s.crashHistory.Deadly, time.Now())
-	instance := len(s.crashHistory.Ends)
-	time.AfterFunc(s.cfg.Mortality.After, func() { s.crash(instance) })
+	s.crashHistory.PoisonRequests = append(s.crashHistory.PoisonRequests, time.Now())
+	instance := len(s.crashHistory.Crashes)
+	time.AfterFunc(s.cfg.Crash.CrashDelay, func() { s.crash(instance) })
 }
 
 // crash ends a process instance, unless it has crashed already. An instance's
@@ -81,22 +81,22 @@
 func (s *Server) crash(instance int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if instance != len(s.crashHistory.Ends) || s.abort == nil {
+	if instance != len(s.crashHistory.Crashes) || s.abort == nil {
 		return
 	}
-	s.crashHistory.Ends = append(s.crashHistory.Ends, time.Now())
+	s.crashHistory.Crashes = append(s.crashHistory.Crashes, time.Now())
 	s.crashHistory.InFlight = append(s.crashHistory.InFlight, s.running+len(s.waiting))
 	go s.abort()
 	s.abort = nil
 }
 
-// Life returns a copy of the history of crashes.
-func (s *Server) Life() Life {
+// CrashHistory returns a copy of the history of crashes.
+func (s *Server) CrashHistory() CrashHistory {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Life{
-		Ends: append([]time.Time{}, s.crashHistory.Ends...), InFlight: append([]int{}, s.crashHistory.InFlight...),
-		Deadly: append([]time.Time{}, s.crashHistory.Deadly...),
+	return CrashHistory{
+		Crashes: append([]time.Time{}, s.crashHistory.Crashes...), InFlight: append([]int{}, s.crashHistory.InFlight...),
+		PoisonRequests: append([]time.Time{}, s.crashHistory.PoisonRequests...),
 	}
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -39,8 +39,8 @@
 	Drag    float64       // share by which a step takes longer if all slots are in use
 	Cache   int           // capacity of the prefix cache, in prompt tokens
 	Lag     time.Duration // age of the load reports that it returns
-	// Mortality is how it crashes under a poison request.
-	Mortality Mortality
+	// Crash is how it crashes under a poison request.
+	Crash CrashConfig
 }
 
 // Faults are the faults that the engine injects into its requests.
@@ -66,7 +66,7 @@
 	mu           sync.Mutex
 	faults       Faults
 	rateLimit    string // requests a second, as announced in its answers; empty: not announced
-	announced    Words
+	announced    Announcement
 	startedAt    time.Time       // of the process instance; set anew after a crash
 	running      int             // slots in use
 	waiting      []chan struct{} // queue for a slot, oldest first; a channel is closed when its request gets one
@@ -74,7 +74,7 @@
 	streams      map[string]*stream // by request id
 	reports      []loadReport       // oldest first
 	stats        Stats
-	crashHistory Life
+	crashHistory CrashHistory
 	abort        func() // closes the listener and resets its connections; nil once it was called
 }
 
@@ -95,7 +95,7 @@
 // Serve handles the requests on a listener until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	go s.recordLoad(ctx)
-	if s.cfg.Mortality.Prompt != "" {
+	if s.cfg.Crash.PoisonText != "" {
 		return s.serveWithCrashes(ctx, l)
 	}
 	return listen.Serve(ctx, l, s.handle)
@@ -141,7 +141,7 @@
 	case path == "/executions":
 		s.executions.WriteJSON(ctx)
 	case path == "/life":
-		writeJSON(ctx, s.Life())
+		writeJSON(ctx, s.CrashHistory())
 	case path == "/stats":
 		writeJSON(ctx, s.Stats())
 	case strings.HasPrefix(path, "/v1/streams/"):
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -34,12 +34,12 @@
 
 // Config is what a Fleet needs.
 type Config struct {
-	Deployment deployment.Deployment
-	Binaries   string        // directory of vetchtraild, vetchtrail and standin
-	Directory  string        // for settings files and logs
-	EngineArgs []string      // additional flags of the engine stand-ins
-	Leave      time.Duration // the daemons' setting timing.leave
-	Poll       time.Duration // the daemons' setting timing.poll; 0: the default
+	Deployment   deployment.Deployment
+	Binaries     string        // directory of vetchtraild, vetchtrail and standin
+	Directory    string        // for settings files and logs
+	EngineArgs   []string      // additional flags of the engine stand-ins
+	LeaveTime    time.Duration // the daemons' setting timing.leave
+	PollInterval time.Duration // the daemons' setting timing.poll; 0: the default
 }
 
 // Fleet is a running deployment.
@@ -118,15 +118,15 @@
 		return err
 	}
 	for _, s := range f.cfg.Deployment.Hosts {
-		if err := f.HostUp(ctx, s.Host); err != nil {
+		if err := f.AwaitHost(ctx, s.Host); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// HostUp waits until the daemon of a host answers on its callers' address.
-func (f *Fleet) HostUp(ctx context.Context, name string) error {
+// AwaitHost waits until the daemon of a host answers on its callers' address.
+func (f *Fleet) AwaitHost(ctx context.Context, name string) error {
 	s, err := f.Settings(name)
 	if err != nil {
 		return err
@@ -191,9 +191,9 @@
 	for _, s := range f.cfg.Deployment.Hosts {
 		if s.Host == name {
 			s.Explain = true
-			s.Timing.Leave = f.cfg.Leave
-			if f.cfg.Poll > 0 {
-				s.Timing.Poll = f.cfg.Poll
+			s.Timing.Leave = f.cfg.LeaveTime
+			if f.cfg.PollInterval > 0 {
+				s.Timing.Poll = f.cfg.PollInterval
 			}
 			return s, nil
 		}
@@ -260,14 +260,14 @@
 	delete(f.processes, name)
 }
 
-// Freeze suspends a process until Thaw.
-func (f *Fleet) Freeze(name string) error {
+// Suspend suspends a process until Thaw.
+func (f *Fleet) Suspend(name string) error {
 	_, err := f.signal(name, syscall.SIGSTOP)
 	return err
 }
 
-// Thaw resumes a process that Freeze suspended.
-func (f *Fleet) Thaw(name string) error {
+// Resume resumes a process that Freeze suspended.
+func (f *Fleet) Resume(name string) error {
 	_, err := f.signal(name, syscall.SIGCONT)
 	return err
 }
@@ -275,19 +275,19 @@
 // linkFault is the body of the link's PUT /cut.
 type linkFault struct {
 	Link string `json:"link"`
-	link.Trouble
+	link.Fault
 }
 
-// Cut cuts the link from a region to another or to the platform, or removes all
+// CutLink cuts the link from a region to another or to the platform, or removes all
 // its faults.
-func (f *Fleet) Cut(ctx context.Context, from, to string, cut bool) error {
-	return f.Trouble(ctx, from, to, link.Trouble{Cut: cut})
+func (f *Fleet) CutLink(ctx context.Context, from, to string, cut bool) error {
+	return f.SetLinkFault(ctx, from, to, link.Fault{Cut: cut})
 }
 
-// Trouble replaces the fault of the link from a region to another or to the
+// SetLinkFault replaces the fault of the link from a region to another or to the
 // platform.
-func (f *Fleet) Trouble(ctx context.Context, from, to string, t link.Trouble) error {
-	return f.Client.Put(ctx, f.cfg.Deployment.LinkControl, "/cut", linkFault{Link: deployment.LinkName(from, to), Trouble: t})
+func (f *Fleet) SetLinkFault(ctx context.Context, from, to string, t link.Fault) error {
+	return f.Client.Put(ctx, f.cfg.Deployment.LinkControl, "/cut", linkFault{Link: deployment.LinkName(from, to), Fault: t})
 }
 
 // Tool runs the operators' command vetchtrail against the daemon of a host and
@@ -350,9 +350,9 @@
 	close(f.startCalls)
 }
 
-// Complaints returns an excerpt of each log that reports a data race, a panic or a
+// RacesAndPanics returns an excerpt of each log that reports a data race, a panic or a
 // fatal error. The exit status of a process doesn't show it, as most are killed.
-func (f *Fleet) Complaints() []string {
+func (f *Fleet) RacesAndPanics() []string {
 	var out []string
 	logs, _ := filepath.Glob(filepath.Join(f.cfg.Directory, "*.log"))
 	for _, path := range logs {
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 			dir := t.TempDir()
 			assert.NilError(t, os.WriteFile(filepath.Join(dir, "host.log"), []byte(c.text), 0o600))
 			f := &Fleet{cfg: Config{Directory: dir}}
-			assert.Equal(t, len(f.Complaints()), c.want)
+			assert.Equal(t, len(f.RacesAndPanics()), c.want)
 		})
 	}
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -25,12 +25,12 @@
 	Delay  time.Duration  `json:"delay"`  // in each direction, in nanoseconds
 }
 
-// Trouble is the fault of a link; the zero value is a healthy link.
-type Trouble struct {
-	Cut   bool          `json:"cut"`   // hold the bytes of both directions and refuse new connections
-	Forth bool          `json:"forth"` // hold only what the side that opened a connection sends
-	Reset bool          `json:"reset"` // reset the connections that are open now
-	Delay time.Duration `json:"delay"` // in each direction, in addition to the pipe's own, in nanoseconds
+// Fault is the fault of a link; the zero value is a healthy link.
+type Fault struct {
+	Cut          bool          `json:"cut"`   // hold the bytes of both directions and refuse new connections
+	HoldOutbound bool          `json:"forth"` // hold only what the side that opened a connection sends
+	Reset        bool          `json:"reset"` // reset the connections that are open now
+	Delay        time.Duration `json:"delay"` // in each direction, in addition to the pipe's own, in nanoseconds
 }
 
 // Relay serves all pipes of all links.
@@ -38,7 +38,7 @@
 	pipes []Pipe
 
 	mu            sync.Mutex
-	faults        map[string]Trouble           // by link
+	faults        map[string]Fault             // by link
 	conns         map[string]map[net.Conn]bool // open connections, by link
 	faultsChanged chan struct{}                // closed and replaced when a fault is set
 }
@@ -46,7 +46,7 @@
 // New returns a relay that does not listen yet.
 func New(pipes []Pipe) *Relay {
 	return &Relay{
-		pipes: pipes, faults: map[string]Trouble{}, conns: map[string]map[net.Conn]bool{}, faultsChanged: make(chan struct{}),
+		pipes: pipes, faults: map[string]Fault{}, conns: map[string]map[net.Conn]bool{}, faultsChanged: make(chan struct{}),
 	}
 }
 
@@ -95,20 +95,20 @@
 
 // closeWhenCut closes a pipe's listener when its link is cut or ctx ends.
 func (r *Relay) closeWhenCut(ctx context.Context, p Pipe, l net.Listener) {
-	r.waitUntil(ctx, p.Link, func(t Trouble) bool { return t.Cut })
+	r.waitUntil(ctx, p.Link, func(t Fault) bool { return t.Cut })
 	_ = l.Close()
 }
 
 // isOpen reports whether connections are accepted and bytes pass to the side that
 // opened them.
-func isOpen(t Trouble) bool { return !t.Cut }
+func isOpen(t Fault) bool { return !t.Cut }
 
 // isOutboundOpen reports whether bytes pass that the opener of a connection sends.
-func isOutboundOpen(t Trouble) bool { return !t.Cut && !t.Forth }
+func isOutboundOpen(t Fault) bool { return !t.Cut && !t.HoldOutbound }
 
 // waitUntil waits until a link's fault meets the condition. It returns false if ctx
 // ended before.
-func (r *Relay) waitUntil(ctx context.Context, link string, condition func(Trouble) bool) bool {
+func (r *Relay) waitUntil(ctx context.Context, link string, condition func(Fault) bool) bool {
 	for {
 		r.mu.Lock()
 		fault, changed := r.faults[link], r.faultsChanged
@@ -125,11 +125,11 @@
 }
 
 // Cut cuts a link or removes all its faults.
-func (r *Relay) Cut(link string, cut bool) { r.SetFault(link, Trouble{Cut: cut}) }
+func (r *Relay) Cut(link string, cut bool) { r.SetFault(link, Fault{Cut: cut}) }
 
 // SetFault replaces the fault of a link. Reset applies once, to the connections
 // that are open now.
-func (r *Relay) SetFault(link string, t Trouble) {
+func (r *Relay) SetFault(link string, t Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.Reset {
@@ -201,7 +201,7 @@
 // copyDelayed copies one direction of a connection: it reads ahead, and writes
 // each chunk after the delay and once the link lets it pass. It sends to done
 // when the direction has ended.
-func (r *Relay) copyDelayed(ctx context.Context, p Pipe, from, to net.Conn, mayPass func(Trouble) bool, done chan<- struct{}) {
+func (r *Relay) copyDelayed(ctx context.Context, p Pipe, from, to net.Conn, mayPass func(Fault) bool, done chan<- struct{}) {
 	chunks := make(chan chunk, maxChunksHeld)
 	go func() {
 		defer close(chunks)
@@ -234,7 +234,7 @@
 // faultRequest is the body of PUT /cut: the name of a link and its fault.
 type faultRequest struct {
 	Link string `json:"link"`
-	Trouble
+	Fault
 }
 
 // Serve sets faults by PUT /cut until ctx ends. It does not relay: see Start.
@@ -245,6 +245,6 @@
 			c.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
-		r.SetFault(req.Link, req.Trouble)
+		r.SetFault(req.Link, req.Fault)
 	})
 }
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -224,10 +224,10 @@
 	if reply.GetResult() != schema.ProposeReply_ACCEPTED {
 		return errors.Errorf("loadrun: configuration not accepted: %s", reply.GetText())
 	}
-	if err := r.w.Ready(reply.GetRevision()); err != nil {
+	if err := r.w.AwaitReady(reply.GetRevision()); err != nil {
 		return err
 	}
-	return r.w.Settled()
+	return r.w.AwaitReachable()
 }
 
 // sendArrivals sends each arrival at its time, injects the case's faults meanwhile
@@ -268,7 +268,7 @@
 // result unless it arrived during the warm-up.
 func (r *run) sendArrival(ctx context.Context, a arrival) {
 	from := r.d.Spec.Regions[a.region]
-	request := client.Ask{
+	request := client.Request{
 		Host: r.entryHost(a), Service: r.d.Spec.Model.Name, Prompt: a.prompt, Tokens: a.tokens, Stream: true, Timeout: r.cfg.Deadline,
 	}
 	if a.bound {
@@ -284,14 +284,14 @@
 }
 
 // count adds the result of one request to the run's. The caller holds the lock.
-func (r *run) count(request *client.Ask, res *client.Result, from string) {
+func (r *run) count(request *client.Request, res *client.Result, from string) {
 	r.res.Sent++
 	switch {
-	case request.Right(*res):
+	case request.IsCorrect(*res):
 		r.res.Answered++
 		_ = r.res.TimeToFirstToken.RecordValue(res.TimeToFirstToken.Microseconds())
 		_ = r.res.TimeToAnswer.RecordValue(res.Took.Microseconds())
-		if r.regionOf(res.Where) != from {
+		if r.regionOf(res.Endpoint) != from {
 			r.res.OtherRegion++
 		}
 	case res.Outcome == "not-run":
@@ -299,7 +299,7 @@
 		_ = r.res.TimeToRefusal.RecordValue(res.Took.Microseconds())
 	case res.Outcome == "unknown" || res.Status == 0:
 		r.res.Unknown++
-	case !res.Whole && res.Err != nil:
+	case !res.Complete && res.Err != nil:
 		r.res.Truncated++
 	default:
 		r.res.Wrong++
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -192,9 +192,9 @@
 	<-h.done
 }
 
-// Ready waits until every host reports that it is ready and holds at least the given
+// AwaitReady waits until every host reports that it is ready and holds at least the given
 // revision of the configuration.
-func (w *World) Ready(revision uint64) error {
+func (w *World) AwaitReady(revision uint64) error {
 	deadline := time.Now().Add(startTimeout)
 	for _, s := range w.cfg.Deployment.Hosts {
 		if err := w.awaitHostReady(s, revision, deadline); err != nil {
@@ -221,8 +221,8 @@
 	}
 }
 
-// Settled waits until every host can reach all other data centres.
-func (w *World) Settled() error {
+// AwaitReachable waits until every host can reach all other data centres.
+func (w *World) AwaitReachable() error {
 	deadline := time.Now().Add(startTimeout)
 	for {
 		reachable := 0
