--- a/connection/caller/pipe.go
+++ b/connection/caller/pipe.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Begin implements vetchtrail.Answer.
+// Begin implements vetchtrail.ResponseWriter.
 func (p *pipe) Begin(status int, header []vetchtrail.HeaderField) error {
 	if p.ctx.Err() != nil {
 		return errCallerGone
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Write implements vetchtrail.Answer.
+// Write implements vetchtrail.ResponseWriter.
 func (p *pipe) Write(chunk []byte) error {
 	select {
 	case p.chunks <- append([]byte(nil), chunk...):
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -48,7 +48,7 @@
 	return netip.MustParseAddrPort(inner.Addr().String()), l
 }
 
-// bufferedAnswer is a vetchtrail.Answer that stores the response.
+// bufferedAnswer is a vetchtrail.ResponseWriter that stores the response.
 type bufferedAnswer struct {
 	status int
 	body   []byte
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -150,19 +150,19 @@
 	return stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_End{End: schema.FromOutcome(o, time.Now())}})
 }
 
-// streamAnswer is a vetchtrail.Answer that sends the response back to the forwarding host.
+// streamAnswer is a vetchtrail.ResponseWriter that sends the response back to the forwarding host.
 type streamAnswer struct {
 	stream schema.DRPCPeers_ForwardStream
 }
 
-// Begin implements vetchtrail.Answer.
+// Begin implements vetchtrail.ResponseWriter.
 func (a *streamAnswer) Begin(status int, header []vetchtrail.HeaderField) error {
 	return a.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Begin{Begin: &schema.Begin{
 		Status: int32(status), Header: schema.FromHeader(header),
 	}}})
 }
 
-// Write implements vetchtrail.Answer.
+// Write implements vetchtrail.ResponseWriter.
 func (a *streamAnswer) Write(part []byte) error {
 	return a.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Body{Body: part}})
 }
--- a/contenthash.go
+++ b/contenthash.go
@@ -55,7 +55,7 @@
 // String returns the hash in hexadecimal.
 func (d ContentHash) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseContentHash parses the output of Digest.String.
+// ParseContentHash parses the output of ContentHash.String.
 func ParseContentHash(s string) (ContentHash, error) {
 	var d ContentHash
 	if hex.DecodedLen(len(s)) != len(d) || len(s)%2 != 0 {
--- a/decision.go
+++ b/decision.go
@@ -34,7 +34,7 @@
 	Reason Reason
 }
 
-// Decision is the result of a Policy for one request. The fields from Backlog to Left
+// Decision is the result of a Policy for one request. The fields from Backlog to RateLeft
 // describe the chosen endpoint; they are set only with RunHere.
 type Decision struct {
 	Kind          DecisionKind
@@ -106,14 +106,14 @@
 	Running           int           // requests that it runs, as last reported
 	Queued            int           // requests in its queue, as last reported
 	InFlight          int           // requests in flight from this host
-	InFlightChange    int           // change of Own since the report; may be negative
+	InFlightChange    int           // change of InFlight since the report; may be negative
 	ReportAge         time.Duration // age of the report; negative: there is none
 	Prefill           float64       // observed seconds to process a prompt token that is not cached
 	ServiceTime       float64       // observed seconds that a request occupies a slot
 	WarmUpShare       float64       // warm-up share: the fraction of its full load that it may get, 0 to 1
 	Unavailable       bool          // it can't be used now
-	UnavailableReason Reason        // with Away: the reason
-	AvailableIn       float64       // with Away: seconds until it can be used again; 0: not known
+	UnavailableReason Reason        // with Unavailable: the reason
+	AvailableIn       float64       // with Unavailable: seconds until it can be used again; 0: not known
 	ExcessFailureRate float64       // how far its failure rate exceeds that of its service, 0 to 1
 	EventInterval     float64       // observed seconds between two events of its streams; 0: not known
 	Backlog           float64       // predicted seconds until it has processed the prompts that it received before
@@ -135,6 +135,6 @@
 	InFlight         int           // requests in flight there from this host
 	DigestAge        time.Duration // age of the data centre's digest
 	Reachable        bool
-	WarmUpShare      float64 // warm-up share: the fraction of Free that may be used, 0 to 1
+	WarmUpShare      float64 // warm-up share: the fraction of FreeSlots that may be used, 0 to 1
 	EventInterval    float64 // shortest interval between two events of a stream there, in seconds; 0: not known
 }
--- a/feed.go
+++ b/feed.go
@@ -31,7 +31,7 @@
 	// ShouldWatchConfiguration returns whether this host watches the configuration, independently
 	// of polling the listing.
 	ShouldWatchConfiguration() bool
-	// CallStarted is called when a call to the platform begins, and Answered when it has ended; ok
+	// CallStarted is called when a call to the platform begins, and CallEnded when it has ended; ok
 	// reports whether the platform answered. Other hosts poll in place of a host that the
 	// platform rejects.
 	CallStarted(now time.Time)
--- a/outcome.go
+++ b/outcome.go
@@ -8,8 +8,9 @@
 // OutcomeKind is what is known about the execution of a request.
 type OutcomeKind uint8
 
-// Kinds of outcome. NotRun is a guarantee: no byte of the request reached an endpoint, or the
-// endpoint refused it before starting. Whenever that is not certain, the outcome is Unknown.
+// Kinds of outcome. OutcomeNotRun is a guarantee: no byte of the request reached an endpoint,
+// or the endpoint refused it before starting. Whenever that is not certain, the outcome is
+// OutcomeUnknown.
 const (
 	OutcomeUnknown  OutcomeKind = iota // it may or may not have run
 	OutcomeNotRun                      // it has not run
--- a/process/lists/lists.go
+++ b/process/lists/lists.go
@@ -77,7 +77,7 @@
 }
 
 // Lists holds this host's copy of the listing and decides whether this host polls the
-// platform. It implements vetchtrail.Following.
+// platform. It implements vetchtrail.PollCoordinator.
 type Lists struct {
 	cfg       Config
 	startedAt time.Time
@@ -167,10 +167,10 @@
 // threshold below that, other hosts would poll too whenever nothing changes.
 const slowCallThreshold = 1300 * time.Millisecond
 
-// CallStarted implements vetchtrail.Following: it records the start of a call to the platform.
+// CallStarted implements vetchtrail.PollCoordinator: it records the start of a call to the platform.
 func (l *Lists) CallStarted(now time.Time) { l.platform.callStarted.Store(&now) }
 
-// CallEnded implements vetchtrail.Following: it records the end of a call to the platform.
+// CallEnded implements vetchtrail.PollCoordinator: it records the end of a call to the platform.
 func (l *Lists) CallEnded(ok bool) {
 	l.platform.callStarted.Store(nil)
 	l.platform.lastCallFailed.Store(!ok)
--- a/process/lists/poll.go
+++ b/process/lists/poll.go
@@ -112,7 +112,7 @@
 	return now.Before(l.rejectedUntil[host])
 }
 
-// ShouldPoll implements vetchtrail.Following: it reports whether this host is to poll the platform
+// ShouldPoll implements vetchtrail.PollCoordinator: it reports whether this host is to poll the platform
 // now. If that makes a settled host poll that is not first in its region, Reads starts a
 // takeover.
 func (l *Lists) ShouldPoll() bool {
@@ -128,7 +128,7 @@
 	return true
 }
 
-// ShouldWatchConfiguration implements vetchtrail.Following: the second host of the region waits
+// ShouldWatchConfiguration implements vetchtrail.PollCoordinator: the second host of the region waits
 // for new configurations too, so that none is late if the host that polls is lost.
 func (l *Lists) ShouldWatchConfiguration() bool {
 	now := time.Now()
@@ -136,7 +136,7 @@
 	return rank == 1 && now.Sub(l.startedAt) >= settleTime
 }
 
-// PollInterval implements vetchtrail.Following: it returns the interval between two polls.
+// PollInterval implements vetchtrail.PollCoordinator: it returns the interval between two polls.
 func (l *Lists) PollInterval() time.Duration {
 	return time.Duration(pollFraction * float64(l.cfg.KnownWithin))
 }
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -44,7 +44,7 @@
 	return s.leavingBy(now) != ""
 }
 
-// Blocked implements vetchtrail.Endpoints. It is checked just before a request is sent, as the endpoint may have
+// Blocked implements vetchtrail.EndpointTable. It is checked just before a request is sent, as the endpoint may have
 // announced that it is leaving or paused after it was chosen.
 func (t *Table) Blocked(name string, now time.Time) (why vetchtrail.Reason, until time.Time) {
 	t.mu.Lock()
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -282,7 +282,7 @@
 	return send(ctx, h, addr, m, (*Quarantines).HandleEntries)
 }
 
-// Save implements vetchtrail.HoldKeeper.
+// Save implements vetchtrail.QuarantineStore.
 func (h *testHost) Save(ctx context.Context, put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) error {
 	if h.fleet.isPartitioned(h.region) {
 		<-ctx.Done()
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -3,7 +3,7 @@
 // and reports these crashes to the crash aggregators of all regions. The aggregators decide which
 // requests to quarantine and send the entries to all hosts, which refuse these requests. The rules
 // of the decision are in package request/quarantine; nothing here is kept across a restart, except
-// through the vetchtrail.HoldKeeper.
+// through the vetchtrail.QuarantineStore.
 package quarantines
 
 import (
--- a/process/quarantines/store.go
+++ b/process/quarantines/store.go
@@ -20,13 +20,13 @@
 	loadRetryDelay = time.Second
 )
 
-// Store persists entries in the project's own store. It implements vetchtrail.HoldKeeper.
+// Store persists entries in the project's own store. It implements vetchtrail.QuarantineStore.
 type Store struct {
 	Store vetchtrail.Store
 	Log   *slog.Logger
 }
 
-// Save implements vetchtrail.HoldKeeper.
+// Save implements vetchtrail.QuarantineStore.
 func (s *Store) Save(ctx context.Context, put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) error {
 	var err error
 	for range maxWriteAttempts {
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -137,7 +137,7 @@
 // requests that wait at that time, so its units may be used up by others.
 const maxReplyWaits = 3
 
-// Take implements vetchtrail.Quotas.
+// Take implements vetchtrail.QuotaLimiter.
 func (q *Quotas) Take(ctx context.Context, workspace string, cost float64) vetchtrail.QuotaVerdict {
 	bound := q.cfg.QuotaSource().Quota(workspace)
 	if !bound.IsLimited() {
@@ -217,7 +217,7 @@
 	return vetchtrail.QuotaVerdict{Granted: ok, RetryAt: retryAt, HostLeft: local, RegionLeft: region, ReportAge: age}
 }
 
-// Return implements vetchtrail.Quotas.
+// Return implements vetchtrail.QuotaLimiter.
 func (q *Quotas) Return(workspace string, cost float64) {
 	l := q.localOf(workspace)
 	l.mu.Lock()
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -3,7 +3,7 @@
 //
 // A rate limit is a quota of requests, shared by the hosts of a region (package quotas). One
 // host of the region, the owner, leases parts of the rate to the hosts. A host reserves one
-// request (vetchtrail.Permit) before it sends to a rate-limited endpoint.
+// request (vetchtrail.Reservation) before it sends to a rate-limited endpoint.
 package ratelimits
 
 import (
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -72,7 +72,7 @@
 	return out
 }
 
-// Reserve implements vetchtrail.Permits.
+// Reserve implements vetchtrail.RateLimiter.
 func (l *RateLimits) Reserve(ctx context.Context, e vetchtrail.Endpoint) (p vetchtrail.Reservation, retryAt time.Time, ok bool) {
 	limit, binds := l.limit(e.Name)
 	if !binds {
@@ -102,7 +102,7 @@
 	return limit, limit.Advertised && !l.cfg.Disabled
 }
 
-// Cancel implements vetchtrail.Permits.
+// Cancel implements vetchtrail.RateLimiter.
 func (l *RateLimits) Cancel(p vetchtrail.Reservation) {
 	if p.Endpoint == "" {
 		return
@@ -111,7 +111,7 @@
 	l.removeReservation(p.Endpoint)
 }
 
-// Allows implements vetchtrail.Permits. It is called just before the first byte is sent. A
+// Allows implements vetchtrail.RateLimiter. It is called just before the first byte is sent. A
 // request without a valid reservation would exceed the rate. Its target may have been chosen
 // before the endpoint advertised its limit, or its reservation was made under a higher limit
 // or before this host was suspended.
--- a/process/ratelimits/strategies_test.go
+++ b/process/ratelimits/strategies_test.go
@@ -28,7 +28,7 @@
 	at    time.Time
 }
 
-// Reserve implements vetchtrail.Permits.
+// Reserve implements vetchtrail.RateLimiter.
 func (p *equalPart) Reserve(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Reservation, time.Time, bool) {
 	limit, _ := p.h.table.RateLimit(e.Name)
 	if !limit.Advertised {
@@ -53,10 +53,10 @@
 	return vetchtrail.Reservation{Endpoint: e.Name}, time.Time{}, true
 }
 
-// Cancel implements vetchtrail.Permits.
+// Cancel implements vetchtrail.RateLimiter.
 func (p *equalPart) Cancel(vetchtrail.Reservation) {}
 
-// Allows implements vetchtrail.Permits.
+// Allows implements vetchtrail.RateLimiter.
 func (p *equalPart) Allows(reservation vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
 	limit, _ := p.h.table.RateLimit(e.Name)
 	return !limit.Advertised || reservation.Endpoint != ""
--- a/quota.go
+++ b/quota.go
@@ -61,7 +61,7 @@
 	Return(workspace string, cost float64)
 }
 
-// QuotaVerdict is the result of Quotas.Take.
+// QuotaVerdict is the result of QuotaLimiter.Take.
 type QuotaVerdict struct {
 	Granted    bool
 	RetryAt    time.Time     // when not granted: when the quota allows the request
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -10,7 +10,8 @@
 )
 
 // RateLimit is what an endpoint advertised about its rate limit, which holds for the requests
-// of all hosts together. The endpoint wrote it at an unknown time between Asked and Heard.
+// of all hosts together. The endpoint wrote it at an unknown time between
+// RequestedAt and ReceivedAt.
 type RateLimit struct {
 	Advertised  bool      // it advertised a rate limit; false: it has none
 	Rate        float64   // in requests per second
--- a/record.go
+++ b/record.go
@@ -17,7 +17,7 @@
 	Hops           int
 	Goal           time.Time // latency objective; zero: none
 	Deadline       time.Time
-	CallerCanRetry bool    // see Request.Fresh
+	CallerCanRetry bool    // see Request.CallerCanRetry
 	Cost           float64 // cost in units of the workspace's quota; 0: none
 	Quota          QuotaVerdict
 	Revision       uint64
--- a/request.go
+++ b/request.go
@@ -18,7 +18,7 @@
 	// the caller; zero: the caller sent none. It is not forwarded: other hosts rely on that
 	// host for the workspace.
 	Credential     KeyHash
-	HomeRegion     RegionID  // region of the workspace, or else Entry
+	HomeRegion     RegionID  // region of the workspace, or else EntryRegion
 	EntryRegion    RegionID  // region where the request was received from the caller
 	AllowedRegions RegionSet // regions that may process it, by all hosts that have checked it
 	Priority       int8      // higher is more urgent
@@ -64,7 +64,7 @@
 	// that is refused some time before its deadline can still be served elsewhere.
 	QueueUntil time.Time
 
-	contentHash ContentHash // see Digest; zero: not computed yet
+	contentHash ContentHash // see ContentHash; zero: not computed yet
 }
 
 // QueueDeadline returns until when the request may wait for capacity.
--- a/request/dispatch/event_tracker.go
+++ b/request/dispatch/event_tracker.go
@@ -13,7 +13,7 @@
 	req  *vetchtrail.Request
 }
 
-// Begin implements vetchtrail.Answer.
+// Begin implements vetchtrail.ResponseWriter.
 func (t *eventTracker) Begin(status int, header []vetchtrail.HeaderField) error {
 	if t.req.ResponseStarted {
 		return nil
@@ -22,7 +22,7 @@
 	return t.next.Begin(status, header)
 }
 
-// Write implements vetchtrail.Answer. Each part is a whole event.
+// Write implements vetchtrail.ResponseWriter. Each part is a whole event.
 func (t *eventTracker) Write(part []byte) error {
 	if err := t.next.Write(part); err != nil {
 		return err
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -229,14 +229,14 @@
 	callerGone bool
 }
 
-// Begin implements vetchtrail.Answer.
+// Begin implements vetchtrail.ResponseWriter.
 func (t *Tee) Begin(status int, header []vetchtrail.HeaderField) error {
 	t.status, t.header = status, header
 	t.callerGone = t.To.Begin(status, header) != nil
 	return nil
 }
 
-// Write implements vetchtrail.Answer.
+// Write implements vetchtrail.ResponseWriter.
 func (t *Tee) Write(part []byte) error {
 	if !t.callerGone {
 		t.callerGone = t.To.Write(part) != nil
--- a/workspace.go
+++ b/workspace.go
@@ -29,7 +29,7 @@
 // find another key with the same hash.
 type KeyHash [sha256.Size / 2]byte
 
-// HashKey returns the hash of a caller's key. Only the first MaxKey bytes count; CheckKey
+// HashKey returns the hash of a caller's key. Only the first MaxKeyBytes bytes count; CheckKey
 // rejects longer keys before.
 func HashKey(key string) KeyHash {
 	var text [MaxKeyBytes]byte // on the stack, so that a look-up allocates nothing
@@ -45,8 +45,8 @@
 	ErrInvalidKey = errors.New("the key contains invalid characters or was sent more than once")
 )
 
-// CheckKey returns an error if the text can't be a key: if it is empty, is longer than MaxKey
-// bytes, or contains a byte that is not visible ASCII or that separates the values of a
+// CheckKey returns an error if the text can't be a key: if it is empty, is longer than
+// MaxKeyBytes bytes, or contains a byte that is not visible ASCII or that separates the values of a
 // header field.
 func CheckKey(key string) error {
 	switch {
