--- a/answer.go
+++ b/answer.go
@@ -14,14 +14,14 @@
 
 // EndpointCaller sends a request to an endpoint and writes the endpoint's response to a.
 type EndpointCaller interface {
-	Call(ctx context.Context, e Endpoint, r *Request, a ResponseWriter) (Outcome, Timing)
+	Call(ctx context.Context, e Endpoint, r *Request, w ResponseWriter) (Outcome, Timing)
 }
 
 // Forwarder sends a request to another host and writes that host's response to a. The
 // target is a host of a remote data centre, or the host that issued the request's
 // at-most-once key.
 type Forwarder interface {
-	Forward(ctx context.Context, h Host, r *Request, a ResponseWriter) Outcome
+	Forward(ctx context.Context, h Host, r *Request, w ResponseWriter) Outcome
 }
 
 // Observer receives what responses show about an endpoint while requests run there.
@@ -40,7 +40,7 @@
 	RateLimitReported(e Endpoint, l RateLimit, err error)
 	// AvailabilityReported reports the availability that a response announces. If err is not nil, the
 	// response contained a value that can't be parsed.
-	AvailabilityReported(e Endpoint, n Availability, err error)
+	AvailabilityReported(e Endpoint, a Availability, err error)
 	// UnknownField reports a header field of a response that the dialect doesn't know.
 	UnknownField(e Endpoint, field string)
 }
--- a/connection/caller/authentication_test.go
+++ b/connection/caller/authentication_test.go
@@ -41,15 +41,15 @@
 
 // echoWorkspace answers with the request's workspace and those forwarded header fields
 // that concern authentication.
-func echoWorkspace(_ context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	_ = a.Begin(200, nil)
+func echoWorkspace(_ context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	_ = w.Begin(200, nil)
 	text := r.Workspace
 	for _, f := range r.Header {
 		if f.Name == "Authorization" || f.Name == "X-Workspace" {
 			text += " " + f.Name + "=" + f.Value
 		}
 	}
-	_ = a.Write([]byte(text))
+	_ = w.Write([]byte(text))
 	return vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}
 }
 
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -25,10 +25,10 @@
 	// objective divided by this. A caller that is refused by then can still be served in time
 	// elsewhere.
 	patienceDivisor = 4
-	// freshDeadlineTenths is how many tenths of the route's time limit must be left for a
+	// retryDeadlineTenths is how many tenths of the route's time limit must be left for a
 	// request to count as the caller's first attempt. A caller that retries after a refusal
 	// has already spent a quarter of it.
-	freshDeadlineTenths = 9
+	retryDeadlineTenths = 9
 	// Callers give up on a stream without a first event after the longest of these three: a
 	// fixed time, a multiple of the route's latency objective and a multiple of its pause. The
 	// platform documents this behaviour of its callers.
@@ -116,7 +116,7 @@
 	if bound := now.Add(m.AnswerWithin); bound.Before(r.Deadline) {
 		r.Deadline = bound
 	}
-	r.CallerCanRetry = r.Deadline.Sub(now) >= m.AnswerWithin*freshDeadlineTenths/10
+	r.CallerCanRetry = r.Deadline.Sub(now) >= m.AnswerWithin*retryDeadlineTenths/10
 	r.Goal = now.Add(m.Goal)
 	r.QueueUntil = now.Add(m.Goal / patienceDivisor)
 	if r.Stream && m.Pause > 0 {
--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -37,7 +37,7 @@
 // Runner runs requests. The dispatcher implements it.
 type Runner interface {
 	// Run runs r, writes the response to a and returns when the request has ended.
-	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
+	Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 	// StartingOutcome returns the outcome of a request that arrived before this host had a
 	// configuration.
 	StartingOutcome(r *vetchtrail.Request) vetchtrail.Outcome
--- a/connection/caller/server_test.go
+++ b/connection/caller/server_test.go
@@ -24,10 +24,10 @@
 )
 
 // fakeRunner runs requests by calling a function.
-type fakeRunner func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
+type fakeRunner func(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 
-func (f fakeRunner) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	return f(ctx, r, a)
+func (f fakeRunner) Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	return f(ctx, r, w)
 }
 
 func (f fakeRunner) StartingOutcome(*vetchtrail.Request) vetchtrail.Outcome {
@@ -132,9 +132,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			addr := serve(t, func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-				_ = a.Begin(200, nil)
-				_ = a.Write([]byte("half"))
+			addr := serve(t, func(_ context.Context, _ *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+				_ = w.Begin(200, nil)
+				_ = w.Write([]byte("half"))
 				return c.outcome
 			})
 			resp, err := http.Get("http://" + addr.String() + "/services/app/x")
--- a/connection/endpoint/deliver.go
+++ b/connection/endpoint/deliver.go
@@ -102,7 +102,7 @@
 	if len(chunk) == 0 {
 		return nil
 	}
-	return t.answer.Write(chunk)
+	return t.writer.Write(chunk)
 }
 
 // begin begins the caller's response, once.
@@ -115,5 +115,5 @@
 	if t.client.cfg.Observer != nil {
 		t.client.cfg.Observer.ResponseStarted(t.endpoint, t.req, t.timing.FirstByte)
 	}
-	return t.answer.Begin(t.resp.StatusCode(), t.responseHeader())
+	return t.writer.Begin(t.resp.StatusCode(), t.responseHeader())
 }
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -81,7 +81,7 @@
 	client          *Client
 	endpoint        vetchtrail.Endpoint
 	req             *vetchtrail.Request
-	answer          vetchtrail.ResponseWriter
+	writer          vetchtrail.ResponseWriter
 	conn            *conn
 	resp            *fasthttp.Response
 	body            *body
@@ -92,8 +92,8 @@
 }
 
 // Call implements vetchtrail.EndpointCaller.
-func (k *Client) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
-	t := &attempt{client: k, endpoint: e, req: r, answer: a}
+func (k *Client) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, w vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
+	t := &attempt{client: k, endpoint: e, req: r, writer: w}
 	c, err := k.pool.get(ctx, poolKeyOf(e), r.Repeatable)
 	if err != nil {
 		return t.notRun(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, err), t.timing
@@ -137,16 +137,16 @@
 	}
 	t.resp = fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(t.resp)
-	reading, err := t.readResponseHead()
+	head, err := t.readResponseHead()
 	if err != nil {
 		return t.unknown(ctx, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost, err), false
 	}
 	t.conn.readKeepAlive(t.headerField("Keep-Alive"))
-	switch reading.Kind {
+	switch head.Kind {
 	case vetchtrail.ResponseRefused:
 		o := t.notRun(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused, nil)
 		o.RetryAt = t.retryAt()
-		o.ColdStart = max(0, reading.ColdStart)
+		o.ColdStart = max(0, head.ColdStart)
 		return o, t.discardBody()
 	case vetchtrail.ResponseMisdirected:
 		return t.notRun(vetchtrail.StepResponse, vetchtrail.ReasonOtherProcess, nil), false
@@ -227,17 +227,17 @@
 		if err := t.readFinalHead(); err != nil {
 			return vetchtrail.ResponseHead{}, err
 		}
-		reading := t.interpretHead()
-		if reading.HasLoad && t.client.cfg.Observer != nil {
-			reading.Load.ReceivedAt = time.Now()
-			t.client.cfg.Observer.LoadReported(t.endpoint, reading.Load)
+		head := t.interpretHead()
+		if head.HasLoad && t.client.cfg.Observer != nil {
+			head.Load.ReceivedAt = time.Now()
+			t.client.cfg.Observer.LoadReported(t.endpoint, head.Load)
 		}
-		t.reportRateLimit(reading.Rate)
-		t.reportAvailability(reading.Availability)
+		t.reportRateLimit(head.Rate)
+		t.reportAvailability(head.Availability)
 		t.reportUnknownFields()
 		t.body = newBody(t.conn.reader, &t.resp.Header, t.req.Method)
-		if reading.Kind != vetchtrail.ResponseForeign {
-			return reading, nil
+		if head.Kind != vetchtrail.ResponseForeign {
+			return head, nil
 		}
 		if _, err := io.Copy(io.Discard, t.body); err != nil {
 			return vetchtrail.ResponseHead{}, err
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -181,20 +181,20 @@
 
 // CloseIdleExcept closes the idle connections to all process instances but those of the given
 // endpoints.
-func (k *Client) CloseIdleExcept(endpoints []*vetchtrail.Endpoint) {
+func (c *Client) CloseIdleExcept(endpoints []*vetchtrail.Endpoint) {
 	known := make(map[poolKey]bool, len(endpoints))
 	for _, e := range endpoints {
 		known[poolKeyOf(*e)] = true
 	}
-	k.pool.mu.Lock()
-	defer k.pool.mu.Unlock()
-	for key, conns := range k.pool.idle {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	for key, conns := range c.pool.idle {
 		if known[key] {
 			continue
 		}
 		for _, c := range conns {
 			_ = c.Close()
 		}
-		delete(k.pool.idle, key)
+		delete(c.pool.idle, key)
 	}
 }
--- a/connection/peer/client.go
+++ b/connection/peer/client.go
@@ -205,8 +205,8 @@
 
 // Forward implements vetchtrail.Forwarder. The outcome is NotRun only if the message was
 // not sent or the host reported NotRun.
-func (c *Client) Forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	o := c.forward(ctx, h, r, a)
+func (c *Client) Forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	o := c.forward(ctx, h, r, w)
 	if o.HostLost && ctx.Err() != nil {
 		// The caller disconnected. The host is not at fault and must not be taken out of use.
 		o.Reason, o.HostLost = vetchtrail.ReasonCallerGone, false
@@ -215,7 +215,7 @@
 }
 
 // forward is Forward without the check whether the caller disconnected.
-func (c *Client) forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (c *Client) forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	deadlineTimer := time.AfterFunc(time.Until(r.Deadline)+deadlineGrace, cancel)
@@ -227,7 +227,7 @@
 		return sendFailure(h, err)
 	}
 	defer func() { _ = stream.Close() }()
-	return receiveResponse(stream, h, a, deadlineTimer)
+	return receiveResponse(stream, h, w, deadlineTimer)
 }
 
 // forwardClient returns the client that forwards a request. Requests that may not run
@@ -250,7 +250,7 @@
 
 // receiveResponse writes the forwarded response to a and returns the outcome. Each message
 // restarts the timer, which cancels the call when it fires.
-func receiveResponse(stream schema.DRPCPeers_ForwardClient, h vetchtrail.Host, a vetchtrail.ResponseWriter, deadlineTimer *time.Timer) vetchtrail.Outcome {
+func receiveResponse(stream schema.DRPCPeers_ForwardClient, h vetchtrail.Host, w vetchtrail.ResponseWriter, deadlineTimer *time.Timer) vetchtrail.Outcome {
 	begun := false
 	failed := func(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 		o := failedOutcome(vetchtrail.OutcomeUnknown, vetchtrail.StepForward, reason, h, err)
@@ -265,9 +265,9 @@
 		switch part := m.GetPart().(type) {
 		case *schema.ForwardReply_Begin:
 			begun = true
-			err = a.Begin(int(part.Begin.GetStatus()), schema.ToHeader(part.Begin.GetHeader()))
+			err = w.Begin(int(part.Begin.GetStatus()), schema.ToHeader(part.Begin.GetHeader()))
 		case *schema.ForwardReply_Body:
-			err = a.Write(part.Body)
+			err = w.Write(part.Body)
 		case *schema.ForwardReply_End:
 			o := schema.ToOutcome(part.End, time.Now())
 			o.ResponseStarted = begun
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -20,7 +20,7 @@
 // fakeHost implements the server's interfaces for a host that runs requests by a function.
 type fakeHost struct {
 	schema.DRPCOperatorsUnimplementedServer
-	run func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
+	run func(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 }
 
 func (fakeHost) HandleHeartbeat(h *schema.Heartbeat) *schema.Heartbeat { return h }
@@ -29,8 +29,8 @@
 	return nil, nil
 }
 
-func (f fakeHost) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	return f.run(ctx, r, a)
+func (f fakeHost) Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	return f.run(ctx, r, w)
 }
 
 // serve starts the server of a host and returns its address, and its listener to count
@@ -48,18 +48,18 @@
 	return netip.MustParseAddrPort(inner.Addr().String()), l
 }
 
-// bufferedAnswer is a vetchtrail.ResponseWriter that stores the response.
-type bufferedAnswer struct {
+// responseRecorder is a vetchtrail.ResponseWriter that stores the response.
+type responseRecorder struct {
 	status int
 	body   []byte
 }
 
-func (p *bufferedAnswer) Begin(status int, _ []vetchtrail.HeaderField) error {
+func (p *responseRecorder) Begin(status int, _ []vetchtrail.HeaderField) error {
 	p.status = status
 	return nil
 }
 
-func (p *bufferedAnswer) Write(part []byte) error {
+func (p *responseRecorder) Write(part []byte) error {
 	p.body = append(p.body, part...)
 	return nil
 }
@@ -70,7 +70,7 @@
 func TestForwardOutcomes(t *testing.T) {
 	ok := vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200}
 	cases := map[string]struct {
-		run          func(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
+		run          func(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 		unreachable  bool
 		callerLeaves bool // the caller disconnects before a response
 		hostLost     bool // the outcome must report it
@@ -78,16 +78,16 @@
 		reason       vetchtrail.Reason
 		body         string
 	}{
-		"answered": {run: func(_ context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-			_ = a.Begin(200, nil)
-			_ = a.Write([]byte(fmt.Sprint("hops ", r.Hops)))
+		"answered": {run: func(_ context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+			_ = w.Begin(200, nil)
+			_ = w.Write([]byte(fmt.Sprint("hops ", r.Hops)))
 			return ok
 		}, kind: vetchtrail.OutcomeAnswered, body: "hops 1"},
 		"refused by the host": {run: func(context.Context, *vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			return vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Reason: vetchtrail.ReasonFull}
 		}, kind: vetchtrail.OutcomeNotRun, reason: vetchtrail.ReasonFull},
-		"broken after it began": {run: func(_ context.Context, _ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-			_ = a.Begin(200, nil)
+		"broken after it began": {run: func(_ context.Context, _ *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+			_ = w.Begin(200, nil)
 			return vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseBroken, Err: errors.New("connection broken")}
 		}, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonResponseBroken},
 		"never answers": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.ResponseWriter) vetchtrail.Outcome {
@@ -109,7 +109,7 @@
 				}
 				client := New(Config{})
 				defer client.Close()
-				var got bufferedAnswer
+				var got responseRecorder
 				r := &vetchtrail.Request{ID: "r", Deadline: time.Now().Add(200 * time.Millisecond), Repeatable: repeats}
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -33,7 +33,7 @@
 
 // Runner runs forwarded requests.
 type Runner interface {
-	Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
+	Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 }
 
 // Quotas answers for the quota shards that this host owns.
@@ -146,24 +146,24 @@
 	if err != nil {
 		return err
 	}
-	o := s.cfg.Runner.Run(stream.Context(), r, &streamAnswer{stream: stream})
+	o := s.cfg.Runner.Run(stream.Context(), r, &streamWriter{stream: stream})
 	return stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_End{End: schema.FromOutcome(o, time.Now())}})
 }
 
-// streamAnswer is a vetchtrail.ResponseWriter that sends the response back to the forwarding host.
-type streamAnswer struct {
+// streamWriter is a vetchtrail.ResponseWriter that sends the response back to the forwarding host.
+type streamWriter struct {
 	stream schema.DRPCPeers_ForwardStream
 }
 
 // Begin implements vetchtrail.ResponseWriter.
-func (a *streamAnswer) Begin(status int, header []vetchtrail.HeaderField) error {
+func (a *streamWriter) Begin(status int, header []vetchtrail.HeaderField) error {
 	return a.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Begin{Begin: &schema.Begin{
 		Status: int32(status), Header: schema.FromHeader(header),
 	}}})
 }
 
 // Write implements vetchtrail.ResponseWriter.
-func (a *streamAnswer) Write(part []byte) error {
+func (a *streamWriter) Write(part []byte) error {
 	return a.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Body{Body: part}})
 }
 
--- a/contenthash.go
+++ b/contenthash.go
@@ -36,7 +36,7 @@
 }
 
 // SetContentHash sets the content hash that another host has computed.
-func (r *Request) SetContentHash(d ContentHash) { r.contentHash = d }
+func (r *Request) SetContentHash(h ContentHash) { r.contentHash = h }
 
 // KnownContentHash returns the content hash if it has been computed before.
 func (r *Request) KnownContentHash() (ContentHash, bool) {
@@ -53,7 +53,7 @@
 }
 
 // String returns the hash in hexadecimal.
-func (d ContentHash) String() string { return hex.EncodeToString(d[:]) }
+func (h ContentHash) String() string { return hex.EncodeToString(h[:]) }
 
 // ParseContentHash parses the output of ContentHash.String.
 func ParseContentHash(s string) (ContentHash, error) {
--- a/outcome.go
+++ b/outcome.go
@@ -51,11 +51,11 @@
 }
 
 // Replay writes the response to a.
-func (k *BufferedResponse) Replay(a ResponseWriter) error {
-	if err := a.Begin(k.Status, k.Header); err != nil {
+func (b *BufferedResponse) Replay(w ResponseWriter) error {
+	if err := w.Begin(b.Status, b.Header); err != nil {
 		return err
 	}
-	return a.Write(k.Body)
+	return w.Write(b.Body)
 }
 
 // Error describes an outcome without a response.
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -123,9 +123,9 @@
 			Revision: h.Revision, State: h.State.String(), Heard: unixNanos(h.LastSeen),
 		})
 	}
-	for _, row := range o.d.table.EndpointStatuses(now) {
-		e := endpointStatus(row)
-		e.Permits = o.d.rateLimits.ReservationsUsed(row.Name)
+	for _, status := range o.d.table.EndpointStatuses(now) {
+		e := endpointStatus(status)
+		e.Permits = o.d.rateLimits.ReservationsUsed(status.Name)
 		out.Endpoints = append(out.Endpoints, e)
 	}
 	slices.SortFunc(out.Endpoints, func(a, b *schema.EndpointStatus) int { return cmp.Compare(a.GetName(), b.GetName()) })
@@ -138,16 +138,16 @@
 }
 
 // endpointStatus returns the status of the endpoint in a row of the table.
-func endpointStatus(row load.EndpointStatus) *schema.EndpointStatus {
+func endpointStatus(status load.EndpointStatus) *schema.EndpointStatus {
 	state := "in-use"
-	if row.View.Unavailable {
-		state = string(row.View.UnavailableReason)
+	if status.View.Unavailable {
+		state = string(status.View.UnavailableReason)
 	}
 	return &schema.EndpointStatus{
-		Name: row.Name, Service: row.Service, Running: int32(row.Report.Running), Queued: int32(row.Report.Queued),
-		Own: int32(row.View.InFlight), Limit: int32(row.View.InFlightLimit), State: state, Reported: unixNanos(row.Report.ReceivedAt),
-		Limited: row.View.RateLimited, Rate: row.View.Rate, RateSince: unixNanos(row.RateLimitedSince),
-		LeavingBy: string(row.LeavingBy), LeavingSince: unixNanos(row.LeavingSince), PausedUntil: unixNanos(row.PausedUntil),
+		Name: status.Name, Service: status.Service, Running: int32(status.Report.Running), Queued: int32(status.Report.Queued),
+		Own: int32(status.View.InFlight), Limit: int32(status.View.InFlightLimit), State: state, Reported: unixNanos(status.Report.ReceivedAt),
+		Limited: status.View.RateLimited, Rate: status.View.Rate, RateSince: unixNanos(status.RateLimitedSince),
+		LeavingBy: string(status.LeavingBy), LeavingSince: unixNanos(status.LeavingSince), PausedUntil: unixNanos(status.PausedUntil),
 	}
 }
 
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -14,7 +14,7 @@
 func (d *Daemon) newQuarantines(off vetchtrail.Mechanisms) {
 	d.quarantines = quarantines.New(quarantines.Config{
 		Self: d.self, Regions: func() []string { return d.changes.Rules().RegionNames() }, Hosts: liveHosts{d.membership}, Peers: d.peers,
-		RefusesConnections: d.endpoints.RefusesConnection, IsLeaving: d.endpointLeaving, Persister: d.quarantineKeeper(), Clock: clock.Boot,
+		RefusesConnections: d.endpoints.RefusesConnection, IsLeaving: d.endpointLeaving, Persister: d.quarantinePersister(), Clock: clock.Boot,
 		Disabled: off.Has(vetchtrail.MechanismQuarantine), Log: d.log,
 	})
 }
@@ -33,9 +33,9 @@
 	return d.table.IsLeaving(name, time.Now())
 }
 
-// quarantineKeeper returns where quarantine entries are persisted, so that they outlast a
+// quarantinePersister returns where quarantine entries are persisted, so that they outlast a
 // restart of all hosts.
-func (d *Daemon) quarantineKeeper() vetchtrail.QuarantineStore {
+func (d *Daemon) quarantinePersister() vetchtrail.QuarantineStore {
 	if d.hosted != nil {
 		return d.hosted.Quarantine
 	}
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -34,8 +34,8 @@
 	minServerErrorStatus           = 500 // HTTP status
 )
 
-// reasonHeldBack is the reason for refusing a quarantined request.
-const reasonHeldBack = "held-back"
+// reasonQuarantined is the reason for refusing a quarantined request.
+const reasonQuarantined = "held-back"
 
 // reasonLimited is the reason for refusing a request when nothing is left of the endpoints' rate
 // limits.
@@ -81,7 +81,7 @@
 	}
 	counts := map[CauseCount]int{}
 	for _, r := range requests {
-		if r.firstDecision.Msg == "" && r.outcome.Reason == reasonHeldBack {
+		if r.firstDecision.Msg == "" && r.outcome.Reason == reasonQuarantined {
 			r.firstDecision = r.outcome // quarantined requests are refused before any decision
 		}
 		if r.firstDecision.Msg == "" {
@@ -169,7 +169,7 @@
 		return CauseCallerGone
 	case e.Outcome == "not-run" && e.Reason == "over-quota":
 		return CauseOverQuota
-	case e.Reason == reasonHeldBack:
+	case e.Reason == reasonQuarantined:
 		return CauseQuarantined
 	case e.Outcome == "not-run" && e.Reason == reasonLimited:
 		return CauseRateLimited
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -105,27 +105,27 @@
 }
 
 // RecordAnnouncement records an announcement that an endpoint's answer contained, and returns the part that is new.
-func (t *Table) RecordAnnouncement(name string, born time.Time, n vetchtrail.Availability) AnnouncementNews {
-	return t.RecordAnnouncementByHash(NameHash(name), born, n, n.ReceivedAt)
+func (t *Table) RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) AnnouncementNews {
+	return t.RecordAnnouncementByHash(NameHash(name), startedAt, a, a.ReceivedAt)
 }
 
 // RecordAnnouncementByHash records an announcement that this or another host received. The endpoint is given by the hash
 // of its name (Short). The announcement is valid only for the process instance that started at born.
-func (t *Table) RecordAnnouncementByHash(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) AnnouncementNews {
+func (t *Table) RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) AnnouncementNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var news AnnouncementNews
-	if s, ok := t.byShortHash[short]; ok && !s.isOtherInstance(born) {
-		news = s.availability.record(n, now)
+	if s, ok := t.byShortHash[nameHash]; ok && !s.isOtherInstance(startedAt) {
+		news = s.availability.record(a, now)
 		news.Endpoint, s.announced = s.Name, true
 		if news.Leaving {
-			t.logLeaving(keyOf(short, s.Born), &s.availability.announcements)
+			t.logLeaving(keyOf(nameHash, s.Born), &s.availability.announcements)
 		}
 		if news.Paused {
 			s.warmUp = math.Min(s.warmUp, initialWarmUp) // it is overloaded, and all hosts send requests again when the pause ends
 		}
 	} else {
-		news = t.recordUnlisted(keyOf(short, born), n, now)
+		news = t.recordUnlisted(keyOf(nameHash, startedAt), a, now)
 	}
 	return news
 }
@@ -156,8 +156,8 @@
 }
 
 // AvailabilityReported implements vetchtrail.Observer.
-func (t *Table) AvailabilityReported(e vetchtrail.Endpoint, n vetchtrail.Availability, _ error) {
-	t.RecordAnnouncement(e.Name, e.Born, n)
+func (t *Table) AvailabilityReported(e vetchtrail.Endpoint, a vetchtrail.Availability, _ error) {
+	t.RecordAnnouncement(e.Name, e.Born, a)
 }
 
 // instanceKey identifies a process instance of an endpoint.
@@ -195,9 +195,9 @@
 func (a *announcements) expiresAt() time.Time { return vetchtrail.Later(a.leavingUntil, a.pausedUntil) }
 
 // recordUnlisted records an announcement of a process instance that is not listed. The caller holds the lock.
-func (t *Table) recordUnlisted(key instanceKey, n vetchtrail.Availability, now time.Time) AnnouncementNews {
+func (t *Table) recordUnlisted(key instanceKey, a vetchtrail.Availability, now time.Time) AnnouncementNews {
 	u := t.unlisted[key]
-	news := u.record(n, now)
+	news := u.record(a, now)
 	if news.Leaving {
 		t.logLeaving(key, &u.announcements)
 	}
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -254,7 +254,7 @@
 	cases := map[string]struct {
 		announce func(tab *Table)
 		by       LeavingBy
-		row      EndpointStatus
+		status   EndpointStatus
 	}{
 		"nothing": {func(*Table) {}, "", EndpointStatus{}},
 		"its answers, after the list of hosts": {func(tab *Table) {
@@ -277,10 +277,10 @@
 			tab := New()
 			tab.Configure([]EndpointInRegion{{Endpoint: e}})
 			c.announce(tab)
-			row := tab.EndpointStatuses(now)[0]
-			assert.Equal(t, row.LeavingBy, c.by)
-			assert.Equal(t, row.LeavingSince, c.row.LeavingSince)
-			assert.Equal(t, row.PausedUntil, c.row.PausedUntil)
+			status := tab.EndpointStatuses(now)[0]
+			assert.Equal(t, status.LeavingBy, c.by)
+			assert.Equal(t, status.LeavingSince, c.status.LeavingSince)
+			assert.Equal(t, status.PausedUntil, c.status.PausedUntil)
 		})
 	}
 }
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -10,10 +10,10 @@
 // RecordRateLimit records the rate limit that an endpoint advertised, unless a later one is known. It returns the limit
 // that was known before, and the one that is known now. ok is false if the endpoint or the process instance
 // isn't known.
-func (t *Table) RecordRateLimit(name string, born time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+func (t *Table) RecordRateLimit(name string, startedAt time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.instance(name, born)
+	s, ok := t.instance(name, startedAt)
 	if !ok {
 		return was, is, false
 	}
@@ -80,7 +80,7 @@
 }
 
 // RateLimit returns the rate limit that an endpoint last advertised, and the start time of its process instance.
-func (t *Table) RateLimit(name string) (l vetchtrail.RateLimit, born time.Time) {
+func (t *Table) RateLimit(name string) (l vetchtrail.RateLimit, startedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -11,9 +11,9 @@
 
 // advertised is a rate limit that an endpoint advertised between two times, in seconds from now; a negative
 // rate: it advertises none.
-func advertised(rate float64, asked, heard float64) vetchtrail.RateLimit {
+func advertised(rate float64, requested, received float64) vetchtrail.RateLimit {
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	return vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(asked), ReceivedAt: at(heard)}
+	return vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(requested), ReceivedAt: at(received)}
 }
 
 // rateLimitedTable has one endpoint, which advertises a rate limit of 2 requests a second.
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -19,10 +19,10 @@
 
 // ReportByHash records a load report that another host fetched. The endpoint is given by the hash of its name
 // (Short).
-func (t *Table) ReportByHash(short uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
+func (t *Table) ReportByHash(nameHash uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.byShortHash[short]
+	s, ok := t.byShortHash[nameHash]
 	return ok && t.acceptReport(s, r, false, leavingUntil)
 }
 
--- a/process/load/summary.go
+++ b/process/load/summary.go
@@ -24,17 +24,17 @@
 	defer t.mu.Unlock()
 	out := make([]EndpointStatus, 0, len(t.endpoints))
 	for _, s := range t.endpoints {
-		row := EndpointStatus{Endpoint: s.Endpoint, View: s.view(t, now), Report: s.report, LeavingBy: s.leavingBy(now)}
-		if row.LeavingBy == ByAnswers {
-			row.LeavingSince = s.availability.firstAnnouncedAt
+		status := EndpointStatus{Endpoint: s.Endpoint, View: s.view(t, now), Report: s.report, LeavingBy: s.leavingBy(now)}
+		if status.LeavingBy == ByAnswers {
+			status.LeavingSince = s.availability.firstAnnouncedAt
 		}
 		if now.Before(s.availability.pausedUntil) {
-			row.PausedUntil = s.availability.pausedUntil
+			status.PausedUntil = s.availability.pausedUntil
 		}
 		if s.rateLimit.Advertised {
-			row.RateLimitedSince = s.rateLimitedSince
+			status.RateLimitedSince = s.rateLimitedSince
 		}
-		out = append(out, row)
+		out = append(out, status)
 	}
 	return out
 }
--- a/process/logs/throttle.go
+++ b/process/logs/throttle.go
@@ -22,15 +22,15 @@
 
 // Allow reports whether a line about a subject may be logged now; if so, it counts as logged. If too
 // many subjects are remembered, all are forgotten first.
-func (s *Throttle) Allow(subject string, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if lastLine, ok := s.lastLine[subject]; ok && now.Sub(lastLine) < throttleInterval {
+func (t *Throttle) Allow(subject string, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if lastLine, ok := t.lastLine[subject]; ok && now.Sub(lastLine) < throttleInterval {
 		return false
 	}
-	if s.lastLine == nil || len(s.lastLine) >= maxSubjects {
-		s.lastLine = map[string]time.Time{}
+	if t.lastLine == nil || len(t.lastLine) >= maxSubjects {
+		t.lastLine = map[string]time.Time{}
 	}
-	s.lastLine[subject] = now
+	t.lastLine[subject] = now
 	return true
 }
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -22,8 +22,8 @@
 // RecordFromPeer implements Notices.
 func (l *leavingRecorder) RecordFromPeer(_ string, m *schema.EndpointLeaves) {
 	l.received++
-	notice, startedAt := schema.ToLeaving(m, l.at)
-	l.table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, notice, l.at)
+	availability, startedAt := schema.ToLeaving(m, l.at)
+	l.table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, availability, l.at)
 }
 
 // TestLeavingEndpointSentOnce guards against a host that is sent a leaving endpoint with
--- a/process/membership/rank.go
+++ b/process/membership/rank.go
@@ -113,11 +113,11 @@
 func (m *Membership) SeenShare(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	all, heard := 1, 1
+	all, seen := 1, 1
 	for _, b := range m.members {
 		all++
 		if b.state(now) < vetchtrail.HostSuspect {
-			heard++
+			seen++
 		}
 	}
 	for _, d := range m.remotes {
@@ -126,8 +126,8 @@
 		}
 		all += len(d.digest.GetMembers())
 		if now.Sub(d.digestTime) < reachableFor {
-			heard += len(d.digest.GetMembers())
+			seen += len(d.digest.GetMembers())
 		}
 	}
-	return float64(heard) / float64(all)
+	return float64(seen) / float64(all)
 }
--- a/process/membership/rate_limits_test.go
+++ b/process/membership/rate_limits_test.go
@@ -43,7 +43,7 @@
 		at := now.Add(time.Duration(second) * time.Second)
 		a.cfg.Load.RecordRateLimit("e", startedAt, vetchtrail.RateLimit{Advertised: rate > 0, Rate: rate, RequestedAt: at, ReceivedAt: at.Add(100 * time.Millisecond)})
 	}
-	known := func() (rate float64, limited bool) { // to b
+	known := func() (rate float64, rateLimited bool) { // to b
 		limit, _ := b.cfg.Load.RateLimit("e")
 		return limit.Rate, limit.Advertised
 	}
@@ -56,8 +56,8 @@
 	assert.Equal(t, l.received, 0, "sent without a limit")
 	advertise(2, 2)
 	exchangeAt(3)
-	rate, limited := known()
-	assert.Assert(t, limited && rate == 2)
+	rate, rateLimited := known()
+	assert.Assert(t, rateLimited && rate == 2)
 	exchangeAt(4)
 	assert.Equal(t, l.received, 1, "sent twice")
 	advertise(5, 5)
@@ -67,14 +67,14 @@
 	advertise(0, 7)
 	a.heartbeatTo(b.self.PeerAddr, now.Add(8*time.Second)) // not delivered
 	a.sendInFull(b.self.PeerAddr)
-	_, limited = known()
-	assert.Assert(t, limited)
+	_, rateLimited = known()
+	assert.Assert(t, rateLimited)
 	advertise(3, 9)
 	exchangeAt(10)
-	rate, limited = known()
-	assert.Assert(t, limited && rate == 3, "not sent again after a lost heartbeat")
+	rate, rateLimited = known()
+	assert.Assert(t, rateLimited && rate == 3, "not sent again after a lost heartbeat")
 	advertise(0, 11)
 	exchangeAt(12)
-	_, limited = known()
-	assert.Assert(t, !limited, "limit not lifted")
+	_, rateLimited = known()
+	assert.Assert(t, !rateLimited, "limit not lifted")
 }
--- a/process/notices/metrics.go
+++ b/process/notices/metrics.go
@@ -12,8 +12,8 @@
 	UnknownFieldsMetric = "vetchtrail_endpoint_fields_unknown_total"
 )
 
-// countNotice counts an announcement by its content.
-func countNotice(says string) {
+// countAnnouncement counts an announcement by its content.
+func countAnnouncement(says string) {
 	metrics.GetOrCreateCounter(NoticesMetric + `{says="` + says + `"}`).Inc()
 }
 
--- a/process/notices/notices.go
+++ b/process/notices/notices.go
@@ -17,10 +17,10 @@
 // Table records announcements of endpoints. *load.Table implements it.
 type Table interface {
 	// RecordAnnouncement records the announcement of an endpoint's answer, and returns what of it is new.
-	RecordAnnouncement(name string, born time.Time, n vetchtrail.Availability) load.AnnouncementNews
+	RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) load.AnnouncementNews
 	// RecordAnnouncementByHash does the same for an announcement that another host received. It names the endpoint by
 	// load.Short.
-	RecordAnnouncementByHash(short uint32, born time.Time, n vetchtrail.Availability, now time.Time) load.AnnouncementNews
+	RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) load.AnnouncementNews
 }
 
 // Config configures Notices.
@@ -47,22 +47,22 @@
 }
 
 // AvailabilityReported implements vetchtrail.Observer.
-func (n *Notices) AvailabilityReported(e vetchtrail.Endpoint, notice vetchtrail.Availability, err error) {
+func (n *Notices) AvailabilityReported(e vetchtrail.Endpoint, availability vetchtrail.Availability, err error) {
 	if err != nil {
-		countNotice("misread")
-		if n.logLimiter.Allow(e.Name, notice.ReceivedAt) {
+		countAnnouncement("misread")
+		if n.logLimiter.Allow(e.Name, availability.ReceivedAt) {
 			n.cfg.Log.Warn("endpoint's availability can't be parsed", "endpoint", e.Name, "error", err)
 		}
 	}
-	news := n.cfg.Table.RecordAnnouncement(e.Name, e.Born, notice)
+	news := n.cfg.Table.RecordAnnouncement(e.Name, e.Born, availability)
 	if news.Leaving {
-		countNotice("leaving")
+		countAnnouncement("leaving")
 		n.cfg.Log.Info("endpoint says that it leaves", "endpoint", e.Name, "service", e.Service)
 	}
 	if news.Paused {
-		countNotice("paused")
-		if n.logLimiter.Allow(e.Name, notice.ReceivedAt) {
-			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", notice.PausedUntil.Sub(notice.ReceivedAt))
+		countAnnouncement("paused")
+		if n.logLimiter.Allow(e.Name, availability.ReceivedAt) {
+			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", availability.PausedUntil.Sub(availability.ReceivedAt))
 		}
 	}
 }
@@ -70,14 +70,14 @@
 // RecordFromPeer records another host's message that an endpoint is leaving.
 func (n *Notices) RecordFromPeer(from string, m *schema.EndpointLeaves) {
 	now := time.Now()
-	notice, startedAt := schema.ToLeaving(m, now)
-	news := n.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, notice, now)
+	availability, startedAt := schema.ToLeaving(m, now)
+	news := n.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, availability, now)
 	if !news.Leaving {
 		return
 	}
-	countNotice("leaving, told by a host")
+	countAnnouncement("leaving, told by a host")
 	if news.Endpoint != "" {
-		n.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(notice.ReceivedAt))
+		n.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(availability.ReceivedAt))
 	}
 }
 
--- a/process/notices/notices_test.go
+++ b/process/notices/notices_test.go
@@ -19,7 +19,7 @@
 func TestLogLines(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	e := vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: now}
-	notice := func(second int, leaving bool, pause time.Duration) vetchtrail.Availability {
+	availability := func(second int, leaving bool, pause time.Duration) vetchtrail.Availability {
 		n := vetchtrail.Availability{Leaving: leaving, RequestedAt: now, ReceivedAt: now.Add(time.Duration(second) * time.Second)}
 		if pause > 0 {
 			n.PausedUntil = n.ReceivedAt.Add(pause)
@@ -27,16 +27,16 @@
 		return n
 	}
 	cases := map[string]struct {
-		notices []vetchtrail.Availability
-		err     error
-		want    []string // beginnings of the messages
+		announcements []vetchtrail.Availability
+		err           error
+		want          []string // beginnings of the messages
 	}{
-		"leaving, in each answer":         {[]vetchtrail.Availability{notice(1, true, 0), notice(2, true, 0)}, nil, []string{"endpoint says that it leaves"}},
-		"paused, in several answers":      {[]vetchtrail.Availability{notice(1, false, 4*time.Second), notice(1, false, 5*time.Second)}, nil, []string{"endpoint wants nothing for a time"}},
-		"paused again later":              {[]vetchtrail.Availability{notice(1, false, time.Second), notice(3, false, time.Second)}, nil, []string{"endpoint wants", "endpoint wants"}},
-		"a shorter pause while paused":    {[]vetchtrail.Availability{notice(1, false, time.Minute), notice(3, false, time.Second)}, nil, []string{"endpoint wants"}},
-		"not parsed, in each answer":      {[]vetchtrail.Availability{notice(1, false, 0), notice(1, false, 0)}, vetchtrail.ErrLeaving, []string{"endpoint's availability can't be parsed"}},
-		"leaving, and a pause not parsed": {[]vetchtrail.Availability{notice(1, true, 0)}, vetchtrail.ErrPause, []string{"endpoint's availability can't be parsed", "endpoint says that it leaves"}},
+		"leaving, in each answer":         {[]vetchtrail.Availability{availability(1, true, 0), availability(2, true, 0)}, nil, []string{"endpoint says that it leaves"}},
+		"paused, in several answers":      {[]vetchtrail.Availability{availability(1, false, 4*time.Second), availability(1, false, 5*time.Second)}, nil, []string{"endpoint wants nothing for a time"}},
+		"paused again later":              {[]vetchtrail.Availability{availability(1, false, time.Second), availability(3, false, time.Second)}, nil, []string{"endpoint wants", "endpoint wants"}},
+		"a shorter pause while paused":    {[]vetchtrail.Availability{availability(1, false, time.Minute), availability(3, false, time.Second)}, nil, []string{"endpoint wants"}},
+		"not parsed, in each answer":      {[]vetchtrail.Availability{availability(1, false, 0), availability(1, false, 0)}, vetchtrail.ErrLeaving, []string{"endpoint's availability can't be parsed"}},
+		"leaving, and a pause not parsed": {[]vetchtrail.Availability{availability(1, true, 0)}, vetchtrail.ErrPause, []string{"endpoint's availability can't be parsed", "endpoint says that it leaves"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 			table.Configure([]load.EndpointInRegion{{Endpoint: e}})
 			var out bytes.Buffer
 			n := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
-			for _, received := range c.notices {
+			for _, received := range c.announcements {
 				n.AvailabilityReported(e, received, c.err)
 			}
 			lines := strings.Split(strings.TrimSpace(out.String()), "\n")
--- a/process/quotas/lease.go
+++ b/process/quotas/lease.go
@@ -51,7 +51,7 @@
 	now := time.Now()
 	for _, h := range q.cfg.Hosts.FirstInRegion(q.cfg.Self.Region, q.shardTask(q.shardOf(r.Workspace)), q.ownersToTry(), now) {
 		if h.Name == q.cfg.Self.Name {
-			return convertClock(q.grantAsOwner(q.cfg.Self.Name, r, now), now, q.cfg.Clock()), true
+			return convertClock(q.leaseAsOwner(q.cfg.Self.Name, r, now), now, q.cfg.Clock()), true
 		}
 		if q.isUnreachable(h.Name, now) {
 			continue
@@ -129,7 +129,7 @@
 // HandleLeaseRequest handles a lease request from another host.
 func (q *Quotas) HandleLeaseRequest(m *schema.GrantRequest) *schema.GrantReply {
 	now := time.Now()
-	reply := q.grantAsOwner(m.GetFrom(), quota.LeaseRequest{Workspace: m.GetWorkspace(), MinUnits: m.GetLeast(), WantedUnits: m.GetWant(), DemandedUnits: m.GetAsked(), UnleasedUnits: m.GetSpent()}, now)
+	reply := q.leaseAsOwner(m.GetFrom(), quota.LeaseRequest{Workspace: m.GetWorkspace(), MinUnits: m.GetLeast(), WantedUnits: m.GetWant(), DemandedUnits: m.GetAsked(), UnleasedUnits: m.GetSpent()}, now)
 	out := &schema.GrantReply{Granted: reply.Units, Left: reply.RegionLeft, Age: int64(reply.ReportAge), Share: reply.HostRate, Part: reply.RegionShare}
 	if reply.Units > 0 {
 		out.For = int64(reply.ExpiresAt.Sub(now))
@@ -139,22 +139,22 @@
 	return out
 }
 
-// grantAsOwner answers a lease request as the owner of a workspace's quota, by the
+// leaseAsOwner answers a lease request as the owner of a workspace's quota, by the
 // configuration of this host. If that has no limit for the workspace, it leases nothing.
-func (q *Quotas) grantAsOwner(from string, r quota.LeaseRequest, now time.Time) quota.LeaseReply {
-	bound := q.cfg.QuotaSource().Quota(r.Workspace)
-	if !bound.IsLimited() {
+func (q *Quotas) leaseAsOwner(from string, r quota.LeaseRequest, now time.Time) quota.LeaseReply {
+	limit := q.cfg.QuotaSource().Quota(r.Workspace)
+	if !limit.IsLimited() {
 		return quota.LeaseReply{RetryAt: now.Add(ownerRetryDelay)}
 	}
-	heardShare := q.cfg.Hosts.SeenShare(now)
+	seenShare := q.cfg.Hosts.SeenShare(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	o := q.owned(r.Workspace)
 	o.lastUsed = now
 	if q.cfg.Strategy == StrategyAssigned {
-		return quota.LeaseReply{HostRate: o.assigner.HostRate(from, r.DemandedUnits, bound, now), ReportAge: o.RegionSplit.ReportAge(now)}
+		return quota.LeaseReply{HostRate: o.assigner.HostRate(from, r.DemandedUnits, limit, now), ReportAge: o.RegionSplit.ReportAge(now)}
 	}
-	return o.Grant(r, bound, q.cfg.Tolerance, heardShare, now)
+	return o.Grant(r, limit, q.cfg.Tolerance, seenShare, now)
 }
 
 // owned returns the owner's state of a workspace, and creates it if needed. It must be called
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -139,8 +139,8 @@
 
 // Take implements vetchtrail.QuotaLimiter.
 func (q *Quotas) Take(ctx context.Context, workspace string, cost float64) vetchtrail.QuotaVerdict {
-	bound := q.cfg.QuotaSource().Quota(workspace)
-	if !bound.IsLimited() {
+	limit := q.cfg.QuotaSource().Quota(workspace)
+	if !limit.IsLimited() {
 		return vetchtrail.QuotaVerdict{Granted: true}
 	}
 	l := q.localOf(workspace)
@@ -150,9 +150,9 @@
 	l.holder.RecordDemand(cost, now)
 	switch q.cfg.Strategy {
 	case StrategyEqual:
-		return q.takeEqualShare(l, cost, bound, now)
+		return q.takeEqualShare(l, cost, limit, now)
 	case StrategyAssigned:
-		return q.takeAssignedShare(l, workspace, cost, bound, now)
+		return q.takeAssignedShare(l, workspace, cost, limit, now)
 	}
 	for range maxReplyWaits {
 		if l.holder.Spend(cost, now) {
@@ -164,7 +164,7 @@
 			if q.cfg.Strict {
 				return l.verdict(false, l.unreachableUntil, now)
 			}
-			return q.takeEqualShare(l, cost, bound, now)
+			return q.takeEqualShare(l, cost, limit, now)
 		}
 		if retryAt, blocked := l.holder.Blocked(now); blocked {
 			return l.verdict(false, retryAt, now)
@@ -190,8 +190,8 @@
 }
 
 // takeEqualShare spends the cost from this host's equal share, without a lease.
-func (q *Quotas) takeEqualShare(l *localQuota, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
-	ok, retryAt := l.equalShare.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
+func (q *Quotas) takeEqualShare(l *localQuota, cost float64, limit vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
+	ok, retryAt := l.equalShare.Take(cost, limit, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
 	if ok {
 		l.holder.RecordUnleased(cost)
 	}
@@ -200,11 +200,11 @@
 
 // takeAssignedShare spends the cost from this host's assigned share, and requests a new rate
 // from time to time.
-func (q *Quotas) takeAssignedShare(l *localQuota, workspace string, cost float64, bound vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
+func (q *Quotas) takeAssignedShare(l *localQuota, workspace string, cost float64, limit vetchtrail.Quota, now time.Time) vetchtrail.QuotaVerdict {
 	if l.assigned.RequestDue(now) {
 		q.startRequest(l, workspace, 0)
 	}
-	ok, retryAt := l.assigned.Take(cost, bound, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
+	ok, retryAt := l.assigned.Take(cost, limit, q.cfg.Tolerance, q.cfg.Hosts.Count(), now)
 	return l.verdict(ok, retryAt, now)
 }
 
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -111,7 +111,7 @@
 // TestTake guards against hosts that together run more than the quota and its tolerance, and
 // against refusals without a time to retry. Hosts in three regions get 600 requests at once.
 func TestTake(t *testing.T) {
-	bound := vetchtrail.Quota{Rate: 100, Burst: 100}
+	limit := vetchtrail.Quota{Rate: 100, Burst: 100}
 	cases := map[string]struct {
 		strategy    string
 		partitioned []string // hosts that are partitioned from all others
@@ -127,7 +127,7 @@
 	}
 	for name, c := range cases {
 		onVirtualTime(t, name, func(t *testing.T) {
-			n, hosts := newNetwork(t, c.strategy, bound, 2)
+			n, hosts := newNetwork(t, c.strategy, limit, 2)
 			for _, h := range c.partitioned {
 				n.partitioned[h] = true
 			}
--- a/process/ratelimits/faults_test.go
+++ b/process/ratelimits/faults_test.go
@@ -74,7 +74,7 @@
 // TestRateAcrossHostsDetectsFaults checks that TestRateAcrossHosts can fail: the same
 // simulations must break the limit with a mechanism switched off.
 func TestRateAcrossHostsDetectsFaults(t *testing.T) {
-	for _, disabled := range []guard{guardSharedOwner, guardHeardShare, guardReportOrder, guardInstance} {
+	for _, disabled := range []guard{guardSharedOwner, guardSeenShare, guardReportOrder, guardInstance} {
 		t.Run(string(disabled), func(t *testing.T) {
 			for seed := range uint64(60) {
 				if ratio, description := simulateFaults(t, seed, disabled); ratio > 1 {
--- a/process/ratelimits/fleet_test.go
+++ b/process/ratelimits/fleet_test.go
@@ -30,7 +30,7 @@
 
 const (
 	guardSharedOwner guard = "one owner for all hosts"
-	guardHeardShare  guard = "rate reduced to the share of hosts heard"
+	guardSeenShare   guard = "rate reduced to the share of hosts heard"
 	guardReportOrder guard = "order of reports"
 	guardInstance    guard = "instance of the endpoint"
 )
@@ -128,14 +128,14 @@
 }
 
 // RecordRateLimit implements Table.
-func (t table) RecordRateLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+func (t table) RecordRateLimit(name string, startedAt time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	switch t.disabled {
 	case guardReportOrder:
 		report.RequestedAt, report.ReceivedAt = time.Now(), time.Now()
 	case guardInstance:
-		born = time.Time{}
+		startedAt = time.Time{}
 	}
-	return t.Table.RecordRateLimit(name, born, report)
+	return t.Table.RecordRateLimit(name, startedAt, report)
 }
 
 // generateLoad makes requests at a host, at a mean rate per second, until a given time.
@@ -206,9 +206,9 @@
 // deliverLimit delivers a rate limit to a host. It records a violation if the limit is from an
 // earlier instance and the host applies it to a later one.
 func (f *fleet) deliverLimit(limits *RateLimits, tab *load.Table, e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
-	_, born := tab.RateLimit(fleetName)
+	_, startedAt := tab.RateLimit(fleetName)
 	limits.RateLimitReported(e, report, nil)
-	if is, _ := tab.RateLimit(fleetName); !born.Equal(e.Born) && is == report {
+	if is, _ := tab.RateLimit(fleetName); !startedAt.Equal(e.Born) && is == report {
 		f.mu.Lock()
 		f.violation = "a limit of an earlier instance was applied"
 		f.mu.Unlock()
--- a/process/ratelimits/network_test.go
+++ b/process/ratelimits/network_test.go
@@ -91,16 +91,16 @@
 func (v hostView) SeenShare(now time.Time) float64 {
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
-	if v.f.disabled == guardSharedOwner || v.f.disabled == guardHeardShare {
+	if v.f.disabled == guardSharedOwner || v.f.disabled == guardSeenShare {
 		return 1
 	}
-	heard := 0
+	seen := 0
 	for _, h := range v.f.hosts {
 		if v.f.believesAlive(v.h, h, now) {
-			heard++
+			seen++
 		}
 	}
-	return float64(heard) / float64(len(v.f.hosts))
+	return float64(seen) / float64(len(v.f.hosts))
 }
 
 var _ quotas.Hosts = hostView{}
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -25,9 +25,9 @@
 	// RecordRateLimit applies a rate limit that an endpoint advertised, unless it is older than the
 	// stored one. It returns the stored limit before and after. ok is false if the endpoint is
 	// unknown or the report is from another instance of it.
-	RecordRateLimit(name string, born time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool)
+	RecordRateLimit(name string, startedAt time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool)
 	// RateLimit returns the last rate limit of an endpoint, and the start time of its instance.
-	RateLimit(name string) (l vetchtrail.RateLimit, born time.Time)
+	RateLimit(name string) (l vetchtrail.RateLimit, startedAt time.Time)
 	// SetRateLeft stores how many requests were left of an endpoint's rate and, if none, until when.
 	SetRateLeft(name string, left float64, until time.Time)
 }
@@ -73,7 +73,7 @@
 	}
 	l := &RateLimits{Observer: c.Table, cfg: c, reservations: map[string]uint64{}, startedAt: time.Now()}
 	l.rateQuotas = quotas.New(quotas.Config{
-		Self: c.Self, QuotaSource: func() quotas.QuotaSource { return rateBounds{l} }, Hosts: settledHosts{Hosts: c.Hosts, limits: l}, Peers: leaseTransport{l},
+		Self: c.Self, QuotaSource: func() quotas.QuotaSource { return rateQuotas{l} }, Hosts: settledHosts{Hosts: c.Hosts, limits: l}, Peers: leaseTransport{l},
 		Task: "keep rates", Shards: shards, Strict: true, Clock: c.Clock, Log: c.Log,
 	})
 	return l
--- a/process/ratelimits/ratelimits_test.go
+++ b/process/ratelimits/ratelimits_test.go
@@ -20,9 +20,9 @@
 
 // advertised returns a rate limit from a response that was requested and received at given
 // times, in milliseconds. A negative rate means that no limit is advertised.
-func advertised(rate float64, asked, heard int) vetchtrail.RateLimit {
+func advertised(rate float64, requested, received int) vetchtrail.RateLimit {
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	return vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(asked), ReceivedAt: at(heard)}
+	return vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(requested), ReceivedAt: at(received)}
 }
 
 // TestLogLines guards against a flood of log lines from an endpoint that changes its limit in
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -40,11 +40,11 @@
 	minRetryDelay = 20 * time.Millisecond
 )
 
-// rateBounds presents the rate limits of endpoints as quotas. It implements quotas.Bounds.
-type rateBounds struct{ l *RateLimits }
+// rateQuotas presents the rate limits of endpoints as quotas. It implements quotas.Bounds.
+type rateQuotas struct{ l *RateLimits }
 
 // Quota implements quotas.Bounds.
-func (b rateBounds) Quota(name string) vetchtrail.Quota {
+func (b rateQuotas) Quota(name string) vetchtrail.Quota {
 	limit, _ := b.l.cfg.Table.RateLimit(name)
 	if !limit.Advertised {
 		return vetchtrail.Quota{}
@@ -54,7 +54,7 @@
 }
 
 // RegionNames implements quotas.Bounds. Only hosts in its own region call an endpoint.
-func (b rateBounds) RegionNames() []string { return []string{b.l.cfg.Self.Region} }
+func (b rateQuotas) RegionNames() []string { return []string{b.l.cfg.Self.Region} }
 
 // settledHosts returns no hosts for a task while this host has just started and knows no other
 // host, so that it does not act as the owner.
@@ -154,11 +154,11 @@
 
 // knownRate returns what this host knows of an endpoint's rate limit, or nil if nothing.
 func (l *RateLimits) knownRate(name string) *schema.EndpointRate {
-	limit, born := l.cfg.Table.RateLimit(name)
+	limit, startedAt := l.cfg.Table.RateLimit(name)
 	if limit.ReceivedAt.IsZero() {
 		return nil
 	}
-	return schema.FromRateLimit(name, born, limit, time.Now())
+	return schema.FromRateLimit(name, startedAt, limit, time.Now())
 }
 
 // Learn applies what another host knows of a rate limit.
@@ -167,7 +167,7 @@
 		return
 	}
 	now := time.Now()
-	report, born, err := schema.ToRateLimit(m, now)
+	report, startedAt, err := schema.ToRateLimit(m, now)
 	if err != nil {
 		if !l.logLimiter.Allow(m.GetEndpoint(), now) {
 			return
@@ -175,7 +175,7 @@
 		l.cfg.Log.Warn("rate limit reported by another host is invalid", "endpoint", m.GetEndpoint(), "error", err)
 		return
 	}
-	l.applyLimit(vetchtrail.Endpoint{Name: m.GetEndpoint(), Born: born}, report)
+	l.applyLimit(vetchtrail.Endpoint{Name: m.GetEndpoint(), Born: startedAt}, report)
 }
 
 // addReservation counts a reservation that is used.
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -71,12 +71,12 @@
 // transit must not lift a limit that the endpoint has advertised since.
 func TestRateLimitUpdate(t *testing.T) {
 	at := func(second int) time.Time { return time.Unix(1_800_000_000+int64(second), 0) }
-	limit := func(rate float64, asked, heard int) RateLimit {
-		return RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(asked), ReceivedAt: at(heard)}
+	limit := func(rate float64, requested, received int) RateLimit {
+		return RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: at(requested), ReceivedAt: at(received)}
 	}
 	const none = -1
 	cases := map[string]struct {
-		held, next, want RateLimit
+		current, next, want RateLimit
 	}{
 		"first response":                      {RateLimit{}, limit(2, 1, 2), limit(2, 1, 2)},
 		"later, higher":                       {limit(2, 1, 2), limit(5, 3, 4), limit(5, 3, 4)},
@@ -90,6 +90,6 @@
 		"limit from a response that overtook": {limit(none, 1, 4), limit(2, 2, 3), limit(2, 2, 3)},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, c.held.Update(c.next), c.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, c.current.Update(c.next), c.want) })
 	}
 }
--- a/request/dispatch/availability_test.go
+++ b/request/dispatch/availability_test.go
@@ -23,17 +23,17 @@
 	targets := &scriptedTargets{}
 	d := newDispatcher(t, targets, 2)
 	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Deadline: time.Now().Add(time.Second)}
-	leaveBeforeSend := func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	leaveBeforeSend := func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		name := targets.called[len(targets.called)-1]
 		e, _ := d.cfg.Endpoints.Find(name)
 		assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.Reason(""))
 		announceLeaving(d, name)
 		reason := d.CheckBeforeSend(e, r)
 		assert.Equal(t, reason, vetchtrail.ReasonDraining)
-		return refuseWith(vetchtrail.StepResidency, reason)(r, a)
+		return refuseWith(vetchtrail.StepResidency, reason)(r, w)
 	}
 	targets.replies = []reply{leaveBeforeSend, answerWith("ok")}
-	var g recordedAnswer
+	var g responseRecorder
 	o := d.Run(context.Background(), r, &g)
 	assert.Equal(t, o.Kind, vetchtrail.OutcomeAnswered, "%v", o)
 	assert.Equal(t, len(targets.called), 2)
@@ -56,7 +56,7 @@
 			announceLeaving(d, "2")
 			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second)}
 			started := time.Now()
-			var g recordedAnswer
+			var g responseRecorder
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, len(targets.called), c.called)
@@ -77,9 +77,9 @@
 
 // refuseWithPause has the endpoint refuse a request and announce a pause.
 func refuseWithPause(d *Dispatcher, targets *scriptedTargets, pause time.Duration) reply {
-	return func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	return func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		announcePause(d, targets.called[len(targets.called)-1], pause)
-		o := refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)(r, a)
+		o := refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)(r, w)
 		o.RetryAt = time.Now().Add(pause)
 		return o
 	}
@@ -107,14 +107,14 @@
 			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(2 * time.Second)}
 			// The other endpoint pauses as soon as the first one is called, so that it is not tried.
 			refuse := targets.replies[0]
-			targets.replies[0] = func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+			targets.replies[0] = func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 				other := map[string]string{"1": "2", "2": "1"}[targets.called[0]]
 				if c.other > 0 {
 					announcePause(d, other, c.other)
 				}
-				return refuse(r, a)
+				return refuse(r, w)
 			}
-			var g recordedAnswer
+			var g responseRecorder
 			started := time.Now()
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, vetchtrail.OutcomeNotRun, "%v", o)
@@ -140,7 +140,7 @@
 			announcePause(d, "2", c.pause+time.Second)
 			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: 1, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
 			started := time.Now()
-			var g recordedAnswer
+			var g responseRecorder
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			if c.kind == vetchtrail.OutcomeAnswered {
@@ -167,7 +167,7 @@
 	assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.ReasonPaused)
 	resumed := &vetchtrail.Request{ID: "y", Service: "s", Deadline: time.Now().Add(time.Second)}
 	asResume(resumed)
-	var g recordedAnswer
+	var g responseRecorder
 	o := d.Run(context.Background(), resumed, &g)
 	assert.Equal(t, o.Reason, vetchtrail.ReasonPaused, "%v", o)
 	assert.Assert(t, time.Until(o.RetryAt) > 58*time.Second)
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -94,11 +94,11 @@
 // Run processes a request to its final outcome, writes what it receives of an
 // answer to a, and records and counts the outcome. The outcome is unknown if the
 // request may have run, its answer was lost, and it may not be retried.
-func (d *Dispatcher) Run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
 	started := time.Now()
-	o := d.run(ctx, r, a)
+	o := d.run(ctx, r, w)
 	d.cfg.Journal.Note(vetchtrail.JournalRecord{
 		At: started, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, Hops: r.Hops,
 		Ended: true, Outcome: o, Took: time.Since(started),
@@ -117,7 +117,7 @@
 
 // run checks a request and passes it to the function for its type: a request that
 // resumes a stream, a request with an idempotency key, or any other.
-func (d *Dispatcher) run(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if r.Hops > 0 && r.Route != "" && d.cfg.Membership.Self().State == vetchtrail.HostLeaving {
 		// The answer's stream could outlast this host. The sender may not know
 		// yet that this host is leaving.
@@ -127,12 +127,12 @@
 		return d.keyedRefusal(r, o)
 	}
 	if r.ResumeAt.Endpoint != "" {
-		return d.resumeStream(ctx, r, a)
+		return d.resumeStream(ctx, r, w)
 	}
 	if r.IdempotencyKey != "" {
-		return d.runKeyed(ctx, r, a)
+		return d.runKeyed(ctx, r, w)
 	}
-	return d.runWithRetries(ctx, r, a)
+	return d.runWithRetries(ctx, r, w)
 }
 
 // applyRules checks a request against the newest configuration and the
@@ -142,7 +142,7 @@
 func (d *Dispatcher) applyRules(r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	newest := d.cfg.Rules()
 	if r.Credential != (vetchtrail.KeyHash{}) {
-		if holder, ok := newest.KeyOwner(r.Credential); !ok || holder != r.Workspace {
+		if owner, ok := newest.KeyOwner(r.Credential); !ok || owner != r.Workspace {
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonUnknownKey, time.Time{}), false
 		}
 	}
@@ -233,10 +233,10 @@
 
 // runWithRetries attempts a request until it is answered or may not be retried.
 // It retries only requests that certainly did not run or that may run twice.
-func (d *Dispatcher) runWithRetries(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) runWithRetries(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	var history attemptHistory
 	if r.Stream && r.Resumable {
-		a = &eventTracker{next: a, req: r}
+		w = &eventTracker{next: w, req: r}
 	}
 	if r.Hops == 0 {
 		d.budget(r.Service).CountRequest(time.Now())
@@ -245,13 +245,13 @@
 	defer use.returnUnused()
 	for n := 1; ; n++ {
 		if o, ok := use.take(ctx, n); !ok {
-			return d.replayFailure(history.overallOutcome(o), a)
+			return d.replayFailure(history.overallOutcome(o), w)
 		}
 		p, o, ok := d.findPlacement(ctx, r, history, n)
 		if !ok {
-			return d.replayFailure(history.overallOutcome(o), a)
+			return d.replayFailure(history.overallOutcome(o), w)
 		}
-		o = d.runAttempt(ctx, r, p, n, a)
+		o = d.runAttempt(ctx, r, p, n, w)
 		use.attemptEnded(o)
 		// Once an endpoint may have received the request, it is no longer fresh:
 		// part of its time is spent, and a stream that has begun continues even if
@@ -265,11 +265,11 @@
 		history.add(p, o)
 		o = history.overallOutcome(o)
 		if !d.mayRetry(ctx, r, o, &history, n) {
-			return d.replayFailure(d.withRetryTime(r, p, o), a)
+			return d.replayFailure(d.withRetryTime(r, p, o), w)
 		}
 		history.last = o
 		if o, ok := d.applyRules(r); !ok {
-			return d.replayFailure(history.overallOutcome(o), a)
+			return d.replayFailure(history.overallOutcome(o), w)
 		}
 	}
 }
@@ -321,11 +321,11 @@
 // replayFailure writes the deferred failure response of an endpoint to the
 // caller, now that no further attempt can give a better one. It does nothing if
 // there is none or if part of an answer was written already.
-func (d *Dispatcher) replayFailure(o vetchtrail.Outcome, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) replayFailure(o vetchtrail.Outcome, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if o.DeferredFailure == nil || o.ResponseStarted {
 		return o
 	}
-	if err := o.DeferredFailure.Replay(a); err != nil {
+	if err := o.DeferredFailure.Replay(w); err != nil {
 		o.Err = err
 		return o
 	}
@@ -383,13 +383,13 @@
 
 // runAttempt sends a request to its target. It reports the outcome to the
 // membership, or to the load table and the quarantine if the target is an endpoint.
-func (d *Dispatcher) runAttempt(ctx context.Context, r *vetchtrail.Request, p placement, attempt int, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) runAttempt(ctx context.Context, r *vetchtrail.Request, p placement, attempt int, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if p.dataCentre != "" {
-		o := d.cfg.Peers.Forward(ctx, p.host, r, a)
+		o := d.cfg.Peers.Forward(ctx, p.host, r, w)
 		d.cfg.Membership.ForwardEnded(p.dataCentre, r.Service, o, time.Now())
 		return mapRemoteRefusal(o)
 	}
-	o, timing := d.cfg.EndpointCaller.Call(ctx, p.endpoint, r, a)
+	o, timing := d.cfg.EndpointCaller.Call(ctx, p.endpoint, r, w)
 	o.FirstByte = timing.FirstByte
 	d.returnReservation(r, o)
 	d.cfg.Endpoints.Release(p.endpoint.Name, vetchtrail.Observation{
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -24,7 +24,7 @@
 )
 
 // reply is what a target does with one attempt.
-type reply func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome
+type reply func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 
 // scriptedTargets stands in for all endpoints and remote hosts. It gives each attempt the
 // next of its replies, wherever the attempt goes.
@@ -35,49 +35,49 @@
 	resumedAfter []string // ID of the last event that each attempt was to continue after
 }
 
-func (s *scriptedTargets) next(name string, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (s *scriptedTargets) next(name string, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.called = append(s.called, name)
 	s.resumedAfter = append(s.resumedAfter, r.LastEventID)
 	respond := s.replies[0]
 	s.replies = s.replies[1:]
-	o := respond(r, a)
+	o := respond(r, w)
 	o.Peer = name
 	return o
 }
 
-func (s *scriptedTargets) Call(_ context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, a vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
-	return s.next(e.Name, r, a), vetchtrail.Timing{}
+func (s *scriptedTargets) Call(_ context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, w vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
+	return s.next(e.Name, r, w), vetchtrail.Timing{}
 }
 
-func (s *scriptedTargets) Forward(_ context.Context, h vetchtrail.Host, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	return s.next(h.Name, r, a)
+func (s *scriptedTargets) Forward(_ context.Context, h vetchtrail.Host, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	return s.next(h.Name, r, w)
 }
 
-// recordedAnswer is what the caller received.
-type recordedAnswer struct {
+// responseRecorder is what the caller received.
+type responseRecorder struct {
 	begins int // calls of Begin
 	status int
 	body   strings.Builder
 }
 
-func (g *recordedAnswer) Begin(status int, _ []vetchtrail.HeaderField) error {
+func (g *responseRecorder) Begin(status int, _ []vetchtrail.HeaderField) error {
 	g.begins++
 	g.status = status
 	return nil
 }
 
-func (g *recordedAnswer) Write(p []byte) error {
+func (g *responseRecorder) Write(p []byte) error {
 	g.body.Write(p)
 	return nil
 }
 
 // answerWith answers with status 200 and a body.
 func answerWith(body string) reply {
-	return func(_ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
-		_ = a.Begin(200, nil)
-		_ = a.Write([]byte(body))
+	return func(_ *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+		_ = w.Begin(200, nil)
+		_ = w.Write([]byte(body))
 		return vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200, Step: vetchtrail.StepResponse, ResponseStarted: true}
 	}
 }
@@ -85,10 +85,10 @@
 // breakAfter loses the answer after a first part of the body, or before it if that is
 // empty.
 func breakAfter(body string) reply {
-	return func(_ *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	return func(_ *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		if body != "" {
-			_ = a.Begin(200, nil)
-			_ = a.Write([]byte(body))
+			_ = w.Begin(200, nil)
+			_ = w.Write([]byte(body))
 		}
 		return vetchtrail.Outcome{
 			Kind: vetchtrail.OutcomeUnknown, Status: 502, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonResponseBroken, ResponseStarted: body != "",
@@ -98,9 +98,9 @@
 
 // delayed gives a reply after 30 milliseconds.
 func delayed(then reply) reply {
-	return func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	return func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		time.Sleep(30 * time.Millisecond)
-		return then(r, a)
+		return then(r, w)
 	}
 }
 
@@ -214,7 +214,7 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g recordedAnswer
+			var g responseRecorder
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
@@ -244,7 +244,7 @@
 			r := &vetchtrail.Request{
 				ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second),
 			}
-			var g recordedAnswer
+			var g responseRecorder
 			assert.Equal(t, d.Run(context.Background(), r, &g).Kind, c.kind)
 		})
 	}
@@ -280,7 +280,7 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g recordedAnswer
+			var g responseRecorder
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, len(targets.called), c.called)
--- a/request/dispatch/home_test.go
+++ b/request/dispatch/home_test.go
@@ -43,7 +43,7 @@
 				ID: "x", Service: "s", Route: "at-b", MaxAttempts: 2, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
 			started := time.Now()
-			var g recordedAnswer
+			var g responseRecorder
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -12,7 +12,7 @@
 
 // runKeyed runs a request with an idempotency key. Only the process that issued
 // the key (its issuer) may start the request, so any other forwards it there.
-func (d *Dispatcher) runKeyed(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) runKeyed(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	key, err := once.Parse(r.IdempotencyKey)
 	if err != nil {
 		o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
@@ -20,12 +20,12 @@
 		return o
 	}
 	if d.cfg.IssuedKeys.IssuedHere(key) {
-		return d.runAsIssuer(ctx, key, r, a)
+		return d.runAsIssuer(ctx, key, r, w)
 	}
 	if r.Hops > 0 {
-		return d.runForwarded(ctx, key, r, a)
+		return d.runForwarded(ctx, key, r, w)
 	}
-	return d.forwardToIssuer(ctx, key, r, a)
+	return d.forwardToIssuer(ctx, key, r, w)
 }
 
 // StartingOutcome returns the outcome of a request that arrived before this host had a
@@ -50,24 +50,24 @@
 // runForwarded runs a keyed request that another host forwarded. If the key names
 // this host, an earlier process of this host issued the key. That process is gone,
 // and the sender took this one for it, so the request is not run.
-func (d *Dispatcher) runForwarded(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) runForwarded(ctx context.Context, key once.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if key.Host == d.cfg.Self.Name {
 		return d.issuerGone(r)
 	}
-	return d.runWithRetries(ctx, r, a)
+	return d.runWithRetries(ctx, r, w)
 }
 
 // runAsIssuer runs the first request with a key that this process issued. Any
 // further request with the key gets the answer of the first.
-func (d *Dispatcher) runAsIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) runAsIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	rec, first, err := d.cfg.IssuedKeys.Begin(key, once.Fingerprint(r), time.Now())
 	if err != nil {
 		return d.keyRefusal(key, err)
 	}
 	if !first {
-		return d.awaitFirst(ctx, rec, r, a)
+		return d.awaitFirst(ctx, rec, r, w)
 	}
-	tee := &once.Tee{To: a}
+	tee := &once.Tee{To: w}
 	// The request continues when its caller disconnects: a retry with the same key
 	// needs the answer.
 	o := d.runWithRetries(context.WithoutCancel(ctx), r, tee)
@@ -77,12 +77,12 @@
 
 // awaitFirst waits until the first request with a key has ended, and replays its
 // answer to a further one.
-func (d *Dispatcher) awaitFirst(ctx context.Context, rec *once.Record, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) awaitFirst(ctx context.Context, rec *once.Record, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	timeout := time.NewTimer(time.Until(r.Deadline))
 	defer timeout.Stop()
 	select {
 	case <-rec.Done():
-		return rec.Replay(a)
+		return rec.Replay(w)
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
@@ -114,7 +114,7 @@
 // forwardToIssuer forwards a keyed request to the process that issued its key. If
 // that process can't be reached, the outcome is unknown: an earlier request with
 // the key may have run.
-func (d *Dispatcher) forwardToIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) forwardToIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	h, ok := d.cfg.Membership.Find(key.Host, time.Now())
 	if !ok {
 		return d.unknownOutcome(vetchtrail.ReasonIssuerGone, errors.New("host "+key.Host+", which issued the key, is unknown to this host"))
@@ -126,7 +126,7 @@
 	if !known || !r.AllowedRegions.Has(region.ID) {
 		return d.unknownOutcome(vetchtrail.ReasonResidency, errors.New("the request may not go to the region of host "+key.Host+", which issued the key"))
 	}
-	o := d.cfg.Peers.Forward(ctx, h, r, a)
+	o := d.cfg.Peers.Forward(ctx, h, r, w)
 	if o.Kind == vetchtrail.OutcomeNotRun && o.Step == vetchtrail.StepConnect {
 		o.Kind, o.Status, o.RetryAt = vetchtrail.OutcomeUnknown, statusBadGateway, time.Now().Add(time.Second)
 	}
--- a/request/dispatch/quarantine_test.go
+++ b/request/dispatch/quarantine_test.go
@@ -65,7 +65,7 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g recordedAnswer
+			var g responseRecorder
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
@@ -105,7 +105,7 @@
 	}
 	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: 1, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
 	time.AfterFunc(20*time.Millisecond, func() { d.cfg.Endpoints.Release("1", vetchtrail.Observation{Request: "a"}, time.Now()) })
-	var g recordedAnswer
+	var g responseRecorder
 	o := d.Run(context.Background(), r, &g)
 	assert.Equal(t, o.Reason, vetchtrail.ReasonQuarantined, "%v", o)
 	assert.Equal(t, len(targets.called), 0)
@@ -133,7 +133,7 @@
 	key := d.cfg.IssuedKeys.Issue(time.Now()).String()
 	send := func() vetchtrail.Outcome {
 		r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, IdempotencyKey: key, Deadline: time.Now().Add(5 * time.Second)}
-		var g recordedAnswer
+		var g responseRecorder
 		return d.Run(context.Background(), r, &g)
 	}
 	first := send()
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -83,7 +83,7 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			o := d.Run(context.Background(), r, &recordedAnswer{})
+			o := d.Run(context.Background(), r, &responseRecorder{})
 			assert.Equal(t, o.Status, c.status, "%v", o)
 			assert.Equal(t, quota.remaining, c.wantRemaining)
 			if c.status == statusTooMany {
@@ -116,9 +116,9 @@
 		t.Run(name, func(t *testing.T) {
 			targets := &scriptedTargets{}
 			d, applyEdits := newQuotaDispatcher(t, targets, &fakeQuota{remaining: 1000}, 2)
-			targets.replies = []reply{func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+			targets.replies = []reply{func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 				removeKey(applyEdits)
-				return c.first(r, a)
+				return c.first(r, w)
 			}}
 			if c.removedFirst {
 				removeKey(applyEdits)
@@ -127,7 +127,7 @@
 				ID: "x", Service: "s", Route: "r", MaxAttempts: 2, Repeatable: true, Workspace: "w", Credential: vetchtrail.HashKey("secret"),
 				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
-			o := d.Run(context.Background(), r, &recordedAnswer{})
+			o := d.Run(context.Background(), r, &responseRecorder{})
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
 			assert.Equal(t, len(targets.called), c.attempts)
@@ -140,8 +140,8 @@
 // endpoint has received it.
 func TestFreshAfterRefusal(t *testing.T) {
 	cases := map[string]struct {
-		first reply
-		fresh bool
+		first          reply
+		callerCanRetry bool
 	}{
 		"no capacity there":      {refuseWith(vetchtrail.StepDecide, vetchtrail.ReasonOverCapacity), true},
 		"unreachable":            {refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), true},
@@ -151,19 +151,19 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var stillFresh bool
-			targets := &scriptedTargets{replies: []reply{c.first, func(r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+			targets := &scriptedTargets{replies: []reply{c.first, func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 				stillFresh = r.CallerCanRetry
-				return answerWith("ok")(r, a)
+				return answerWith("ok")(r, w)
 			}}}
 			d := newDispatcher(t, targets, 2)
 			r := &vetchtrail.Request{
 				ID: "x", Service: "s", Route: "r", MaxAttempts: 2, Repeatable: true, CallerCanRetry: true,
 				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
-			o := d.Run(context.Background(), r, &recordedAnswer{})
+			o := d.Run(context.Background(), r, &responseRecorder{})
 			assert.Equal(t, o.Kind, vetchtrail.OutcomeAnswered)
 			assert.Equal(t, len(targets.called), 2)
-			assert.Equal(t, stillFresh, c.fresh)
+			assert.Equal(t, stillFresh, c.callerCanRetry)
 		})
 	}
 }
--- a/request/dispatch/reservation_test.go
+++ b/request/dispatch/reservation_test.go
@@ -103,7 +103,7 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g recordedAnswer
+			var g responseRecorder
 			o := d.Run(context.Background(), r, &g)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Assert(t, c.reason == "" || o.Reason == c.reason, "%v", o)
--- a/request/dispatch/resume.go
+++ b/request/dispatch/resume.go
@@ -17,7 +17,7 @@
 // event that the caller received. Only the endpoint that has the stream can do so. In
 // this data centre it is called directly, in a remote one through a host there. The
 // request is not run again.
-func (d *Dispatcher) resumeStream(ctx context.Context, r *vetchtrail.Request, a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) resumeStream(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	e, ok := d.cfg.Rules().Endpoint(r.ResumeAt.Endpoint)
 	if !ok || e.Service != r.Service {
 		o := d.refusal(vetchtrail.StepParse, vetchtrail.ReasonBadRequest, time.Time{})
@@ -36,7 +36,7 @@
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonRateLimited, retryAt)
 		}
 		r.Method, r.Path, r.Body = "GET", streamPath+r.ResumeAt.Stream, nil
-		o, _ := d.cfg.EndpointCaller.Call(ctx, e, r, a)
+		o, _ := d.cfg.EndpointCaller.Call(ctx, e, r, w)
 		d.returnReservation(r, o)
 		return o
 	}
@@ -47,7 +47,7 @@
 	if !ok {
 		return d.refusal(vetchtrail.StepForward, vetchtrail.ReasonUnreachable, time.Now().Add(time.Second))
 	}
-	o := d.cfg.Peers.Forward(ctx, h, r, a)
+	o := d.cfg.Peers.Forward(ctx, h, r, w)
 	d.cfg.Membership.ForwardEnded(e.DataCentre, r.Service, o, time.Now())
 	return o
 }
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -68,18 +68,18 @@
 func New(c Config) *Registry { return &Registry{cfg: c, records: map[string]*Record{}} }
 
 // Issue returns a new key.
-func (k *Registry) Issue(now time.Time) Key {
+func (r *Registry) Issue(now time.Time) Key {
 	var nonce [nonceBytes]byte
 	_, _ = rand.Read(nonce[:])
 	return Key{
-		Host: k.cfg.Host, Incarnation: k.cfg.Incarnation,
-		Expires: now.Add(k.cfg.KeyTime).Truncate(time.Second), Nonce: hex.EncodeToString(nonce[:]),
+		Host: r.cfg.Host, Incarnation: r.cfg.Incarnation,
+		Expires: now.Add(r.cfg.KeyTime).Truncate(time.Second), Nonce: hex.EncodeToString(nonce[:]),
 	}
 }
 
 // IssuedHere reports whether this process issued the key.
-func (k *Registry) IssuedHere(key Key) bool {
-	return key.Host == k.cfg.Host && key.Incarnation == k.cfg.Incarnation
+func (r *Registry) IssuedHere(key Key) bool {
+	return key.Host == r.cfg.Host && key.Incarnation == r.cfg.Incarnation
 }
 
 // Fingerprint returns a hash of the fields in which repeated requests must agree.
@@ -98,11 +98,11 @@
 // request has not been started: the caller starts it and calls Finish. Otherwise it was
 // started before and may still be running: the caller waits for the record's Done and
 // calls Replay.
-func (k *Registry) Begin(key Key, fingerprint uint64, now time.Time) (rec *Record, first bool, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.sweep(now)
-	if rec, ok := k.records[key.Nonce]; ok {
+func (r *Registry) Begin(key Key, fingerprint uint64, now time.Time) (rec *Record, first bool, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sweep(now)
+	if rec, ok := r.records[key.Nonce]; ok {
 		if rec.fingerprint != fingerprint {
 			return nil, false, ErrReused
 		}
@@ -111,57 +111,57 @@
 	if !now.Before(key.Expires) {
 		return nil, false, ErrExpired
 	}
-	if k.bytes+recordBytes > k.cfg.MaxBytes {
+	if r.bytes+recordBytes > r.cfg.MaxBytes {
 		return nil, false, ErrFull
 	}
 	rec = &Record{done: make(chan struct{}), fingerprint: fingerprint, expires: key.Expires}
-	k.records[key.Nonce] = rec
-	k.bytes += recordBytes
+	r.records[key.Nonce] = rec
+	r.bytes += recordBytes
 	return rec, true, nil
 }
 
 // MayHaveBegun reports whether the request of a key that this process issued may have been
 // started: there is a record of it, or there may have been a record that was removed.
-func (k *Registry) MayHaveBegun(key Key) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, ok := k.records[key.Nonce]
+func (r *Registry) MayHaveBegun(key Key) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, ok := r.records[key.Nonce]
 	return ok || RecordMayBeRemoved(key, time.Now())
 }
 
 // Finish records how a request ended, with its answer if that is not too large. The
 // record of a request that did not run is removed, so that its key can be used again.
-func (k *Registry) Finish(key Key, rec *Record, a *Tee, o vetchtrail.Outcome) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (r *Registry) Finish(key Key, rec *Record, a *Tee, o vetchtrail.Outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	rec.outcome = o
-	if o.Kind == vetchtrail.OutcomeAnswered && !a.tooLarge && k.bytes+len(a.body) <= k.cfg.MaxBytes {
+	if o.Kind == vetchtrail.OutcomeAnswered && !a.tooLarge && r.bytes+len(a.body) <= r.cfg.MaxBytes {
 		rec.status, rec.header, rec.body, rec.stored = a.status, a.header, a.body, true
-		k.bytes += len(a.body)
+		r.bytes += len(a.body)
 	}
 	if o.Kind == vetchtrail.OutcomeNotRun {
-		k.remove(key.Nonce, rec)
+		r.remove(key.Nonce, rec)
 	}
 	close(rec.done)
 }
 
-func (k *Registry) remove(nonce string, rec *Record) {
-	delete(k.records, nonce)
-	k.bytes -= recordBytes + len(rec.body)
+func (r *Registry) remove(nonce string, rec *Record) {
+	delete(r.records, nonce)
+	r.bytes -= recordBytes + len(rec.body)
 }
 
 // sweep removes the records of requests that have ended and whose keys expired longer ago
 // than the retention. The caller holds the lock.
-func (k *Registry) sweep(now time.Time) {
-	if now.Sub(k.lastSweep) < sweepInterval {
+func (r *Registry) sweep(now time.Time) {
+	if now.Sub(r.lastSweep) < sweepInterval {
 		return
 	}
-	k.lastSweep = now
-	for nonce, rec := range k.records {
+	r.lastSweep = now
+	for nonce, rec := range r.records {
 		select {
 		case <-rec.done:
 			if now.After(rec.expires.Add(retention)) {
-				k.remove(nonce, rec)
+				r.remove(nonce, rec)
 			}
 		default:
 		}
@@ -179,10 +179,10 @@
 }
 
 // Stats returns the size of the keeper.
-func (k *Registry) Stats() Stats {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return Stats{Records: len(k.records), Bytes: k.bytes}
+func (r *Registry) Stats() Stats {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return Stats{Records: len(r.records), Bytes: r.bytes}
 }
 
 // Done returns a channel that is closed when the request has ended.
@@ -190,7 +190,7 @@
 
 // Replay sends the stored answer of the request to a caller that repeated it, and returns
 // the outcome. It may only be called after Done is closed.
-func (r *Record) Replay(a vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (r *Record) Replay(w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	o := r.outcome
 	if o.Kind != vetchtrail.OutcomeAnswered {
 		return o
@@ -201,10 +201,10 @@
 			Err: errors.New("the request ran once and was answered, but its answer was not stored"),
 		}
 	}
-	if err := a.Begin(r.status, r.header); err != nil {
+	if err := w.Begin(r.status, r.header); err != nil {
 		return callerGone(o, err)
 	}
-	if err := a.Write(r.body); err != nil {
+	if err := w.Write(r.body); err != nil {
 		return callerGone(o, err)
 	}
 	o.ResponseStarted = true
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -28,14 +28,14 @@
 	return nil
 }
 
-func keeper(maxBytes int) *Registry {
+func newTestRegistry(maxBytes int) *Registry {
 	return New(Config{Host: "h", Incarnation: 7, KeyTime: time.Minute, MaxBytes: maxBytes})
 }
 
 // TestParse checks that Parse reads an issued key back and rejects other texts. Callers may
 // choose their own value of the header, and a damaged key must not start a request.
 func TestParse(t *testing.T) {
-	good := keeper(1).Issue(now)
+	good := newTestRegistry(1).Issue(now)
 	cases := map[string]struct {
 		text string
 		ok   bool
@@ -67,7 +67,7 @@
 // that a key is meant to prevent.
 func TestKeeperRunsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		k := keeper(8 * recordBytes)
+		k := newTestRegistry(8 * recordBytes)
 		clock := now
 		type state struct {
 			key  Key
@@ -134,7 +134,7 @@
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				k := keeper(1 << 30)
+				k := newTestRegistry(1 << 30)
 				for range n {
 					key := k.Issue(now)
 					rec, _, err := k.Begin(key, 1, now)
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -44,37 +44,37 @@
 }
 
 // Encode returns the encoding that ParseKept reads.
-func (k *PersistedEntries) Encode() ([]byte, error) { return json.Marshal(k) }
+func (p *PersistedEntries) Encode() ([]byte, error) { return json.Marshal(p) }
 
 // Update adds entries and removes those of the requests in drop. An entry replaces the one of the same
 // request, unless that one has a higher count. If there are too many, those added first are
 // removed.
-func (k *PersistedEntries) Update(entries []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
+func (p *PersistedEntries) Update(entries []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
 	for _, d := range drop {
-		k.remove(d.String())
+		p.remove(d.String())
 	}
 	for _, entry := range entries {
 		hash := entry.ContentHash.String()
-		i := slices.IndexFunc(k.Entries, func(old PersistedEntry) bool { return old.ContentHash == hash })
-		if i >= 0 && k.Entries[i].Count > entry.Count {
+		i := slices.IndexFunc(p.Entries, func(old PersistedEntry) bool { return old.ContentHash == hash })
+		if i >= 0 && p.Entries[i].Count > entry.Count {
 			continue
 		}
-		released := entry.Released || i >= 0 && k.Entries[i].Count == entry.Count && k.Entries[i].Released
-		k.remove(hash)
-		k.Entries = append(k.Entries, PersistedEntry{ContentHash: hash, Count: entry.Count, Crashes: entry.Crashes, Released: released})
+		released := entry.Released || i >= 0 && p.Entries[i].Count == entry.Count && p.Entries[i].Released
+		p.remove(hash)
+		p.Entries = append(p.Entries, PersistedEntry{ContentHash: hash, Count: entry.Count, Crashes: entry.Crashes, Released: released})
 	}
-	k.Entries = k.Entries[max(0, len(k.Entries)-maxEntries):]
+	p.Entries = p.Entries[max(0, len(p.Entries)-maxEntries):]
 }
 
-func (k *PersistedEntries) remove(contentHash string) {
-	k.Entries = slices.DeleteFunc(k.Entries, func(entry PersistedEntry) bool { return entry.ContentHash == contentHash })
+func (p *PersistedEntries) remove(contentHash string) {
+	p.Entries = slices.DeleteFunc(p.Entries, func(entry PersistedEntry) bool { return entry.ContentHash == contentHash })
 }
 
 // EntriesAt returns the entries for a host that reads them now. As their age isn't persisted, each one
 // starts now; hosts that know its real age correct this when they exchange entries.
-func (k *PersistedEntries) EntriesAt(now time.Time) []vetchtrail.QuarantineEntry {
-	out := make([]vetchtrail.QuarantineEntry, 0, len(k.Entries))
-	for _, entry := range k.Entries {
+func (p *PersistedEntries) EntriesAt(now time.Time) []vetchtrail.QuarantineEntry {
+	out := make([]vetchtrail.QuarantineEntry, 0, len(p.Entries))
+	for _, entry := range p.Entries {
 		hash, err := vetchtrail.ParseContentHash(entry.ContentHash)
 		if err != nil {
 			continue
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -65,33 +65,33 @@
 // Join adds a request to the queue, which holds at most limit requests. It refuses the
 // request at once if the queue is full or if the request would probably not be served
 // before it may no longer wait.
-func (l *Queue) Join(r *vetchtrail.Request, limit int, now time.Time) JoinResult {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.joined++
+func (q *Queue) Join(r *vetchtrail.Request, limit int, now time.Time) JoinResult {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.joined++
 	w := &Waiter{
-		priority: r.Priority, deadline: r.QueueDeadline(), sequence: l.joined,
-		startTag: max(l.virtualTime, l.finishTags[r.Workspace]),
+		priority: r.Priority, deadline: r.QueueDeadline(), sequence: q.joined,
+		startTag: max(q.virtualTime, q.finishTags[r.Workspace]),
 		ready:    make(chan struct{}, 1), dropped: make(chan struct{}),
 	}
-	index, _ := slices.BinarySearchFunc(l.waiting, w, compare)
-	wait := time.Duration(index+1) * l.interval
+	index, _ := slices.BinarySearchFunc(q.waiting, w, compare)
+	wait := time.Duration(index+1) * q.interval
 	// A request is never refused because of the interval when the queue is empty. The
 	// interval may be from an earlier overload, and it is only updated when requests are
 	// served from the queue: if it kept all requests out, it would never shrink again.
-	if len(l.waiting) > 0 && now.Add(wait).After(w.deadline) {
+	if len(q.waiting) > 0 && now.Add(wait).After(w.deadline) {
 		return JoinResult{Reason: vetchtrail.ReasonDeadline, Wait: wait}
 	}
-	if len(l.waiting) >= limit && !l.displace(w, now) {
+	if len(q.waiting) >= limit && !q.displace(w, now) {
 		return JoinResult{Reason: vetchtrail.ReasonQueueFull, Wait: wait}
 	}
-	index, _ = slices.BinarySearchFunc(l.waiting, w, compare)
-	l.waiting = slices.Insert(l.waiting, index, w)
-	l.finishTags[r.Workspace] = w.startTag + 1
-	if !l.running {
-		l.running = true
-		l.lastServed = now
-		go l.run()
+	index, _ = slices.BinarySearchFunc(q.waiting, w, compare)
+	q.waiting = slices.Insert(q.waiting, index, w)
+	q.finishTags[r.Workspace] = w.startTag + 1
+	if !q.running {
+		q.running = true
+		q.lastServed = now
+		go q.run()
 	}
 	return JoinResult{Waiter: w, Wait: wait}
 }
@@ -99,15 +99,15 @@
 // displace drops the last request of a full queue to make room for the new one. It does so
 // if the new one has a higher priority or if, at the same priority, its workspace has used
 // less of its share. An earlier deadline alone is not enough.
-func (l *Queue) displace(w *Waiter, _ time.Time) bool {
-	if len(l.waiting) == 0 {
+func (q *Queue) displace(w *Waiter, _ time.Time) bool {
+	if len(q.waiting) == 0 {
 		return false
 	}
-	last := l.waiting[len(l.waiting)-1]
+	last := q.waiting[len(q.waiting)-1]
 	if compare(w, last) >= 0 || (w.priority == last.priority && w.startTag == last.startTag) {
 		return false
 	}
-	l.waiting = l.waiting[:len(l.waiting)-1]
+	q.waiting = q.waiting[:len(q.waiting)-1]
 	close(last.dropped)
 	return true
 }
@@ -135,54 +135,54 @@
 
 // Leave removes a request from the queue, if it is still there. served is true if the
 // request got capacity; then the next request is signalled.
-func (l *Queue) Leave(w *Waiter, served bool, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if i := slices.Index(l.waiting, w); i >= 0 {
-		l.waiting = slices.Delete(l.waiting, i, i+1)
+func (q *Queue) Leave(w *Waiter, served bool, now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if i := slices.Index(q.waiting, w); i >= 0 {
+		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
 	if !served {
 		return
 	}
-	l.virtualTime = max(l.virtualTime, w.startTag)
-	l.interval += time.Duration(intervalSmoothing * float64(now.Sub(l.lastServed)-l.interval))
-	l.lastServed = now
-	l.signalFirst()
+	q.virtualTime = max(q.virtualTime, w.startTag)
+	q.interval += time.Duration(intervalSmoothing * float64(now.Sub(q.lastServed)-q.interval))
+	q.lastServed = now
+	q.signalFirst()
 }
 
 // Len returns the number of requests in the queue.
-func (l *Queue) Len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting)
+func (q *Queue) Len() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting)
 }
 
 // EstimatedWait estimates how long it takes to serve all requests that are in the queue now. A new
 // request at the end of the queue would wait that long.
-func (l *Queue) EstimatedWait() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return time.Duration(len(l.waiting)) * l.interval
+func (q *Queue) EstimatedWait() time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return time.Duration(len(q.waiting)) * q.interval
 }
 
 // signalFirst signals to the first request that there may be capacity. The caller holds
 // the lock.
-func (l *Queue) signalFirst() {
-	if len(l.waiting) == 0 {
+func (q *Queue) signalFirst() {
+	if len(q.waiting) == 0 {
 		return
 	}
 	select {
-	case l.waiting[0].ready <- struct{}{}:
+	case q.waiting[0].ready <- struct{}{}:
 	default:
 	}
 }
 
 // run updates the queue whenever capacity is freed, and at each pollInterval. It returns
 // when the queue is empty; Join starts it again.
-func (l *Queue) run() {
+func (q *Queue) run() {
 	for {
-		freed := l.freed()
-		if !l.update(time.Now()) {
+		freed := q.freed()
+		if !q.update(time.Now()) {
 			return
 		}
 		select {
@@ -194,25 +194,25 @@
 
 // update drops the requests that can't be served in time and signals the first of the
 // others. It returns false if none is left.
-func (l *Queue) update(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	remaining := l.waiting[:0]
-	for _, w := range l.waiting {
-		if now.Add(time.Duration(len(remaining)) * l.interval).After(w.deadline) {
+func (q *Queue) update(now time.Time) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	remaining := q.waiting[:0]
+	for _, w := range q.waiting {
+		if now.Add(time.Duration(len(remaining)) * q.interval).After(w.deadline) {
 			close(w.dropped)
 			continue
 		}
 		remaining = append(remaining, w)
 	}
-	clear(l.waiting[len(remaining):])
-	l.waiting = remaining
+	clear(q.waiting[len(remaining):])
+	q.waiting = remaining
 	if len(remaining) == 0 {
-		l.running = false
-		clear(l.finishTags)
-		l.virtualTime = 0
+		q.running = false
+		clear(q.finishTags)
+		q.virtualTime = 0
 		return false
 	}
-	l.signalFirst()
+	q.signalFirst()
 	return true
 }
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -26,9 +26,9 @@
 }
 
 // serveFirst removes the first request as if it got capacity, and returns its name.
-func serveFirst(l *Queue, names map[*Waiter]string) string {
-	w := l.waiting[0]
-	l.Leave(w, true, now)
+func serveFirst(q *Queue, names map[*Waiter]string) string {
+	w := q.waiting[0]
+	q.Leave(w, true, now)
 	return names[w]
 }
 
--- a/request/quota/owner.go
+++ b/request/quota/owner.go
@@ -53,9 +53,9 @@
 // heardShare is the fraction of the region's hosts that this host receives heartbeats from.
 // The other hosts may be partitioned from it and use their fraction of the quota without an
 // owner or with another one, so the region's rate is reduced by it.
-func (o *Owner) Grant(r LeaseRequest, q vetchtrail.Quota, t Tolerance, heardShare float64, now time.Time) LeaseReply {
+func (o *Owner) Grant(r LeaseRequest, q vetchtrail.Quota, t Tolerance, seenShare float64, now time.Time) LeaseReply {
 	o.demand.Add(r.DemandedUnits, now)
-	regionRate := heardShare * o.RegionSplit.RegionRate(q.Rate, o.demand.Rate(now))
+	regionRate := seenShare * o.RegionSplit.RegionRate(q.Rate, o.demand.Rate(now))
 	capacity := t.capacity(q) / float64(o.RegionSplit.regions)
 	if !o.started {
 		o.started = true
--- a/request/quota/simulation_test.go
+++ b/request/quota/simulation_test.go
@@ -128,20 +128,20 @@
 	return nil
 }
 
-// heard returns the fraction of a region's hosts that its owner counts as alive. It notices a
+// seenShare returns the fraction of a region's hosts that its owner counts as alive. It notices a
 // partitioned host after two seconds.
-func (s *sim) heard(region int) float64 {
-	all, heard := 0, 0
+func (s *sim) seenShare(region int) float64 {
+	all, seen := 0, 0
 	for _, h := range s.hosts {
 		if h.region != region {
 			continue
 		}
 		all++
 		if !h.partitioned || s.now.Sub(h.partitionedAt) < 2*time.Second {
-			heard++
+			seen++
 		}
 	}
-	return float64(heard) / float64(all)
+	return float64(seen) / float64(all)
 }
 
 // send delivers a message after a delay, unless it is lost, or the receiver is partitioned or
@@ -189,7 +189,7 @@
 			})
 			return
 		}
-		reply := ownerHost.owner.Grant(leaseRequest, s.quota, s.tolerance, s.heard(h.region), s.now)
+		reply := ownerHost.owner.Grant(leaseRequest, s.quota, s.tolerance, s.seenShare(h.region), s.now)
 		if s.disabled == "leases are not deducted from the bucket" {
 			ownerHost.owner.bucket.level += reply.Units
 		}
--- a/schema/convert_test.go
+++ b/schema/convert_test.go
@@ -15,16 +15,16 @@
 func TestForwardedRequest(t *testing.T) {
 	senderNow := time.Unix(1_800_000_000, 0)
 	receiverNow := senderNow.Add(-3 * time.Hour)
-	cases := map[string]struct{ fresh bool }{"first attempt": {true}, "retry": {false}}
+	cases := map[string]struct{ callerCanRetry bool }{"first attempt": {true}, "retry": {false}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := &vetchtrail.Request{
-				ID: "x", Workspace: "w", Credential: vetchtrail.HashKey("secret"), CallerCanRetry: c.fresh, Deadline: senderNow.Add(9 * time.Second),
+				ID: "x", Workspace: "w", Credential: vetchtrail.HashKey("secret"), CallerCanRetry: c.callerCanRetry, Deadline: senderNow.Add(9 * time.Second),
 				Goal: senderNow.Add(time.Second), FirstEventBy: senderNow.Add(3 * time.Second),
 			}
 			got, err := ToRequest(FromRequest(r, senderNow), receiverNow)
 			assert.NilError(t, err)
-			assert.Equal(t, got.CallerCanRetry, c.fresh)
+			assert.Equal(t, got.CallerCanRetry, c.callerCanRetry)
 			assert.Equal(t, got.FirstEventBy, receiverNow.Add(3*time.Second))
 			assert.Equal(t, got.Deadline, receiverNow.Add(9*time.Second))
 			assert.Equal(t, got.Workspace, "w")
--- a/schema/leaving.go
+++ b/schema/leaving.go
@@ -9,8 +9,8 @@
 // FromLeaving returns the message which reports that a process instance of an
 // endpoint announced at a moment that it is leaving. The endpoint is identified
 // by the short form of its name, and the moment is sent as its age at now.
-func FromLeaving(short uint32, startedAt, announcedAt, now time.Time) *EndpointLeaves {
-	m := &EndpointLeaves{Endpoint: short, AgeMillis: uint32(max(0, now.Sub(announcedAt).Milliseconds()))}
+func FromLeaving(nameHash uint32, startedAt, announcedAt, now time.Time) *EndpointLeaves {
+	m := &EndpointLeaves{Endpoint: nameHash, AgeMillis: uint32(max(0, now.Sub(announcedAt).Milliseconds()))}
 	if !startedAt.IsZero() {
 		m.Born = startedAt.UnixNano()
 	}
@@ -19,7 +19,7 @@
 
 // ToLeaving returns what a message that arrived now reports, and the start time of
 // the process instance that is leaving; zero: not known.
-func ToLeaving(m *EndpointLeaves, now time.Time) (n vetchtrail.Availability, startedAt time.Time) {
+func ToLeaving(m *EndpointLeaves, now time.Time) (a vetchtrail.Availability, startedAt time.Time) {
 	if m.GetBorn() != 0 {
 		startedAt = time.Unix(0, m.GetBorn())
 	}
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -23,9 +23,9 @@
 // FromHolds returns the messages for quarantine entries. Moments are sent as
 // their distance from now, which is on the clock that also runs while the
 // machine is suspended, as the entries are.
-func FromHolds(holds []vetchtrail.QuarantineEntry, now time.Time) []*Hold {
-	out := make([]*Hold, 0, len(holds))
-	for _, h := range holds {
+func FromHolds(entries []vetchtrail.QuarantineEntry, now time.Time) []*Hold {
+	out := make([]*Hold, 0, len(entries))
+	for _, h := range entries {
 		out = append(out, FromHold(h, now))
 	}
 	return out
