--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -92,33 +92,33 @@
 }
 
 // Call implements vetchtrail.EndpointCaller.
-func (k *Client) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, w vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
-	t := &attempt{client: k, endpoint: e, req: r, writer: w}
-	c, err := k.pool.get(ctx, poolKeyOf(e), r.Repeatable)
+func (c *Client) Call(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, w vetchtrail.ResponseWriter) (vetchtrail.Outcome, vetchtrail.Timing) {
+	t := &attempt{client: c, endpoint: e, req: r, writer: w}
+	conn, err := c.pool.get(ctx, poolKeyOf(e), r.Repeatable)
 	if err != nil {
 		return t.notRun(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable, err), t.timing
 	}
-	t.conn = c
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	t.conn = conn
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if reason := k.cfg.Guard(e, r); reason != "" {
-		k.pool.put(poolKeyOf(e), c)
+	if reason := c.cfg.Guard(e, r); reason != "" {
+		c.pool.put(poolKeyOf(e), conn)
 		return t.notRun(vetchtrail.StepResidency, reason, nil), t.timing
 	}
 	o, reusable := t.run(ctx)
 	if reusable && stop() {
-		k.pool.put(poolKeyOf(e), c)
+		c.pool.put(poolKeyOf(e), conn)
 	} else {
-		_ = c.Close()
+		_ = conn.Close()
 	}
 	return o, t.timing
 }
 
 // RefusesConnection reports whether an endpoint refuses connections, as a crashed one does.
-func (k *Client) RefusesConnection(ctx context.Context, e vetchtrail.Endpoint) bool {
-	c, err := k.pool.dialer.DialContext(ctx, "tcp", e.Addr.String())
+func (c *Client) RefusesConnection(ctx context.Context, e vetchtrail.Endpoint) bool {
+	conn, err := c.pool.dialer.DialContext(ctx, "tcp", e.Addr.String())
 	if err == nil {
-		_ = c.Close()
+		_ = conn.Close()
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -246,9 +246,9 @@
 	}
 }
 
-// TestAvailabilityRow guards against operators that can't see which source reports that an endpoint is leaving,
+// TestAvailabilityStatus guards against operators that can't see which source reports that an endpoint is leaving,
 // since when, and until when it is paused.
-func TestAvailabilityRow(t *testing.T) {
+func TestAvailabilityStatus(t *testing.T) {
 	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
 	later := now.Add(time.Minute)
 	cases := map[string]struct {
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -60,9 +60,9 @@
 	return ""
 }
 
-// TestPromptFrom guards against a KV cache transfer from an endpoint that is unlikely to have the prompt, from
+// TestTransferFrom guards against a KV cache transfer from an endpoint that is unlikely to have the prompt, from
 // a region that isn't allowed, or at an endpoint that has the prompt or can't transfer it.
-func TestPromptFrom(t *testing.T) {
+func TestTransferFrom(t *testing.T) {
 	const session = 5
 	at := homeName(twoRegions(1e-7), session)
 	other := "a"
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -93,9 +93,9 @@
 	assert.Equal(t, tab.Summaries(now)[0].Slots, 8)
 }
 
-// TestLimits guards against hosts that keep to a rate limit after the endpoint has withdrawn it: the withdrawal
+// TestRateLimits guards against hosts that keep to a rate limit after the endpoint has withdrawn it: the withdrawal
 // is reported to other hosts like a limit.
-func TestLimits(t *testing.T) {
+func TestRateLimits(t *testing.T) {
 	tab := rateLimitedTable(t, now)
 	assert.Equal(t, len(tab.RateLimits()), 1)
 	tab.RecordRateLimit("e000", now, advertised(-1, 3, 4))
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -250,10 +250,10 @@
 	}
 }
 
-// TestLastChance checks that a request which waited for capacity in vain is forwarded
+// TestForwardAfterWait checks that a request which waited for capacity in vain is forwarded
 // to a data centre that can still serve it. Only if it can't be forwarded may it be
 // refused, with a time to retry.
-func TestLastChance(t *testing.T) {
+func TestForwardAfterWait(t *testing.T) {
 	cases := map[string]struct {
 		modify func(*vetchtrail.Request)
 		remote []reply
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -135,10 +135,10 @@
 	}
 }
 
-// TestFreshAfterRefusal checks that a request stays fresh after an attempt that reached no
+// TestCallerCanRetryAfterRefusal checks that a request stays fresh after an attempt that reached no
 // endpoint, so that its caller can still receive a retry time, and is not fresh once an
 // endpoint has received it.
-func TestFreshAfterRefusal(t *testing.T) {
+func TestCallerCanRetryAfterRefusal(t *testing.T) {
 	cases := map[string]struct {
 		first          reply
 		callerCanRetry bool
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -61,11 +61,11 @@
 	}
 }
 
-// TestKeeperRunsOnce checks with random sequences of calls that the request of a key is
+// TestRegistryRunsOnce checks with random sequences of calls that the request of a key is
 // started again only if it did not run before, that a repeated request gets the first
 // answer, and that the records stay within their memory limit. A second run is the harm
 // that a key is meant to prevent.
-func TestKeeperRunsOnce(t *testing.T) {
+func TestRegistryRunsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		k := newTestRegistry(8 * recordBytes)
 		clock := now
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -117,9 +117,9 @@
 	assert.Assert(t, !l.update(now.Add(time.Minute)), "the queue is not empty")
 }
 
-// TestTurn checks that the first request is signalled, and the next one as soon as the
+// TestReady checks that the first request is signalled, and the next one as soon as the
 // first is served. A lost signal would leave requests waiting although there is capacity.
-func TestTurn(t *testing.T) {
+func TestReady(t *testing.T) {
 	freed := make(chan struct{})
 	l := New(func() <-chan struct{} { return freed })
 	a := l.Join(request("a", 0, time.Minute), 2, now).Waiter
--- a/version/rules/rules_test.go
+++ b/version/rules/rules_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestJudge checks where a request without a route may be processed. A mistake
+// TestServiceConstraints checks where a request without a route may be processed. A mistake
 // here would process a workspace's data in a region that isn't allowed for it.
-func TestJudge(t *testing.T) {
+func TestServiceConstraints(t *testing.T) {
 	edits := append(baseEdits(),
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "bound", Home: "north", Allowed: []string{"north"}, Priority: 3}},
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "homely", Home: "north"}},
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -92,10 +92,10 @@
 	}
 }
 
-// TestJudgeRoute checks where requests of a route may be processed and with what
+// TestRouteConstraints checks where requests of a route may be processed and with what
 // priority. Both the homes of the route and the allowed regions of the workspace
 // limit it, and a request must not run if its route or workspace was removed.
-func TestJudgeRoute(t *testing.T) {
+func TestRouteConstraints(t *testing.T) {
 	route := func(name string, rank int8, keyed bool, homes ...string) vetchtrail.Edit {
 		return vetchtrail.PutRoute{Route: vetchtrail.Route{
 			Name: name, Host: "h", PathPrefix: "/" + name + "/", Attempts: 1, AnswerWithin: time.Second, Rank: rank, Keyed: keyed, Homes: homes,
