--- a/answer.go
+++ b/answer.go
@@ -12,14 +12,14 @@
 	Write(part []byte) error
 }
 
-// EndpointCaller sends a request to an endpoint and writes the endpoint's response to a.
+// EndpointCaller sends a request to an endpoint and writes the endpoint's response to w.
 type EndpointCaller interface {
 	Call(ctx context.Context, e Endpoint, r *Request, w ResponseWriter) (Outcome, Timing)
 }
 
-// Forwarder sends a request to another host and writes that host's response to a. The
+// Forwarder sends a request to another host and writes that host's response to w. The
 // target is a host of a remote data centre, or the host that issued the request's
-// at-most-once key.
+// idempotency key.
 type Forwarder interface {
 	Forward(ctx context.Context, h Host, r *Request, w ResponseWriter) Outcome
 }
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -52,10 +52,10 @@
 // nothing if the request may be sent.
 type Guard func(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason
 
-// Config configures a Caller.
+// Config configures a Client.
 type Config struct {
 	Guard    Guard
-	Dialect  vetchtrail.Dialect  // for routed requests; nil: dialect.Plain
+	Dialect  vetchtrail.Dialect  // for routed requests; nil: dialect.Default
 	Observer vetchtrail.Observer // nil: none
 }
 
@@ -65,7 +65,7 @@
 	pool pool
 }
 
-// New returns a Caller without connections.
+// New returns a Client without connections.
 func New(c Config) *Client {
 	if c.Dialect == nil {
 		c.Dialect = dialect.Default{}
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -50,7 +50,7 @@
 }
 
 // conn is a connection to an endpoint. It counts the bytes written for the current
-// request, so that NotRun is reported only if none was sent.
+// request, so that OutcomeNotRun is reported only if none was sent.
 type conn struct {
 	net.Conn
 	reader      *bufio.Reader
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -54,13 +54,13 @@
 	body   []byte
 }
 
-func (p *responseRecorder) Begin(status int, _ []vetchtrail.HeaderField) error {
-	p.status = status
+func (r *responseRecorder) Begin(status int, _ []vetchtrail.HeaderField) error {
+	r.status = status
 	return nil
 }
 
-func (p *responseRecorder) Write(part []byte) error {
-	p.body = append(p.body, part...)
+func (r *responseRecorder) Write(part []byte) error {
+	r.body = append(r.body, part...)
 	return nil
 }
 
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -156,15 +156,15 @@
 }
 
 // Begin implements vetchtrail.ResponseWriter.
-func (a *streamWriter) Begin(status int, header []vetchtrail.HeaderField) error {
-	return a.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Begin{Begin: &schema.Begin{
+func (w *streamWriter) Begin(status int, header []vetchtrail.HeaderField) error {
+	return w.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Begin{Begin: &schema.Begin{
 		Status: int32(status), Header: schema.FromHeader(header),
 	}}})
 }
 
 // Write implements vetchtrail.ResponseWriter.
-func (a *streamWriter) Write(part []byte) error {
-	return a.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Body{Body: part}})
+func (w *streamWriter) Write(part []byte) error {
+	return w.stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_Body{Body: part}})
 }
 
 // TimeFromAge returns the time of an event whose age a message states.
--- a/decision.go
+++ b/decision.go
@@ -110,7 +110,7 @@
 	ReportAge         time.Duration // age of the report; negative: there is none
 	Prefill           float64       // observed seconds to process a prompt token that is not cached
 	ServiceTime       float64       // observed seconds that a request occupies a slot
-	WarmUpShare       float64       // warm-up share: the fraction of its full load that it may get, 0 to 1
+	WarmUpShare       float64       // the fraction of its full load that it may get, 0 to 1
 	Unavailable       bool          // it can't be used now
 	UnavailableReason Reason        // with Unavailable: the reason
 	AvailableIn       float64       // with Unavailable: seconds until it can be used again; 0: not known
@@ -135,6 +135,6 @@
 	InFlight         int           // requests in flight there from this host
 	DigestAge        time.Duration // age of the data centre's digest
 	Reachable        bool
-	WarmUpShare      float64 // warm-up share: the fraction of FreeSlots that may be used, 0 to 1
+	WarmUpShare      float64 // the fraction of FreeSlots that may be used, 0 to 1
 	EventInterval    float64 // shortest interval between two events of a stream there, in seconds; 0: not known
 }
--- a/feed.go
+++ b/feed.go
@@ -44,7 +44,7 @@
 // Sink receives the data of a Feed. Its methods don't block.
 type Sink interface {
 	// OfferConfiguration offers a configuration. A configuration that is older than the current one
-	// is ignored. If the configuration is not valid, Configured returns an error and the
+	// is ignored. If the configuration is not valid, OfferConfiguration returns an error and the
 	// current one stays in force.
 	OfferConfiguration(s Snapshot) error
 	// ReplaceListing replaces the listing.
--- a/observation.go
+++ b/observation.go
@@ -11,7 +11,7 @@
 	Outcome      Outcome
 	Timing       Timing
 	Route        string
-	PromptTokens int // of the prompt
+	PromptTokens int
 	// PredictedFirstByte is the time to the first byte of the response that the decision expected;
 	// 0: there was no prediction.
 	PredictedFirstByte time.Duration
--- a/outcome.go
+++ b/outcome.go
@@ -50,7 +50,7 @@
 	Body   []byte
 }
 
-// Replay writes the response to a.
+// Replay writes the response to w.
 func (b *BufferedResponse) Replay(w ResponseWriter) error {
 	if err := w.Begin(b.Status, b.Header); err != nil {
 		return err
@@ -76,7 +76,7 @@
 // Steps of a request.
 const (
 	StepParse       Step = "parse"     // reading the caller's request
-	StepIdempotency Step = "once"      // handling its at-most-once key
+	StepIdempotency Step = "once"      // handling its idempotency key
 	StepDecide      Step = "decide"    // deciding where it runs
 	StepQueue       Step = "queue"     // waiting for capacity
 	StepResidency   Step = "residency" // checking which regions may process it
@@ -111,9 +111,9 @@
 	ReasonCallerGone            Reason = "caller-gone"      // the caller disconnected
 	ReasonBadRequest            Reason = "bad-request"
 	ReasonUnknownService        Reason = "unknown-service"
-	ReasonIdempotencyKey        Reason = "key"              // the at-most-once key is malformed or was used for another request
-	ReasonIdempotencyKeyExpired Reason = "key-expired"      // the at-most-once key has expired
-	ReasonIssuerGone            Reason = "issuer-gone"      // the process that issued the at-most-once key can't be found
+	ReasonIdempotencyKey        Reason = "key"              // the idempotency key is malformed or was used for another request
+	ReasonIdempotencyKeyExpired Reason = "key-expired"      // the idempotency key has expired
+	ReasonIssuerGone            Reason = "issuer-gone"      // the process that issued the idempotency key can't be found
 	ReasonResponseNotStored     Reason = "answer-not-kept"  // the request ran, but its response was not stored for a repeat
 	ReasonStarting              Reason = "starting"         // the host holds no configuration yet
 	ReasonLeaving               Reason = "leaving"          // the host is stopping
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -137,7 +137,7 @@
 	return out, nil
 }
 
-// endpointStatus returns the status of the endpoint in a row of the table.
+// endpointStatus returns the status of an endpoint as a message.
 func endpointStatus(status load.EndpointStatus) *schema.EndpointStatus {
 	state := "in-use"
 	if status.View.Unavailable {
--- a/process/lists/poll.go
+++ b/process/lists/poll.go
@@ -113,7 +113,7 @@
 }
 
 // ShouldPoll implements vetchtrail.PollCoordinator: it reports whether this host is to poll the platform
-// now. If that makes a settled host poll that is not first in its region, Reads starts a
+// now. If that makes a settled host poll that is not first in its region, ShouldPoll starts a
 // takeover.
 func (l *Lists) ShouldPoll() bool {
 	now := time.Now()
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -110,12 +110,12 @@
 }
 
 // RecordAnnouncementByHash records an announcement that this or another host received. The endpoint is given by the hash
-// of its name (Short). The announcement is valid only for the process instance that started at born.
+// of its name (NameHash). The announcement is valid only for the process instance that started at startedAt.
 func (t *Table) RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) AnnouncementNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var news AnnouncementNews
-	if s, ok := t.byShortHash[nameHash]; ok && !s.isOtherInstance(startedAt) {
+	if s, ok := t.byNameHash[nameHash]; ok && !s.isOtherInstance(startedAt) {
 		news = s.availability.record(a, now)
 		news.Endpoint, s.announced = s.Name, true
 		if news.Leaving {
@@ -162,15 +162,15 @@
 
 // instanceKey identifies a process instance of an endpoint.
 type instanceKey struct {
-	shortHash uint32 // of the endpoint's name, see Short
+	nameHash  uint32 // of the endpoint's name, see NameHash
 	startedAt int64  // Unix nanoseconds; 0: not known
 }
 
-func keyOf(shortHash uint32, startedAt time.Time) instanceKey {
+func keyOf(nameHash uint32, startedAt time.Time) instanceKey {
 	if startedAt.IsZero() {
-		return instanceKey{shortHash: shortHash}
+		return instanceKey{nameHash: nameHash}
 	}
-	return instanceKey{shortHash: shortHash, startedAt: startedAt.UnixNano()}
+	return instanceKey{nameHash: nameHash, startedAt: startedAt.UnixNano()}
 }
 
 // startTime returns the instance's start time; zero: not known.
@@ -247,7 +247,7 @@
 
 // LeavingInstance is a process instance of an endpoint whose answers announced that it is leaving.
 type LeavingInstance struct {
-	NameHash         uint32    // hash of the endpoint's name, see the function Short
+	NameHash         uint32    // hash of the endpoint's name, see the function NameHash
 	StartedAt        time.Time // start of the instance
 	FirstAnnouncedAt time.Time // when such an answer was first received
 }
@@ -280,7 +280,7 @@
 // announcementsOf returns what a process instance announced; nil: it is no longer known. The caller holds the
 // lock.
 func (t *Table) announcementsOf(key instanceKey) *announcements {
-	if s, ok := t.byShortHash[key.shortHash]; ok && keyOf(key.shortHash, s.Born) == key {
+	if s, ok := t.byNameHash[key.nameHash]; ok && keyOf(key.nameHash, s.Born) == key {
 		return &s.availability.announcements
 	}
 	if u, ok := t.unlisted[key]; ok {
@@ -301,7 +301,7 @@
 		}
 		a := t.announcementsOf(entry.instanceKey)
 		if a != nil && a.learnedAt.Equal(entry.learnedAt) && now.Before(a.leavingUntil) {
-			out = append(out, LeavingInstance{NameHash: entry.shortHash, StartedAt: entry.startTime(), FirstAnnouncedAt: a.firstAnnouncedAt})
+			out = append(out, LeavingInstance{NameHash: entry.nameHash, StartedAt: entry.startTime(), FirstAnnouncedAt: a.firstAnnouncedAt})
 		}
 	}
 	return out
--- a/process/load/in_flight.go
+++ b/process/load/in_flight.go
@@ -78,7 +78,7 @@
 	return c
 }
 
-// wake closes the channel that Freed returned for a service. The caller holds the lock.
+// wake closes the channel that CapacityFreed returned for a service. The caller holds the lock.
 func (t *Table) wake(service string) {
 	if c, ok := t.freed[service]; ok {
 		close(c)
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -78,7 +78,7 @@
 	mu           sync.Mutex
 	endpoints    map[string]*endpointState        // by name
 	services     map[string][]*endpointState      // by service
-	byShortHash  map[uint32]*endpointState        // see Short
+	byNameHash   map[uint32]*endpointState        // see NameHash
 	serviceStats map[string]*serviceStats         // by service
 	freed        map[string]chan struct{}         // by service; closed when capacity is freed
 	switchedOff  vetchtrail.Mechanisms            // mechanisms that are not used
@@ -181,7 +181,7 @@
 	old := t.endpoints
 	t.endpoints = make(map[string]*endpointState, len(endpoints))
 	t.services = map[string][]*endpointState{}
-	t.byShortHash = make(map[uint32]*endpointState, len(endpoints))
+	t.byNameHash = make(map[uint32]*endpointState, len(endpoints))
 	for _, e := range endpoints {
 		s, ok := old[e.Name]
 		if !ok || s.Addr != e.Addr || s.Service != e.Service || s.isOtherInstance(e.Born) {
@@ -198,7 +198,7 @@
 		s.coldStart.configure(e.ColdUntil, e.ColdRate)
 		s.Endpoint, s.region = e.Endpoint, e.RegionID
 		t.endpoints[e.Name] = s
-		t.byShortHash[NameHash(e.Name)] = s
+		t.byNameHash[NameHash(e.Name)] = s
 		t.services[e.Service] = append(t.services[e.Service], s)
 		if t.serviceStats[e.Service] == nil {
 			t.serviceStats[e.Service] = newServiceStats()
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -103,7 +103,7 @@
 	return 0
 }
 
-// recordPrompt records the prompt that a request makes the endpoint read, and sets r.PromptFrom to the endpoint
+// recordPrompt records the prompt that a request makes the endpoint read, and sets r.TransferFrom to the address of the endpoint
 // from which it can transfer the part that it hasn't cached.
 func (t *Table) recordPrompt(s *endpointState, r *vetchtrail.Request, now time.Time) {
 	r.TransferFrom = netip.AddrPort{}
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -41,7 +41,7 @@
 	return out
 }
 
-// recordRateLimit implements HearLimit for one endpoint. The caller holds the lock.
+// recordRateLimit implements Table.RecordRateLimit for one endpoint. The caller holds the lock.
 func (s *endpointState) recordRateLimit(t *Table, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	was = s.rateLimit
 	s.rateLimit = was.Update(news)
--- a/process/load/release.go
+++ b/process/load/release.go
@@ -80,7 +80,7 @@
 const maxConnectBackOffDoublings = 8
 
 // minErrorStatus is the lowest status of an error answer: one by which an endpoint reports its own failure.
-// Other answers count as errors if their outcome has ReasonFailed.
+// Other answers count as errors if their outcome has ReasonEndpointFailed.
 const minErrorStatus = 500
 
 // observeErrorShare updates the error shares with an answer. failed is 1 for an error answer, else 0. A
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -18,11 +18,11 @@
 }
 
 // ReportByHash records a load report that another host fetched. The endpoint is given by the hash of its name
-// (Short).
+// (NameHash).
 func (t *Table) ReportByHash(nameHash uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.byShortHash[nameHash]
+	s, ok := t.byNameHash[nameHash]
 	return ok && t.acceptReport(s, r, false, leavingUntil)
 }
 
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -34,7 +34,7 @@
 // ReportEntry is an endpoint's newest report, as this host sends it to other hosts.
 type ReportEntry struct {
 	Endpoint    string
-	NameHash    uint32 // hash of its name, see Short
+	NameHash    uint32 // hash of its name, see the function NameHash
 	Report      vetchtrail.LoadReport
 	FetchedHere bool // this host fetched it itself
 	Announced   bool // an answer of the endpoint once announced that it is leaving or paused
--- a/process/membership/capacity.go
+++ b/process/membership/capacity.go
@@ -14,7 +14,7 @@
 // some may be lost before its next request for hosts.
 const minDrawn = 4
 
-// HostsForCaller returns hosts for a caller to use. It draws them among those of Serving, each
+// HostsForCaller returns hosts for a caller to use. It draws them among those of NearestReady, each
 // with a probability of its capacity over the greatest one, and at least minDrawn.
 // Hosts of the same capacity are all returned.
 //
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -21,7 +21,7 @@
 	Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error)
 }
 
-// RunHeartbeats sends heartbeats now and at each Tick until ctx ends.
+// RunHeartbeats sends heartbeats now and at each HeartbeatInterval until ctx ends.
 func (m *Membership) RunHeartbeats(ctx context.Context, p Peers) {
 	t := time.NewTicker(HeartbeatInterval)
 	defer t.Stop()
@@ -197,7 +197,7 @@
 //
 // Where hosts are assigned to poll the endpoints, it sends only the reports that it
 // fetched itself, and those of leaving endpoints. Where reports come with responses
-// alone (WholeRegion), it also relays those of other hosts: one of a hundred hosts
+// alone (Config.CallsWholeRegion), it also relays those of other hosts: one of a hundred hosts
 // in a region gets a response from an endpoint only once in ten seconds, and would
 // decide by old reports.
 //
@@ -252,7 +252,7 @@
 }
 
 // leavingRelayTime is how long a host relays that an endpoint is leaving, from when
-// it learned so. A host takes part in about four exchanges each Tick, so that each
+// it learned so. A host takes part in about four exchanges each HeartbeatInterval, so that each
 // of a hundred hosts has it by then from several others. A full heartbeat has all
 // leaving endpoints.
 const leavingRelayTime = 3 * time.Second
--- a/process/membership/leaving_spread_test.go
+++ b/process/membership/leaving_spread_test.go
@@ -95,7 +95,7 @@
 	return s
 }
 
-// tick moves the time by a Tick and has each host send its heartbeats.
+// tick moves the time by a HeartbeatInterval and has each host send its heartbeats.
 func (s *simulation) tick() {
 	s.now = s.now.Add(HeartbeatInterval)
 	for _, m := range s.hosts {
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -19,7 +19,7 @@
 	received int
 }
 
-// RecordFromPeer implements Notices.
+// RecordFromPeer implements LeavingEndpoints.
 func (l *leavingRecorder) RecordFromPeer(_ string, m *schema.EndpointLeaves) {
 	l.received++
 	availability, startedAt := schema.ToLeaving(m, l.at)
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -34,7 +34,7 @@
 // Intervals, ages and sizes that set the traffic between hosts.
 const (
 	HeartbeatInterval = 500 * time.Millisecond // between heartbeats
-	Fanout            = 2                      // gossip peers that a host sends heartbeats to at each Tick
+	Fanout            = 2                      // gossip peers that a host sends heartbeats to at each HeartbeatInterval
 	suspectAfter      = 2 * time.Second        // without a newer heartbeat
 	deadAfter         = 4 * time.Second        // without a newer heartbeat
 	forgetAfter       = time.Minute            // without a newer heartbeat
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -82,7 +82,7 @@
 }
 
 // TestTaskAssignment guards against tasks that no host does, or more hosts than intended.
-// While all hosts know each other, exactly n must be assigned to each task, and Ranked must
+// While all hosts know each other, exactly n must be assigned to each task, and FirstOthers must
 // name one of them. A host that no longer sees the others must take all tasks.
 func TestTaskAssignment(t *testing.T) {
 	var all []*Membership
--- a/process/membership/rate_limits_test.go
+++ b/process/membership/rate_limits_test.go
@@ -20,7 +20,7 @@
 	received int
 }
 
-// Learn implements Rates.
+// Learn implements RateLimits.
 func (l *rateLimitRecorder) Learn(m *schema.EndpointRate) {
 	l.received++
 	limit, startedAt, err := schema.ToRateLimit(m, l.at)
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -27,7 +27,7 @@
 
 // due reports whether the newest digest of a data centre is to be relayed to a member.
 // A digest with a newer configuration is relayed at once. Another is relayed
-// RelayInterval after the last one, and to at most PassEach hosts.
+// RelayInterval after the last one, and to at most RelayFanout hosts.
 func (r relayState) due(d *remote, now time.Time) bool {
 	if !d.digestTime.After(r.digestTime) {
 		return false
@@ -63,7 +63,7 @@
 
 // membersToRequest returns the data centres whose members this host requests in its next
 // heartbeat: those of which it holds none, and those of which it has lacked the newest
-// for RelayInterval. It waits, and requests them from one host at each Tick only, as a
+// for RelayInterval. It waits, and requests them from one host at each HeartbeatInterval only, as a
 // list of members grows with the data centre and changes all the time while its hosts
 // start. The caller holds the lock.
 func (m *Membership) membersToRequest(now time.Time) []string {
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -110,7 +110,7 @@
 // ownedQuota is the state of a workspace's quota at the owner in a region.
 type ownedQuota struct {
 	quota.Owner
-	assigner *quota.ShareAssigner // for WayTold
+	assigner *quota.ShareAssigner // for StrategyAssigned
 	lastUsed time.Time            // when the last lease request, or the first demand report, was received
 }
 
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -52,7 +52,7 @@
 }
 
 // RateLimits enforces rate limits at one host, together with the RateLimits of the other
-// hosts. It is a vetchtrail.Observer that handles Limited and forwards all else to the table.
+// hosts. It is a vetchtrail.Observer that handles RateLimitReported and forwards all else to the table.
 // It is safe for concurrent use.
 type RateLimits struct {
 	vetchtrail.Observer
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -35,17 +35,17 @@
 	settleTime = 4 * time.Second
 	// maxCountedEndpoints bounds the endpoints whose reservations are counted.
 	maxCountedEndpoints = 1 << 14
-	// minRetryDelay is the shortest time until an endpoint is tried again after nothing was left
-	// of its rate.
+	// minRetryDelay is the shortest time until an endpoint is tried again after its rate
+	// limit allowed no request.
 	minRetryDelay = 20 * time.Millisecond
 )
 
-// rateQuotas presents the rate limits of endpoints as quotas. It implements quotas.Bounds.
+// rateQuotas presents the rate limits of endpoints as quotas. It implements quotas.QuotaSource.
 type rateQuotas struct{ l *RateLimits }
 
-// Quota implements quotas.Bounds.
-func (b rateQuotas) Quota(name string) vetchtrail.Quota {
-	limit, _ := b.l.cfg.Table.RateLimit(name)
+// Quota implements quotas.QuotaSource.
+func (q rateQuotas) Quota(name string) vetchtrail.Quota {
+	limit, _ := q.l.cfg.Table.RateLimit(name)
 	if !limit.Advertised {
 		return vetchtrail.Quota{}
 	}
@@ -53,8 +53,8 @@
 	return vetchtrail.Quota{Rate: rate, Burst: 1 + burstSeconds*rate, Unit: vetchtrail.UnitRequests}
 }
 
-// RegionNames implements quotas.Bounds. Only hosts in its own region call an endpoint.
-func (b rateQuotas) RegionNames() []string { return []string{b.l.cfg.Self.Region} }
+// RegionNames implements quotas.QuotaSource. Only hosts in its own region call an endpoint.
+func (q rateQuotas) RegionNames() []string { return []string{q.l.cfg.Self.Region} }
 
 // settledHosts returns no hosts for a task while this host has just started and knows no other
 // host, so that it does not act as the owner.
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -96,7 +96,7 @@
 // together may exceed one: in any window, they run at most
 // (rate x window + burst) x (1 + overage) + slack units.
 type Quotas struct {
-	Way     string        `yaml:"way"` // one of quotas.Ways: leased, told or equal
+	Way     string        `yaml:"way"` // one of quotas.Strategies: leased, told or equal
 	Window  time.Duration `yaml:"window"`
 	Overage float64       `yaml:"overage"`
 	Slack   float64       `yaml:"slack"` // units
--- a/quarantine.go
+++ b/quarantine.go
@@ -6,7 +6,7 @@
 )
 
 // QuarantineEntry is the quarantine entry of a request. The request with this content hash runs nowhere
-// until the entry ends, as several endpoints crashed while they ran it.
+// until the entry ends, because several endpoints crashed while they ran it.
 type QuarantineEntry struct {
 	ContentHash ContentHash
 	// Count is how many times the request has been quarantined, this time included. Each
--- a/record.go
+++ b/record.go
@@ -9,7 +9,7 @@
 	Request        string // id
 	Service        string
 	Route          string
-	PromptTokens   int // tokens of the prompt
+	PromptTokens   int
 	Workspace      string
 	Home           string // region
 	Decision       Decision
@@ -18,7 +18,7 @@
 	Goal           time.Time // latency objective; zero: none
 	Deadline       time.Time
 	CallerCanRetry bool    // see Request.CallerCanRetry
-	Cost           float64 // cost in units of the workspace's quota; 0: none
+	Cost           float64 // in units of the workspace's quota; 0: none
 	Quota          QuotaVerdict
 	Revision       uint64
 	Ended          bool // the record is the outcome of the request
@@ -28,7 +28,7 @@
 	Took           time.Duration
 }
 
-// Recorder stores records. Note doesn't block.
+// Recorder stores journal records. Note doesn't block.
 type Recorder interface {
 	Note(r JournalRecord)
 }
--- a/request.go
+++ b/request.go
@@ -32,7 +32,7 @@
 	Body            []byte
 	Stream          bool   // the response is a stream of events
 	EstimatedTokens int    // estimated or stated tokens of the prompt
-	IdempotencyKey  string // at-most-once key; empty: none
+	IdempotencyKey  string // idempotency key; empty: none
 	Repeatable      bool   // it may run more than once without harm
 	ResumeAt        StreamPosition
 
@@ -64,7 +64,7 @@
 	// that is refused some time before its deadline can still be served elsewhere.
 	QueueUntil time.Time
 
-	contentHash ContentHash // see ContentHash; zero: not computed yet
+	contentHash ContentHash // see the method ContentHash; zero: not computed yet
 }
 
 // QueueDeadline returns until when the request may wait for capacity.
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -298,7 +298,7 @@
 	if reached(o) {
 		h.reached++
 	}
-	// With ReasonMisled another process, which now has the endpoint's address,
+	// With ReasonOtherProcess another process, which now has the endpoint's address,
 	// received the request.
 	if reached(o) && o.Reason != vetchtrail.ReasonOtherProcess {
 		h.reachedTarget++
@@ -312,7 +312,7 @@
 }
 
 // reached reports whether an attempt reached, or may have reached, any process.
-// An attempt that did not run reached a process if it failed at StepAnswer: it
+// An attempt that did not run reached a process if it failed at StepResponse: it
 // was refused in a response.
 func reached(o vetchtrail.Outcome) bool {
 	return o.Kind != vetchtrail.OutcomeNotRun || o.Step == vetchtrail.StepResponse
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -62,14 +62,14 @@
 	body   strings.Builder
 }
 
-func (g *responseRecorder) Begin(status int, _ []vetchtrail.HeaderField) error {
-	g.begins++
-	g.status = status
+func (r *responseRecorder) Begin(status int, _ []vetchtrail.HeaderField) error {
+	r.begins++
+	r.status = status
 	return nil
 }
 
-func (g *responseRecorder) Write(p []byte) error {
-	g.body.Write(p)
+func (r *responseRecorder) Write(p []byte) error {
+	r.body.Write(p)
 	return nil
 }
 
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -92,7 +92,7 @@
 }
 
 // keyRefusal returns the outcome of a request whose key can't be used, for the
-// error of once.Keeper.Begin.
+// error of once.Registry.Begin.
 func (d *Dispatcher) keyRefusal(key once.Key, err error) vetchtrail.Outcome {
 	o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
 	o.Err = err
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestCallerCanRetryAfterRefusal checks that a request stays fresh after an attempt that reached no
-// endpoint, so that its caller can still receive a retry time, and is not fresh once an
+// TestCallerCanRetryAfterRefusal checks that the caller can retry after an attempt that reached no
+// endpoint, so that it still receives a retry time, and can't once an
 // endpoint has received it.
 func TestCallerCanRetryAfterRefusal(t *testing.T) {
 	cases := map[string]struct {
--- a/request/dispatch/reservation_test.go
+++ b/request/dispatch/reservation_test.go
@@ -20,8 +20,8 @@
 	exhausted []string               // endpoints whose rate limit is used up
 	taken     int                    // reservations granted
 	returned  int                    // reservations returned
-	checked   vetchtrail.Reservation // the last one that Covers checked
-	refuseAll bool                   // Covers refuses every request
+	checked   vetchtrail.Reservation // the last one that Allows checked
+	refuseAll bool                   // Allows refuses every request
 }
 
 func (l *fakeRateLimits) Reserve(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Reservation, time.Time, bool) {
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -30,7 +30,7 @@
 	ErrReused  = errors.New("the key was already used for a different request")
 )
 
-// Config configures a Keeper.
+// Config configures a Registry.
 type Config struct {
 	Host        string        // name of this host, for the keys that it issues
 	Incarnation uint64        // of this process, for the keys that it issues
@@ -64,7 +64,7 @@
 	stored  bool // status, header and body hold the whole answer
 }
 
-// New returns a keeper without records.
+// New returns a registry without records.
 func New(c Config) *Registry { return &Registry{cfg: c, records: map[string]*Record{}} }
 
 // Issue returns a new key.
@@ -172,13 +172,13 @@
 // record it is then not known whether the request ran.
 func RecordMayBeRemoved(key Key, now time.Time) bool { return now.After(key.Expires.Add(retention)) }
 
-// Stats is the size of a Keeper.
+// Stats is the size of a Registry.
 type Stats struct {
 	Records int // number of records
 	Bytes   int // their memory, including the stored answers
 }
 
-// Stats returns the size of the keeper.
+// Stats returns the size of the registry.
 func (r *Registry) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/request/once/once_test.go
+++ b/request/once/once_test.go
@@ -67,7 +67,7 @@
 // that a key is meant to prevent.
 func TestRegistryRunsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		k := newTestRegistry(8 * recordBytes)
+		registry := newTestRegistry(8 * recordBytes)
 		clock := now
 		type state struct {
 			key  Key
@@ -82,13 +82,13 @@
 			return states[rapid.IntRange(0, len(states)-1).Draw(rt, "key")]
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"issue": func(*rapid.T) { states = append(states, &state{key: k.Issue(clock)}) },
+			"issue": func(*rapid.T) { states = append(states, &state{key: registry.Issue(clock)}) },
 			"wait": func(rt *rapid.T) {
 				clock = clock.Add(time.Duration(rapid.IntRange(1, 400).Draw(rt, "s")) * time.Second)
 			},
 			"begin": func(rt *rapid.T) {
 				s := pick()
-				rec, first, err := k.Begin(s.key, 1, clock)
+				rec, first, err := registry.Begin(s.key, 1, clock)
 				if err != nil {
 					assert.Assert(rt, errors.Is(err, ErrFull) || errors.Is(err, ErrExpired))
 					return
@@ -101,7 +101,7 @@
 					return
 				}
 				assert.Assert(rt, s.runs == 1)
-				_, _, err = k.Begin(s.key, 2, clock)
+				_, _, err = registry.Begin(s.key, 2, clock)
 				assert.Assert(rt, errors.Is(err, ErrReused))
 			},
 			"finish": func(rt *rapid.T) {
@@ -115,7 +115,7 @@
 					assert.NilError(rt, tee.Begin(200, nil))
 					assert.NilError(rt, tee.Write(make([]byte, rapid.IntRange(0, 3*recordBytes).Draw(rt, "size"))))
 				}
-				k.Finish(s.key, s.rec, tee, o)
+				registry.Finish(s.key, s.rec, tee, o)
 				got := s.rec.Replay(discard{})
 				assert.Assert(rt, got.Kind == o.Kind || got.Reason == vetchtrail.ReasonResponseNotStored)
 				if o.Kind == vetchtrail.OutcomeNotRun {
@@ -123,7 +123,7 @@
 				}
 				s.rec = nil
 			},
-			"": func(rt *rapid.T) { assert.Assert(rt, k.Stats().Bytes <= 8*recordBytes+1) },
+			"": func(rt *rapid.T) { assert.Assert(rt, registry.Stats().Bytes <= 8*recordBytes+1) },
 		})
 	})
 }
@@ -134,14 +134,14 @@
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				k := newTestRegistry(1 << 30)
+				registry := newTestRegistry(1 << 30)
 				for range n {
-					key := k.Issue(now)
-					rec, _, err := k.Begin(key, 1, now)
+					key := registry.Issue(now)
+					rec, _, err := registry.Begin(key, 1, now)
 					assert.NilError(b, err)
 					tee := &Tee{To: discard{}}
 					_ = tee.Write(make([]byte, 256))
-					k.Finish(key, rec, tee, vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered})
+					registry.Finish(key, rec, tee, vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered})
 				}
 			}
 		})
--- a/request/policy/policy_test.go
+++ b/request/policy/policy_test.go
@@ -64,10 +64,10 @@
 		endpoints      []vetchtrail.EndpointView
 		remotes        []vetchtrail.RemoteView
 		excluded       []string
-		events         float64 // View.Events
-		urgentInterval float64 // View.UrgentPace
-		queueWait      float64 // View.Line
-		ratio          float64 // View.Borne
+		events         float64 // View.ExpectedEvents
+		urgentInterval float64 // View.UrgentInterval
+		queueWait      float64 // View.QueueWait
+		ratio          float64 // View.PredictionRatio
 		waited         bool
 		kind           vetchtrail.DecisionKind
 		name           string
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -25,7 +25,7 @@
 	Released    bool   `json:"released,omitempty"`
 }
 
-// ParsePersistedEntries reads the encoding that Text returns. If some entries are invalid, it returns the valid
+// ParsePersistedEntries reads the encoding that Encode returns. If some entries are invalid, it returns the valid
 // ones together with an error.
 func ParsePersistedEntries(text []byte) (PersistedEntries, error) {
 	var in, out PersistedEntries
@@ -43,7 +43,7 @@
 	return out, bad
 }
 
-// Encode returns the encoding that ParseKept reads.
+// Encode returns the encoding that ParsePersistedEntries reads.
 func (p *PersistedEntries) Encode() ([]byte, error) { return json.Marshal(p) }
 
 // Update adds entries and removes those of the requests in drop. An entry replaces the one of the same
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -45,8 +45,8 @@
 	startTag float64 // of start-time fair queueing: lower tags are served first
 	deadline time.Time
 	sequence uint64        // order of arrival
-	ready    chan struct{} // see Turn
-	dropped  chan struct{} // see Late
+	ready    chan struct{} // see Ready
+	dropped  chan struct{} // see Dropped
 }
 
 // New returns an empty queue. freed returns a channel that is closed when an endpoint may
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -12,13 +12,13 @@
 
 var now = time.Now()
 
-// stoppedLine returns a queue that never receives a signal of freed capacity and whose
+// stoppedQueue returns a queue that never receives a signal of freed capacity and whose
 // run loop doesn't run, so that only the test changes it.
-func stoppedLine() *Queue {
+func stoppedQueue() *Queue {
 	never := make(chan struct{})
-	l := New(func() <-chan struct{} { return never })
-	l.running = true
-	return l
+	q := New(func() <-chan struct{} { return never })
+	q.running = true
+	return q
 }
 
 func request(workspace string, priority int8, within time.Duration) *vetchtrail.Request {
@@ -52,15 +52,15 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			l, names := stoppedLine(), map[*Waiter]string{}
+			q, names := stoppedQueue(), map[*Waiter]string{}
 			for i, j := range c.joins {
-				result := l.Join(request(j.workspace, j.priority, j.within), 10, now)
+				result := q.Join(request(j.workspace, j.priority, j.within), 10, now)
 				assert.Assert(t, result.Waiter != nil, result.Reason)
 				names[result.Waiter] = fmt.Sprint(j.workspace, i)
 			}
 			var got []string
 			for range c.joins {
-				got = append(got, serveFirst(l, names))
+				got = append(got, serveFirst(q, names))
 			}
 			assert.DeepEqual(t, got, c.want)
 		})
@@ -71,18 +71,18 @@
 // or the queue is full. Otherwise its caller would wait in vain until the deadline. A
 // request with a smaller share or a higher priority displaces the last one instead.
 func TestRefusals(t *testing.T) {
-	l := stoppedLine()
-	first := l.Join(request("a", 0, time.Second), 2, now)
+	q := stoppedQueue()
+	first := q.Join(request("a", 0, time.Second), 2, now)
 	assert.Assert(t, first.Waiter != nil)
-	assert.Equal(t, l.Join(request("b", 0, time.Millisecond), 2, now).Reason, vetchtrail.ReasonDeadline)
-	last := l.Join(request("a", 0, time.Second), 2, now)
+	assert.Equal(t, q.Join(request("b", 0, time.Millisecond), 2, now).Reason, vetchtrail.ReasonDeadline)
+	last := q.Join(request("a", 0, time.Second), 2, now)
 	assert.Assert(t, last.Waiter != nil)
-	assert.Equal(t, l.Join(request("a", 0, time.Second), 2, now).Reason, vetchtrail.ReasonQueueFull)
+	assert.Equal(t, q.Join(request("a", 0, time.Second), 2, now).Reason, vetchtrail.ReasonQueueFull)
 	// Workspace b has used less of its share than a. The request of c has a higher priority.
-	assert.Assert(t, l.Join(request("b", 0, time.Second), 2, now).Waiter != nil)
+	assert.Assert(t, q.Join(request("b", 0, time.Second), 2, now).Waiter != nil)
 	assert.Assert(t, isClosed(last.Waiter.Dropped()), "the displaced request is not told")
-	assert.Assert(t, l.Join(request("c", 5, time.Second), 2, now).Waiter != nil)
-	assert.Equal(t, l.Len(), 2)
+	assert.Assert(t, q.Join(request("c", 5, time.Second), 2, now).Waiter != nil)
+	assert.Equal(t, q.Len(), 2)
 }
 
 func isClosed(c <-chan struct{}) bool {
@@ -98,15 +98,15 @@
 // dropped before their deadline, so that they can still go elsewhere. This happens when
 // the interval between served requests grows after they joined.
 func TestDropsLateRequests(t *testing.T) {
-	l := stoppedLine()
+	q := stoppedQueue()
 	var waiters []*Waiter
 	for i := range 10 {
-		result := l.Join(request(fmt.Sprint(i), 0, time.Second), 20, now)
+		result := q.Join(request(fmt.Sprint(i), 0, time.Second), 20, now)
 		assert.Assert(t, result.Waiter != nil)
 		waiters = append(waiters, result.Waiter)
 	}
-	l.interval = 300 * time.Millisecond
-	assert.Assert(t, l.update(now))
+	q.interval = 300 * time.Millisecond
+	assert.Assert(t, q.update(now))
 	dropped := 0
 	for _, w := range waiters {
 		if isClosed(w.Dropped()) {
@@ -114,21 +114,21 @@
 		}
 	}
 	assert.Equal(t, dropped, 6) // those to be served after 0, 0.3, 0.6 and 0.9 s remain
-	assert.Assert(t, !l.update(now.Add(time.Minute)), "the queue is not empty")
+	assert.Assert(t, !q.update(now.Add(time.Minute)), "the queue is not empty")
 }
 
 // TestReady checks that the first request is signalled, and the next one as soon as the
 // first is served. A lost signal would leave requests waiting although there is capacity.
 func TestReady(t *testing.T) {
 	freed := make(chan struct{})
-	l := New(func() <-chan struct{} { return freed })
-	a := l.Join(request("a", 0, time.Minute), 2, now).Waiter
-	b := l.Join(request("b", 0, 2*time.Minute), 2, now).Waiter
+	q := New(func() <-chan struct{} { return freed })
+	a := q.Join(request("a", 0, time.Minute), 2, now).Waiter
+	b := q.Join(request("b", 0, 2*time.Minute), 2, now).Waiter
 	<-a.Ready()
-	l.Leave(a, true, now)
+	q.Leave(a, true, now)
 	<-b.Ready()
-	l.Leave(b, true, now)
-	assert.Equal(t, l.Len(), 0)
+	q.Leave(b, true, now)
+	assert.Equal(t, q.Len(), 0)
 }
 
 // TestEmptyQueueAccepts checks that a request joins an empty queue however long the last
@@ -136,11 +136,11 @@
 // be served in time. The interval is only updated while requests are served, so a long
 // one would otherwise keep the queue empty for good.
 func TestEmptyQueueAccepts(t *testing.T) {
-	l := stoppedLine()
-	l.interval = time.Hour
-	assert.Equal(t, l.EstimatedWait(), time.Duration(0))
-	assert.Assert(t, l.Join(request("a", 0, time.Second), 10, now).Waiter != nil)
-	result := l.Join(request("b", 0, time.Second), 10, now)
+	q := stoppedQueue()
+	q.interval = time.Hour
+	assert.Equal(t, q.EstimatedWait(), time.Duration(0))
+	assert.Assert(t, q.Join(request("a", 0, time.Second), 10, now).Waiter != nil)
+	result := q.Join(request("b", 0, time.Second), 10, now)
 	assert.Assert(t, result.Waiter == nil)
 	assert.Equal(t, result.Reason, vetchtrail.ReasonDeadline)
 }
--- a/schema/convert.go
+++ b/schema/convert.go
@@ -336,7 +336,7 @@
 	return t.UnixNano()
 }
 
-// ToTime reverses Nanos.
+// ToTime reverses FromTime.
 func ToTime(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
--- a/schema/leaving.go
+++ b/schema/leaving.go
@@ -8,7 +8,7 @@
 
 // FromLeaving returns the message which reports that a process instance of an
 // endpoint announced at a moment that it is leaving. The endpoint is identified
-// by the short form of its name, and the moment is sent as its age at now.
+// by the hash of its name, and the moment is sent as its age at now.
 func FromLeaving(nameHash uint32, startedAt, announcedAt, now time.Time) *EndpointLeaves {
 	m := &EndpointLeaves{Endpoint: nameHash, AgeMillis: uint32(max(0, now.Sub(announcedAt).Milliseconds()))}
 	if !startedAt.IsZero() {
--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -167,7 +167,7 @@
 }
 
 // update puts a newer configuration in force and wakes those who wait on
-// Grown. The caller holds the lock.
+// Updated. The caller holds the lock.
 func (l *Log) update(next *rules.Rules) {
 	l.current.Store(next)
 	close(l.updated)
@@ -286,7 +286,7 @@
 	}
 }
 
-// awaitNext waits up to WatchTime for the next revision and applies it.
+// awaitNext waits up to WatchTimeout for the next revision and applies it.
 func (l *Log) awaitNext(ctx context.Context) error {
 	key := logKey(l.Revision() + 1)
 	existing, err := l.store.Get(ctx, key)
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -37,7 +37,7 @@
 // against the new configuration and tried at the revision after it.
 //
 // It returns a *vetchtrail.ChangeError for a change that isn't valid, a
-// *vetchtrail.ConflictError if the configuration has moved on, ErrUnsettled if
+// *vetchtrail.ConflictError if the configuration has moved on, ErrOutcomeUnknown if
 // the change may take effect, and other errors if nothing was written.
 func (l *Log) Propose(ctx context.Context, c vetchtrail.Change) (uint64, error) {
 	if err := l.CatchUp(ctx); err != nil {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// snapshotIfDue stores a snapshot at every SnapshotEvery-th revision, so that a
+// snapshotIfDue stores a snapshot at every SnapshotInterval-th revision, so that a
 // new host need not read the whole log, and then deletes old changes. A failure
 // is only logged: the next snapshot takes this one's place.
 func (l *Log) snapshotIfDue(ctx context.Context) {
