--- a/answer.go
+++ b/answer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ResponseWriter writes a response to the caller. Begin is called once, before any Write. An error
-// from either method means that the caller has disconnected.
+// ResponseWriter writes a response to the caller. Begin is called once, before any Write.
+// An error from either method means that the caller has disconnected.
 type ResponseWriter interface {
 	Begin(status int, header []HeaderField) error
 	Write(part []byte) error
@@ -35,11 +35,11 @@
 	Silent(e Endpoint, now time.Time) bool
 	// LoadReported reports the load that an endpoint stated in a response.
 	LoadReported(e Endpoint, l LoadReport)
-	// RateLimitReported reports the rate limit that a response advertises. If err is not nil, the
-	// response contained a value that can't be parsed.
+	// RateLimitReported reports the rate limit that a response advertises. If err is not
+	// nil, the response contained a value that can't be parsed.
 	RateLimitReported(e Endpoint, l RateLimit, err error)
-	// AvailabilityReported reports the availability that a response announces. If err is not nil, the
-	// response contained a value that can't be parsed.
+	// AvailabilityReported reports the availability that a response announces. If err is
+	// not nil, the response contained a value that can't be parsed.
 	AvailabilityReported(e Endpoint, a Availability, err error)
 	// UnknownField reports a header field of a response that the dialect doesn't know.
 	UnknownField(e Endpoint, field string)
--- a/availability.go
+++ b/availability.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Availability is what an endpoint announced in a response head about whether it accepts requests.
-// The endpoint wrote it at an unknown time between RequestedAt and ReceivedAt.
+// Availability is what an endpoint announced in a response head about whether it accepts
+// requests. The endpoint wrote it at an unknown time between RequestedAt and ReceivedAt.
 type Availability struct {
 	Leaving     bool      // it will stop soon and accepts no new requests from any host
 	PausedUntil time.Time // it is paused until then, and accepts no requests from this host; zero: not paused
--- a/availability_test.go
+++ b/availability_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestParsePause checks for how long an endpoint that refused a request is paused. A malformed
-// or excessive value must not keep a working endpoint out of use.
+// TestParsePause checks for how long an endpoint that refused a request is paused. A
+// malformed or excessive value must not keep a working endpoint out of use.
 func TestParsePause(t *testing.T) {
 	cases := map[string]struct {
 		text  string
--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -22,8 +22,8 @@
 	// Status 429 (RFC 6585) needs no such mark.
 	HeaderNotStarted = "X-Not-Started"
 	headerLastEvent  = "Last-Event-Id"
-	// HeaderRateLimit is an endpoint's rate limit in requests a second, for all hosts together. It
-	// holds as long as the endpoint's responses have the field.
+	// HeaderRateLimit is an endpoint's rate limit in requests a second, for all hosts
+	// together. It holds as long as the endpoint's responses have the field.
 	HeaderRateLimit = "X-Rate-Limit"
 	// HeaderLeaving is 1 in the responses of an endpoint that will stop soon and accepts no
 	// new requests.
--- a/connection/peer/client.go
+++ b/connection/peer/client.go
@@ -203,8 +203,8 @@
 	return &vetchtrail.PeerError{Step: step, Peer: addr.String(), Err: err}
 }
 
-// Forward implements vetchtrail.Forwarder. The outcome is OutcomeNotRun only if the message was
-// not sent or the host reported OutcomeNotRun.
+// Forward implements vetchtrail.Forwarder. The outcome is OutcomeNotRun only if the message
+// was not sent or the host reported OutcomeNotRun.
 func (c *Client) Forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	o := c.forward(ctx, h, r, w)
 	if o.HostLost && ctx.Err() != nil {
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -150,7 +150,8 @@
 	return stream.Send(&schema.ForwardReply{Part: &schema.ForwardReply_End{End: schema.FromOutcome(o, time.Now())}})
 }
 
-// streamWriter is a vetchtrail.ResponseWriter that sends the response back to the forwarding host.
+// streamWriter is a vetchtrail.ResponseWriter that sends the response back to the
+// forwarding host.
 type streamWriter struct {
 	stream schema.DRPCPeers_ForwardStream
 }
--- a/contenthash.go
+++ b/contenthash.go
@@ -9,14 +9,14 @@
 	"github.com/go-faster/errors"
 )
 
-// ContentHash is the content hash of a request. Requests with the same hash are retries of one
-// request. It is the first half of a SHA-256 sum, so that nobody can construct a request
+// ContentHash is the content hash of a request. Requests with the same hash are retries of
+// one request. It is the first half of a SHA-256 sum, so that nobody can construct a request
 // with the hash of another caller's request and have that one quarantined in its place.
 type ContentHash [sha256.Size / 2]byte
 
-// ContentHash returns the content hash of the request: of its workspace, method, Host field, path
-// with query, and body. Values that differ between retries, such as the request id and the
-// deadline, are not included. The hash is computed once and then cached.
+// ContentHash returns the content hash of the request: of its workspace, method, Host field,
+// path with query, and body. Values that differ between retries, such as the request id and
+// the deadline, are not included. The hash is computed once and then cached.
 func (r *Request) ContentHash() ContentHash {
 	if r.contentHash != (ContentHash{}) {
 		return r.contentHash
--- a/decision.go
+++ b/decision.go
@@ -89,8 +89,8 @@
 	// more urgent than this request would use up all of their time; 0: there are no such
 	// streams.
 	UrgentInterval float64
-	// PredictionRatio is the observed ratio of the actual to the predicted time to the first event of
-	// a stream; 0: not known.
+	// PredictionRatio is the observed ratio of the actual to the predicted time to the first
+	// event of a stream; 0: not known.
 	PredictionRatio float64
 	QueueWait       float64 // estimated seconds that a request waits in this host's queue
 	RefusedHere     bool    // an endpoint in Endpoints refused the request because of its load
--- a/dialect.go
+++ b/dialect.go
@@ -9,13 +9,13 @@
 // the system's own types. It only translates: what follows from a value is decided
 // elsewhere.
 type Dialect interface {
-	// ParseRequest reads the header of a caller's request into r: its id, its deadline, the parts of
-	// its prompt, and the id of the last event that the caller received.
+	// ParseRequest reads the header of a caller's request into r: its id, its deadline, the
+	// parts of its prompt, and the id of the last event that the caller received.
 	ParseRequest(get HeaderGetter, r *Request, now time.Time) error
 	// ParseKey returns the caller's workspace key after CheckKey has accepted it.
 	ParseKey(get HeaderGetter) (string, error)
-	// IsReserved returns whether a request header field is reserved for the system. The values that
-	// callers send in such fields are not forwarded.
+	// IsReserved returns whether a request header field is reserved for the system. The
+	// values that callers send in such fields are not forwarded.
 	IsReserved(name string) bool
 	// SetRequestHeader sets the header fields that describe a request to an endpoint.
 	SetRequestHeader(set func(name, value string), e Endpoint, r *Request, now time.Time)
--- a/endpoint.go
+++ b/endpoint.go
@@ -38,7 +38,7 @@
 	Queued     int       // requests in its queue
 	Leaving    bool      // it will stop soon
 	Slots      int       // number of requests that it runs at once; 0: not reported
-	// StartedAt is the start time of the process instance by the clock of the host that fetched
-	// the report; zero: not reported.
+	// StartedAt is the start time of the process instance by the clock of the host that
+	// fetched the report; zero: not reported.
 	StartedAt time.Time
 }
--- a/feed.go
+++ b/feed.go
@@ -20,20 +20,20 @@
 	Run(ctx context.Context, s Sink)
 }
 
-// PollCoordinator decides which part a host takes in polling the platform. Calls to the platform
-// are rate-limited and billed, so few hosts poll it and the others fetch the listing from
-// them.
+// PollCoordinator decides which part a host takes in polling the platform. Calls to the
+// platform are rate-limited and billed, so few hosts poll it and the others fetch the listing
+// from them.
 type PollCoordinator interface {
 	// ShouldPoll returns whether this host polls the platform's listing now.
 	ShouldPoll() bool
 	// PollInterval returns the interval between two polls.
 	PollInterval() time.Duration
-	// ShouldWatchConfiguration returns whether this host watches the configuration, independently
-	// of polling the listing.
+	// ShouldWatchConfiguration returns whether this host watches the configuration,
+	// independently of polling the listing.
 	ShouldWatchConfiguration() bool
-	// CallStarted is called when a call to the platform begins, and CallEnded when it has ended; ok
-	// reports whether the platform answered. Other hosts poll in place of a host that the
-	// platform rejects.
+	// CallStarted is called when a call to the platform begins, and CallEnded when it has
+	// ended; ok reports whether the platform answered. Other hosts poll in place of a host
+	// that the platform rejects.
 	CallStarted(now time.Time)
 	CallEnded(ok bool)
 	// Listing returns the newest listing that the host holds, read by itself or fetched from
@@ -43,9 +43,9 @@
 
 // Sink receives the data of a Feed. Its methods don't block.
 type Sink interface {
-	// OfferConfiguration offers a configuration. A configuration that is older than the current one
-	// is ignored. If the configuration is not valid, OfferConfiguration returns an error and the
-	// current one stays in force.
+	// OfferConfiguration offers a configuration. A configuration that is older than the
+	// current one is ignored. If the configuration is not valid, OfferConfiguration returns
+	// an error and the current one stays in force.
 	OfferConfiguration(s Snapshot) error
 	// ReplaceListing replaces the listing.
 	ReplaceListing(l Listing)
@@ -79,9 +79,9 @@
 	slices.SortFunc(endpoints, func(a, b *Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// HostRegistry keeps a host registered in the platform's list of hosts until ctx ends. While the
-// host is not registered, Register waits for due to return true; then it writes the host's
-// entry and renews it.
+// HostRegistry keeps a host registered in the platform's list of hosts until ctx ends. While
+// the host is not registered, Register waits for due to return true; then it writes the
+// host's entry and renews it.
 type HostRegistry interface {
 	Register(ctx context.Context, h Host, due func() bool)
 }
--- a/observation.go
+++ b/observation.go
@@ -5,15 +5,15 @@
 // Observation is what one attempt showed about the endpoint that it ran on.
 type Observation struct {
 	Request string // id
-	// StartedAt is the start time of the process instance that the attempt was sent to; zero: not
-	// known.
+	// StartedAt is the start time of the process instance that the attempt was sent to; zero:
+	// not known.
 	StartedAt    time.Time
 	Outcome      Outcome
 	Timing       Timing
 	Route        string
 	PromptTokens int
-	// PredictedFirstByte is the time to the first byte of the response that the decision expected;
-	// 0: there was no prediction.
+	// PredictedFirstByte is the time to the first byte of the response that the decision
+	// expected; 0: there was no prediction.
 	PredictedFirstByte time.Duration
 	Cancelled          bool // the caller disconnected, so the attempt shows nothing about the endpoint
 }
@@ -29,11 +29,12 @@
 	Release(name string, o Observation, now time.Time)
 	// Find returns a listed endpoint by its name, whether or not it can be used now.
 	Find(name string) (Endpoint, bool)
-	// Blocked returns why no new request may be sent to an endpoint, as it is leaving, paused or
-	// not listed any more, and until when if that is known; an empty reason: it may be sent.
+	// Blocked returns why no new request may be sent to an endpoint, as it is leaving, paused
+	// or not listed any more, and until when if that is known; an empty reason: it may be
+	// sent.
 	Blocked(name string, now time.Time) (why Reason, until time.Time)
-	// CapacityFreed returns a channel that is closed when an endpoint of a service may have capacity
-	// again.
+	// CapacityFreed returns a channel that is closed when an endpoint of a service may have
+	// capacity again.
 	CapacityFreed(service string) <-chan struct{}
 }
 
@@ -43,8 +44,8 @@
 	Self() Host
 	// Find returns a host by its name.
 	Find(name string, now time.Time) (Host, bool)
-	// AppendRemotes appends the remote data centres that run a service to a view; regionID returns the
-	// id of a region.
+	// AppendRemotes appends the remote data centres that run a service to a view; regionID
+	// returns the id of a region.
 	AppendRemotes(v *View, service string, regionID func(region string) (RegionID, bool), now time.Time)
 	// Pick chooses a host of a data centre and counts a request in flight there.
 	Pick(dataCentre, service string, now time.Time) (Host, bool)
--- a/outcome.go
+++ b/outcome.go
@@ -37,8 +37,8 @@
 	HostLost  bool
 	Events    int       // number of whole events of a stream that were forwarded
 	FirstByte time.Time // when the first byte of the response arrived here; zero: none did
-	// DeferredFailure is an endpoint's error response that was not forwarded, because another attempt
-	// may succeed. If none does, it is sent to the caller.
+	// DeferredFailure is an endpoint's error response that was not forwarded, because another
+	// attempt may succeed. If none does, it is sent to the caller.
 	DeferredFailure *BufferedResponse
 	ColdStart       time.Duration // remaining cold start that the endpoint stated; 0: none
 }
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -41,8 +41,8 @@
 // limits.
 const reasonLimited = "endpoint-limited"
 
-// CauseCount is the number of requests that ended with one cause in one second, by service, route,
-// home and workspace. The second is that of the request's first decision.
+// CauseCount is the number of requests that ended with one cause in one second, by service,
+// route, home and workspace. The second is that of the request's first decision.
 type CauseCount struct {
 	Second  int    `json:"second"` // since Losses.From
 	Service string `json:"service"`
--- a/process/lists/lists.go
+++ b/process/lists/lists.go
@@ -167,10 +167,12 @@
 // threshold below that, other hosts would poll too whenever nothing changes.
 const slowCallThreshold = 1300 * time.Millisecond
 
-// CallStarted implements vetchtrail.PollCoordinator: it records the start of a call to the platform.
+// CallStarted implements vetchtrail.PollCoordinator: it records the start of a call to the
+// platform.
 func (l *Lists) CallStarted(now time.Time) { l.platform.callStarted.Store(&now) }
 
-// CallEnded implements vetchtrail.PollCoordinator: it records the end of a call to the platform.
+// CallEnded implements vetchtrail.PollCoordinator: it records the end of a call to the
+// platform.
 func (l *Lists) CallEnded(ok bool) {
 	l.platform.callStarted.Store(nil)
 	l.platform.lastCallFailed.Store(!ok)
--- a/process/lists/poll.go
+++ b/process/lists/poll.go
@@ -112,9 +112,9 @@
 	return now.Before(l.rejectedUntil[host])
 }
 
-// ShouldPoll implements vetchtrail.PollCoordinator: it reports whether this host is to poll the platform
-// now. If that makes a settled host poll that is not first in its region, ShouldPoll starts a
-// takeover.
+// ShouldPoll implements vetchtrail.PollCoordinator: it reports whether this host is to poll the
+// platform now. If that makes a settled host poll that is not first in its region, ShouldPoll
+// starts a takeover.
 func (l *Lists) ShouldPoll() bool {
 	now := time.Now()
 	s := l.pollState(now)
@@ -128,8 +128,8 @@
 	return true
 }
 
-// ShouldWatchConfiguration implements vetchtrail.PollCoordinator: the second host of the region waits
-// for new configurations too, so that none is late if the host that polls is lost.
+// ShouldWatchConfiguration implements vetchtrail.PollCoordinator: the second host of the region
+// waits for new configurations too, so that none is late if the host that polls is lost.
 func (l *Lists) ShouldWatchConfiguration() bool {
 	now := time.Now()
 	rank, _ := l.cfg.Hosts.Rank(pollTask, now)
--- a/process/lists/serve.go
+++ b/process/lists/serve.go
@@ -9,9 +9,9 @@
 	"vetchtrail/schema"
 )
 
-// ServeListing replies to a host that queries for a newer listing than its own. If the history reaches
-// back far enough, the reply has only what changed since. While this host's link is busy, the
-// reply names hosts that were served the same listing: thus a listing of thousands of
+// ServeListing replies to a host that queries for a newer listing than its own. If the history
+// reaches back far enough, the reply has only what changed since. While this host's link is
+// busy, the reply names hosts that were served the same listing: thus a listing of thousands of
 // endpoints reaches hundreds of hosts in a few steps, not one after the other from the host
 // that polls the platform.
 func (l *Lists) ServeListing(q *schema.ListRequest) *schema.Listing {
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -44,8 +44,8 @@
 	return s.leavingBy(now) != ""
 }
 
-// Blocked implements vetchtrail.EndpointTable. It is checked just before a request is sent, as the endpoint may have
-// announced that it is leaving or paused after it was chosen.
+// Blocked implements vetchtrail.EndpointTable. It is checked just before a request is sent, as the endpoint may
+// have announced that it is leaving or paused after it was chosen.
 func (t *Table) Blocked(name string, now time.Time) (why vetchtrail.Reason, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,13 +104,15 @@
 	Paused   bool   // it is paused, or for longer than known
 }
 
-// RecordAnnouncement records an announcement that an endpoint's answer contained, and returns the part that is new.
+// RecordAnnouncement records an announcement that an endpoint's answer contained, and returns the part that is
+// new.
 func (t *Table) RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) AnnouncementNews {
 	return t.RecordAnnouncementByHash(NameHash(name), startedAt, a, a.ReceivedAt)
 }
 
-// RecordAnnouncementByHash records an announcement that this or another host received. The endpoint is given by the hash
-// of its name (NameHash). The announcement is valid only for the process instance that started at startedAt.
+// RecordAnnouncementByHash records an announcement that this or another host received. The endpoint is given by
+// the hash of its name (NameHash). The announcement is valid only for the process instance that started at
+// startedAt.
 func (t *Table) RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) AnnouncementNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -289,8 +291,8 @@
 	return nil
 }
 
-// LeavingAfter returns the process instances whose answers announced that they are leaving, if this host learned of
-// that after a time and if the announcement is still valid.
+// LeavingAfter returns the process instances whose answers announced that they are leaving, if this host learned
+// of that after a time and if the announcement is still valid.
 func (t *Table) LeavingAfter(after, now time.Time) []LeavingInstance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// TestAvailabilityStatus guards against operators that can't see which source reports that an endpoint is leaving,
-// since when, and until when it is paused.
+// TestAvailabilityStatus guards against operators that can't see which source reports that an endpoint is
+// leaving, since when, and until when it is paused.
 func TestAvailabilityStatus(t *testing.T) {
 	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
 	later := now.Add(time.Minute)
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -214,7 +214,8 @@
 	}
 }
 
-// SetColdStartRate sets this host's share of the requests a second that an endpoint accepts during its cold start.
+// SetColdStartRate sets this host's share of the requests a second that an endpoint accepts during its cold
+// start.
 func (t *Table) SetColdStartRate(name string, rate float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -103,8 +103,8 @@
 	return 0
 }
 
-// recordPrompt records the prompt that a request makes the endpoint read, and sets r.TransferFrom to the address of the endpoint
-// from which it can transfer the part that it hasn't cached.
+// recordPrompt records the prompt that a request makes the endpoint read, and sets r.TransferFrom to the address
+// of the endpoint from which it can transfer the part that it hasn't cached.
 func (t *Table) recordPrompt(s *endpointState, r *vetchtrail.Request, now time.Time) {
 	r.TransferFrom = netip.AddrPort{}
 	tokens := r.PromptTokens()
@@ -245,8 +245,8 @@
 	return float64(sum) / float64(n)
 }
 
-// ResponseStarted implements vetchtrail.Observer. The first byte of an answer shows that the endpoint has read the
-// prompt.
+// ResponseStarted implements vetchtrail.Observer. The first byte of an answer shows that the endpoint has read
+// the prompt.
 func (t *Table) ResponseStarted(e vetchtrail.Endpoint, r *vetchtrail.Request, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -60,8 +60,8 @@
 	return ""
 }
 
-// TestTransferFrom guards against a KV cache transfer from an endpoint that is unlikely to have the prompt, from
-// a region that isn't allowed, or at an endpoint that has the prompt or can't transfer it.
+// TestTransferFrom guards against a KV cache transfer from an endpoint that is unlikely to have the prompt,
+// from a region that isn't allowed, or at an endpoint that has the prompt or can't transfer it.
 func TestTransferFrom(t *testing.T) {
 	const session = 5
 	at := homeName(twoRegions(1e-7), session)
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -7,8 +7,8 @@
 	"vetchtrail"
 )
 
-// RecordRateLimit records the rate limit that an endpoint advertised, unless a later one is known. It returns the limit
-// that was known before, and the one that is known now. ok is false if the endpoint or the process instance
+// RecordRateLimit records the rate limit that an endpoint advertised, unless a later one is known. It returns the
+// limit that was known before, and the one that is known now. ok is false if the endpoint or the process instance
 // isn't known.
 func (t *Table) RecordRateLimit(name string, startedAt time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	t.mu.Lock()
@@ -89,8 +89,8 @@
 	return vetchtrail.RateLimit{}, time.Time{}
 }
 
-// SetRateLeft records what the owner of an endpoint's rate limit last reported. rateLeft is the number of requests
-// that can be sent at once. If until is set, none can, and the endpoint is out of use until then.
+// SetRateLeft records what the owner of an endpoint's rate limit last reported. rateLeft is the number of
+// requests that can be sent at once. If until is set, none can, and the endpoint is out of use until then.
 func (t *Table) SetRateLeft(name string, rateLeft float64, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -93,8 +93,8 @@
 	assert.Equal(t, tab.Summaries(now)[0].Slots, 8)
 }
 
-// TestRateLimits guards against hosts that keep to a rate limit after the endpoint has withdrawn it: the withdrawal
-// is reported to other hosts like a limit.
+// TestRateLimits guards against hosts that keep to a rate limit after the endpoint has withdrawn it: the
+// withdrawal is reported to other hosts like a limit.
 func TestRateLimits(t *testing.T) {
 	tab := rateLimitedTable(t, now)
 	assert.Equal(t, len(tab.RateLimits()), 1)
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -26,8 +26,8 @@
 	return ok && t.acceptReport(s, r, false, leavingUntil)
 }
 
-// NameHash is the hash of an endpoint's name, which replaces the name in messages between hosts. Two endpoints of a
-// data centre are unlikely to have the same hash; if they do, their load reports are mixed up.
+// NameHash is the hash of an endpoint's name, which replaces the name in messages between hosts. Two endpoints
+// of a data centre are unlikely to have the same hash; if they do, their load reports are mixed up.
 func NameHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // acceptReport records a report if it is newer than the known one, and reports whether it was. The caller holds
@@ -67,8 +67,8 @@
 	return time.Time{}
 }
 
-// MarkLeaving records that the platform's list of hosts has an endpoint as leaving. The endpoint is out of use until
-// the given time.
+// MarkLeaving records that the platform's list of hosts has an endpoint as leaving. The endpoint is out of use
+// until the given time.
 func (t *Table) MarkLeaving(name string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -40,10 +40,10 @@
 	Announced   bool // an answer of the endpoint once announced that it is leaving or paused
 }
 
-// ReportsAfter returns the reports that this host accepted after the one with the given number and that are newer
-// than a time, and the number of the last accepted report. Of an endpoint's reports only the newest is returned.
-// The last accepted is first. If the given number is 0, the reports by which an endpoint is leaving are returned
-// however old they are, after the others.
+// ReportsAfter returns the reports that this host accepted after the one with the given number and that are
+// newer than a time, and the number of the last accepted report. Of an endpoint's reports only the newest is
+// returned. The last accepted is first. If the given number is 0, the reports by which an endpoint is leaving
+// are returned however old they are, after the others.
 func (t *Table) ReportsAfter(number uint64, after time.Time) ([]ReportEntry, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/report_log_test.go
+++ b/process/load/report_log_test.go
@@ -15,9 +15,9 @@
 	return out
 }
 
-// TestReportsAfter guards against reports that a host passes on to others twice, after a newer one of the same
-// endpoint, from an earlier process instance, or too late. Only a leaving endpoint's report is passed on
-// however old.
+// TestReportsAfter guards against reports that a host passes on to others twice, after a newer one of the
+// same endpoint, from an earlier process instance, or too late. Only a leaving endpoint's report is passed
+// on however old.
 func TestReportsAfter(t *testing.T) {
 	report := func(tab *Table, name string, age time.Duration, leaving bool) {
 		tab.Report(name, vetchtrail.LoadReport{ReceivedAt: now.Add(-age), Leaving: leaving}, now.Add(time.Hour))
--- a/process/logs/logs.go
+++ b/process/logs/logs.go
@@ -1,7 +1,7 @@
 // Package logs keeps the output of the log from blocking the daemon, and the log from growing
 // without need. Writer buffers lines and writes them in a goroutine; lines that don't fit are
-// dropped, and their number is logged. Throttle bounds how often a line about the same subject is
-// logged. The package doesn't format lines; log/slog does.
+// dropped, and their number is logged. Throttle bounds how often a line about the same subject
+// is logged. The package doesn't format lines; log/slog does.
 package logs
 
 import (
--- a/process/logs/throttle.go
+++ b/process/logs/throttle.go
@@ -20,8 +20,8 @@
 	lastLine map[string]time.Time // by subject
 }
 
-// Allow reports whether a line about a subject may be logged now; if so, it counts as logged. If too
-// many subjects are remembered, all are forgotten first.
+// Allow reports whether a line about a subject may be logged now; if so, it counts as logged. If
+// too many subjects are remembered, all are forgotten first.
 func (t *Throttle) Allow(subject string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/membership/capacity.go
+++ b/process/membership/capacity.go
@@ -14,9 +14,9 @@
 // some may be lost before its next request for hosts.
 const minDrawn = 4
 
-// HostsForCaller returns hosts for a caller to use. It draws them among those of NearestReady, each
-// with a probability of its capacity over the greatest one, and at least minDrawn.
-// Hosts of the same capacity are all returned.
+// HostsForCaller returns hosts for a caller to use. It draws them among those of
+// NearestReady, each with a probability of its capacity over the greatest one, and at
+// least minDrawn. Hosts of the same capacity are all returned.
 //
 // Callers pick at random among the hosts that they are given. Where a few
 // hosts of a data centre have links many times as wide as the others', giving out all
--- a/process/membership/gossip_peers.go
+++ b/process/membership/gossip_peers.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// GossipPeersPerDoubling is the number of gossip peers that a host has for each doubling of the
-// number of hosts in its data centre. A graph in which each node has so many random
-// neighbours is connected, with only a few steps between any two nodes.
+// GossipPeersPerDoubling is the number of gossip peers that a host has for each
+// doubling of the number of hosts in its data centre. A graph in which each node has so
+// many random neighbours is connected, with only a few steps between any two nodes.
 const GossipPeersPerDoubling = 2
 
 // drawGossipPeers draws Fanout of this host's gossip peers. These are a part of the
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -197,9 +197,9 @@
 //
 // Where hosts are assigned to poll the endpoints, it sends only the reports that it
 // fetched itself, and those of leaving endpoints. Where reports come with responses
-// alone (Config.CallsWholeRegion), it also relays those of other hosts: one of a hundred hosts
-// in a region gets a response from an endpoint only once in ten seconds, and would
-// decide by old reports.
+// alone (Config.CallsWholeRegion), it also relays those of other hosts: one of a
+// hundred hosts in a region gets a response from an endpoint only once in ten seconds,
+// and would decide by old reports.
 //
 // What was sent is recorded as one number for each host. Recorded by endpoint, it
 // would grow as hosts times endpoints.
@@ -252,9 +252,9 @@
 }
 
 // leavingRelayTime is how long a host relays that an endpoint is leaving, from when
-// it learned so. A host takes part in about four exchanges each HeartbeatInterval, so that each
-// of a hundred hosts has it by then from several others. A full heartbeat has all
-// leaving endpoints.
+// it learned so. A host takes part in about four exchanges each HeartbeatInterval, so
+// that each of a hundred hosts has it by then from several others. A full heartbeat has
+// all leaving endpoints.
 const leavingRelayTime = 3 * time.Second
 
 // leavingFor returns the endpoints that announced that they are leaving and that a
--- a/process/membership/hosts.go
+++ b/process/membership/hosts.go
@@ -10,9 +10,9 @@
 	"vetchtrail/schema"
 )
 
-// NearestReady returns the ready hosts nearest to a caller: those of its data centre, or
-// else of its region, or else of the home regions. Without home regions it falls back
-// to all ready hosts that can be reached.
+// NearestReady returns the ready hosts nearest to a caller: those of its data centre,
+// or else of its region, or else of the home regions. Without home regions it falls
+// back to all ready hosts that can be reached.
 func (m *Membership) NearestReady(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
 	var all []vetchtrail.Host
 	for _, h := range append(m.Hosts(now), m.ReadyRemoteHosts(now)...) {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// ReadyRemoteHosts returns the ready hosts of remote data centres that can be reached, sorted
-// by name.
+// ReadyRemoteHosts returns the ready hosts of remote data centres that can be reached,
+// sorted by name.
 func (m *Membership) ReadyRemoteHosts(now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,8 +64,8 @@
 	return out
 }
 
-// SetListedHosts replaces the hosts that the platform lists. Their peer addresses become
-// seeds, in addition to those of the settings.
+// SetListedHosts replaces the hosts that the platform lists. Their peer addresses
+// become seeds, in addition to those of the settings.
 func (m *Membership) SetListedHosts(hosts []vetchtrail.Host) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -55,9 +55,11 @@
 	Self  vetchtrail.Host
 	Seeds []netip.AddrPort // peer addresses of hosts in any data centre, contacted until they are known
 	Load  *load.Table      // where received load reports go, and those to send come from
-	// RateLimits receives the rate limits of endpoints that other hosts report; nil ignores them.
+	// RateLimits receives the rate limits of endpoints that other hosts report; nil ignores
+	// them.
 	RateLimits RateLimits
-	// LeavingEndpoints receives the leaving endpoints that other hosts report; nil ignores them.
+	// LeavingEndpoints receives the leaving endpoints that other hosts report; nil ignores
+	// them.
 	LeavingEndpoints LeavingEndpoints
 	Revision         func() uint64 // newest configuration that this host holds
 	Log              *slog.Logger
--- a/process/membership/rank.go
+++ b/process/membership/rank.go
@@ -28,7 +28,8 @@
 	return region, dataCentre
 }
 
-// FirstOthers returns the first n of the other live hosts of this host's region for a task.
+// FirstOthers returns the first n of the other live hosts of this host's region for a
+// task.
 func (m *Membership) FirstOthers(task string, n int, now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,8 +38,8 @@
 	return r.first(n)
 }
 
-// FirstInRegion returns the first n live hosts of a region for a task. This host is among the
-// candidates if it is in the region.
+// FirstInRegion returns the first n live hosts of a region for a task. This host is
+// among the candidates if it is in the region.
 func (m *Membership) FirstInRegion(region, task string, n int, now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -63,9 +63,9 @@
 
 // membersToRequest returns the data centres whose members this host requests in its next
 // heartbeat: those of which it holds none, and those of which it has lacked the newest
-// for RelayInterval. It waits, and requests them from one host at each HeartbeatInterval only, as a
-// list of members grows with the data centre and changes all the time while its hosts
-// start. The caller holds the lock.
+// for RelayInterval. It waits, and requests them from one host at each HeartbeatInterval
+// only, as a list of members grows with the data centre and changes all the time while
+// its hosts start. The caller holds the lock.
 func (m *Membership) membersToRequest(now time.Time) []string {
 	var out []string
 	for name, d := range m.remotes {
--- a/process/membership/remote.go
+++ b/process/membership/remote.go
@@ -70,8 +70,9 @@
 	warmUpStep  = 0.1 // added to the share for each answered forward
 )
 
-// AppendRemotes implements vetchtrail.HostTable. It leaves out data centres that do not run the
-// service, and those of this host's region if hosts call its endpoints directly.
+// AppendRemotes implements vetchtrail.HostTable. It leaves out data centres that do
+// not run the service, and those of this host's region if hosts call its endpoints
+// directly.
 func (m *Membership) AppendRemotes(v *vetchtrail.View, service string, place func(region string) (vetchtrail.RegionID, bool), now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// Pick implements vetchtrail.HostTable. It draws the host among the data centre's ready
-// ones, with probabilities in proportion to their capacities.
+// Pick implements vetchtrail.HostTable. It draws the host among the data centre's
+// ready ones, with probabilities in proportion to their capacities.
 func (m *Membership) Pick(dataCentre, service string, now time.Time) (vetchtrail.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,9 +126,9 @@
 	})
 }
 
-// ForwardEnded implements vetchtrail.HostTable. Only the loss of the host that the request was
-// forwarded to counts against the data centre. A lost endpoint behind that host must
-// not take the whole data centre out of use.
+// ForwardEnded implements vetchtrail.HostTable. Only the loss of the host that the
+// request was forwarded to counts against the data centre. A lost endpoint behind that
+// host must not take the whole data centre out of use.
 func (m *Membership) ForwardEnded(dataCentre, service string, o vetchtrail.Outcome, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/notices/notices.go
+++ b/process/notices/notices.go
@@ -18,8 +18,8 @@
 type Table interface {
 	// RecordAnnouncement records the announcement of an endpoint's answer, and returns what of it is new.
 	RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) load.AnnouncementNews
-	// RecordAnnouncementByHash does the same for an announcement that another host received. It names the endpoint by
-	// load.NameHash.
+	// RecordAnnouncementByHash does the same for an announcement that another host received. It names the
+	// endpoint by load.NameHash.
 	RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) load.AnnouncementNews
 }
 
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Quarantined implements vetchtrail.Quarantine. While nothing is quarantined it costs one atomic load.
-// Otherwise it computes the request's content hash, once per request, and looks it up.
+// Quarantined implements vetchtrail.Quarantine. While nothing is quarantined it costs one atomic
+// load. Otherwise it computes the request's content hash, once per request, and looks it up.
 func (q *Quarantines) Quarantined(r *vetchtrail.Request) (vetchtrail.QuarantineEntry, bool) {
 	if q.cfg.Disabled || !q.entries.AnyActive() {
 		return vetchtrail.QuarantineEntry{}, false
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -41,8 +41,8 @@
 
 // Hosts is the view of the other hosts, from the membership.
 type Hosts interface {
-	// FirstInRegion returns the n live hosts of a region that rank first for a task. The first of them
-	// is the owner.
+	// FirstInRegion returns the n live hosts of a region that rank first for a task. The first of
+	// them is the owner.
 	FirstInRegion(region, task string, n int, now time.Time) []vetchtrail.Host
 	// SeenShare returns the fraction of the region's hosts that this host receives heartbeats
 	// from.
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -22,13 +22,14 @@
 // Table is what this host knows of its endpoints.
 type Table interface {
 	vetchtrail.Observer
-	// RecordRateLimit applies a rate limit that an endpoint advertised, unless it is older than the
-	// stored one. It returns the stored limit before and after. ok is false if the endpoint is
-	// unknown or the report is from another instance of it.
+	// RecordRateLimit applies a rate limit that an endpoint advertised, unless it is older than
+	// the stored one. It returns the stored limit before and after. ok is false if the endpoint
+	// is unknown or the report is from another instance of it.
 	RecordRateLimit(name string, startedAt time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool)
 	// RateLimit returns the last rate limit of an endpoint, and the start time of its instance.
 	RateLimit(name string) (l vetchtrail.RateLimit, startedAt time.Time)
-	// SetRateLeft stores how many requests were left of an endpoint's rate and, if none, until when.
+	// SetRateLeft stores how many requests were left of an endpoint's rate and, if none, until
+	// when.
 	SetRateLeft(name string, left float64, until time.Time)
 }
 
@@ -52,8 +53,8 @@
 }
 
 // RateLimits enforces rate limits at one host, together with the RateLimits of the other
-// hosts. It is a vetchtrail.Observer that handles RateLimitReported and forwards all else to the table.
-// It is safe for concurrent use.
+// hosts. It is a vetchtrail.Observer that handles RateLimitReported and forwards all else to the
+// table. It is safe for concurrent use.
 type RateLimits struct {
 	vetchtrail.Observer
 	cfg        Config
--- a/quarantine.go
+++ b/quarantine.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// QuarantineEntry is the quarantine entry of a request. The request with this content hash runs nowhere
-// until the entry ends, because several endpoints crashed while they ran it.
+// QuarantineEntry is the quarantine entry of a request. The request with this content hash
+// runs nowhere until the entry ends, because several endpoints crashed while they ran it.
 type QuarantineEntry struct {
 	ContentHash ContentHash
 	// Count is how many times the request has been quarantined, this time included. Each
@@ -24,7 +24,8 @@
 type Quarantine interface {
 	// Quarantined returns whether a request is quarantined, and its entry.
 	Quarantined(r *Request) (QuarantineEntry, bool)
-	// ResponseLost reports an attempt without a complete response: the endpoint may have crashed.
+	// ResponseLost reports an attempt without a complete response: the endpoint may have
+	// crashed.
 	ResponseLost(e Endpoint, r *Request, o Outcome, t Timing)
 	// Answered reports a request that an endpoint has answered, so that earlier crashes no
 	// longer count against it.
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -63,8 +63,8 @@
 	unlimitedRate = 1e6
 )
 
-// ParseRateLimit parses the field by which an endpoint advertises a rate limit; empty: it has none.
-// A field that occurs more than once arrives as a comma-separated list; the lowest rate
+// ParseRateLimit parses the field by which an endpoint advertises a rate limit; empty: it has
+// none. A field that occurs more than once arrives as a comma-separated list; the lowest rate
 // counts.
 func ParseRateLimit(text string) ParsedRateLimit {
 	if text == "" {
--- a/record.go
+++ b/record.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// JournalRecord is an entry of the journal. It describes one decision on a request; with Ended set,
-// the outcome of a request; with Lost set, an attempt whose outcome is unknown.
+// JournalRecord is an entry of the journal. It describes one decision on a request; with
+// Ended set, the outcome of a request; with Lost set, an attempt whose outcome is unknown.
 type JournalRecord struct {
 	At             time.Time
 	Request        string // id
--- a/request.go
+++ b/request.go
@@ -60,8 +60,8 @@
 	// FirstEventBy is when the caller stops waiting for the first event of a stream; zero: not
 	// known.
 	FirstEventBy time.Time
-	// QueueUntil is until when it may wait for capacity here; zero: until its deadline. A caller
-	// that is refused some time before its deadline can still be served elsewhere.
+	// QueueUntil is until when it may wait for capacity here; zero: until its deadline. A
+	// caller that is refused some time before its deadline can still be served elsewhere.
 	QueueUntil time.Time
 
 	contentHash ContentHash // see the method ContentHash; zero: not computed yet
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -107,8 +107,8 @@
 	return o
 }
 
-// RecordRejection records and counts a request that was refused before Run, because its
-// caller showed no valid key for a workspace.
+// RecordRejection records and counts a request that was refused before Run, because
+// its caller showed no valid key for a workspace.
 func (d *Dispatcher) RecordRejection(r *vetchtrail.Request, o vetchtrail.Outcome) {
 	o.Peer = d.cfg.Self.Name
 	d.cfg.Journal.Note(vetchtrail.JournalRecord{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -28,8 +28,8 @@
 	return d.forwardToIssuer(ctx, key, r, w)
 }
 
-// StartingOutcome returns the outcome of a request that arrived before this host had a
-// configuration.
+// StartingOutcome returns the outcome of a request that arrived before this host
+// had a configuration.
 func (d *Dispatcher) StartingOutcome(r *vetchtrail.Request) vetchtrail.Outcome {
 	return d.keyedRefusal(r, d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonStarting, time.Now().Add(time.Second)))
 }
--- a/request/dispatch/metrics.go
+++ b/request/dispatch/metrics.go
@@ -24,9 +24,9 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`vetchtrail_request_seconds{service=%q}`, service)).Update(duration.Seconds())
 }
 
-// RetriesMetric returns the name of the metric that counts a service's retries: those
-// that were made, or those that were not made because the retry budget was spent or
-// retries are switched off.
+// RetriesMetric returns the name of the metric that counts a service's retries:
+// those that were made, or those that were not made because the retry budget was
+// spent or retries are switched off.
 func RetriesMetric(service string, made bool) string {
 	return fmt.Sprintf(`vetchtrail_retries_total{service=%q,made="%t"}`, service, made)
 }
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -120,8 +120,9 @@
 	return rec, true, nil
 }
 
-// MayHaveBegun reports whether the request of a key that this process issued may have been
-// started: there is a record of it, or there may have been a record that was removed.
+// MayHaveBegun reports whether the request of a key that this process issued may have
+// been started: there is a record of it, or there may have been a record that was
+// removed.
 func (r *Registry) MayHaveBegun(key Key) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,8 +169,8 @@
 	}
 }
 
-// RecordMayBeRemoved reports whether a record of the key may have been removed by now. Without a
-// record it is then not known whether the request ran.
+// RecordMayBeRemoved reports whether a record of the key may have been removed by now.
+// Without a record it is then not known whether the request ran.
 func RecordMayBeRemoved(key Key, now time.Time) bool { return now.After(key.Expires.Add(retention)) }
 
 // Stats is the size of a Registry.
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -10,9 +10,9 @@
 	"vetchtrail"
 )
 
-// PersistedEntries is the persisted form of the entries, which survives the loss of all hosts. It contains no
-// times, as no host's wall clock can be relied on: on a host that reads it after all hosts were
-// lost, each request is quarantined for its full duration again.
+// PersistedEntries is the persisted form of the entries, which survives the loss of all hosts. It
+// contains no times, as no host's wall clock can be relied on: on a host that reads it after all
+// hosts were lost, each request is quarantined for its full duration again.
 type PersistedEntries struct {
 	Entries []PersistedEntry `json:"holds"`
 }
@@ -25,8 +25,8 @@
 	Released    bool   `json:"released,omitempty"`
 }
 
-// ParsePersistedEntries reads the encoding that Encode returns. If some entries are invalid, it returns the valid
-// ones together with an error.
+// ParsePersistedEntries reads the encoding that Encode returns. If some entries are invalid, it
+// returns the valid ones together with an error.
 func ParsePersistedEntries(text []byte) (PersistedEntries, error) {
 	var in, out PersistedEntries
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -46,8 +46,8 @@
 // Encode returns the encoding that ParsePersistedEntries reads.
 func (p *PersistedEntries) Encode() ([]byte, error) { return json.Marshal(p) }
 
-// Update adds entries and removes those of the requests in drop. An entry replaces the one of the same
-// request, unless that one has a higher count. If there are too many, those added first are
+// Update adds entries and removes those of the requests in drop. An entry replaces the one of the
+// same request, unless that one has a higher count. If there are too many, those added first are
 // removed.
 func (p *PersistedEntries) Update(entries []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
 	for _, d := range drop {
@@ -70,8 +70,8 @@
 	p.Entries = slices.DeleteFunc(p.Entries, func(entry PersistedEntry) bool { return entry.ContentHash == contentHash })
 }
 
-// EntriesAt returns the entries for a host that reads them now. As their age isn't persisted, each one
-// starts now; hosts that know its real age correct this when they exchange entries.
+// EntriesAt returns the entries for a host that reads them now. As their age isn't persisted, each
+// one starts now; hosts that know its real age correct this when they exchange entries.
 func (p *PersistedEntries) EntriesAt(now time.Time) []vetchtrail.QuarantineEntry {
 	out := make([]vetchtrail.QuarantineEntry, 0, len(p.Entries))
 	for _, entry := range p.Entries {
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -129,8 +129,8 @@
 // queue and there may be capacity.
 func (w *Waiter) Ready() <-chan struct{} { return w.ready }
 
-// Dropped returns a channel that is closed when the queue drops the request: because it can't
-// be served in time, or because another request displaced it.
+// Dropped returns a channel that is closed when the queue drops the request: because it
+// can't be served in time, or because another request displaced it.
 func (w *Waiter) Dropped() <-chan struct{} { return w.dropped }
 
 // Leave removes a request from the queue, if it is still there. served is true if the
@@ -157,8 +157,8 @@
 	return len(q.waiting)
 }
 
-// EstimatedWait estimates how long it takes to serve all requests that are in the queue now. A new
-// request at the end of the queue would wait that long.
+// EstimatedWait estimates how long it takes to serve all requests that are in the queue
+// now. A new request at the end of the queue would wait that long.
 func (q *Queue) EstimatedWait() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/request/quota/simulation_test.go
+++ b/request/quota/simulation_test.go
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// seenShare returns the fraction of a region's hosts that its owner counts as alive. It notices a
-// partitioned host after two seconds.
+// seenShare returns the fraction of a region's hosts that its owner counts as alive. It notices
+// a partitioned host after two seconds.
 func (s *sim) seenShare(region int) float64 {
 	all, seen := 0, 0
 	for _, h := range s.hosts {
--- a/reservation.go
+++ b/reservation.go
@@ -17,8 +17,9 @@
 // limit that it advertises.
 type RateLimiter interface {
 	// Reserve reserves a request to an endpoint. For an endpoint without a rate limit the
-	// reservation is empty. Reserve waits at most some milliseconds for other hosts. It returns
-	// ok false if the rate limit allows no request now; retryAt is when it may allow one.
+	// reservation is empty. Reserve waits at most some milliseconds for other hosts. It
+	// returns ok false if the rate limit allows no request now; retryAt is when it may allow
+	// one.
 	Reserve(ctx context.Context, e Endpoint) (p Reservation, retryAt time.Time, ok bool)
 	// Cancel gives back a reservation whose request did not reach the endpoint.
 	Cancel(p Reservation)
--- a/schema/convert.go
+++ b/schema/convert.go
@@ -327,8 +327,8 @@
 	return o
 }
 
-// FromTime returns a moment as messages contain it: Unix nanoseconds, or 0 for the
-// zero time.
+// FromTime returns a moment as messages contain it: Unix nanoseconds, or 0 for
+// the zero time.
 func FromTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
--- a/schema/leaving.go
+++ b/schema/leaving.go
@@ -17,8 +17,8 @@
 	return m
 }
 
-// ToLeaving returns what a message that arrived now reports, and the start time of
-// the process instance that is leaving; zero: not known.
+// ToLeaving returns what a message that arrived now reports, and the start time
+// of the process instance that is leaving; zero: not known.
 func ToLeaving(m *EndpointLeaves, now time.Time) (a vetchtrail.Availability, startedAt time.Time) {
 	if m.GetBorn() != 0 {
 		startedAt = time.Unix(0, m.GetBorn())
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -68,7 +68,8 @@
 	}, nil
 }
 
-// ToContentHash returns the content hash of a request from its bytes in a message.
+// ToContentHash returns the content hash of a request from its bytes in a
+// message.
 func ToContentHash(in []byte) (vetchtrail.ContentHash, error) {
 	if len(in) != contentHashBytes {
 		return vetchtrail.ContentHash{}, ErrContentHash
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -37,8 +37,8 @@
 // against the new configuration and tried at the revision after it.
 //
 // It returns a *vetchtrail.ChangeError for a change that isn't valid, a
-// *vetchtrail.ConflictError if the configuration has moved on, ErrOutcomeUnknown if
-// the change may take effect, and other errors if nothing was written.
+// *vetchtrail.ConflictError if the configuration has moved on, ErrOutcomeUnknown
+// if the change may take effect, and other errors if nothing was written.
 func (l *Log) Propose(ctx context.Context, c vetchtrail.Change) (uint64, error) {
 	if err := l.CatchUp(ctx); err != nil {
 		return 0, errors.Wrap(err, "changelog.Propose: read the newest configuration")
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// snapshotIfDue stores a snapshot at every SnapshotInterval-th revision, so that a
-// new host need not read the whole log, and then deletes old changes. A failure
-// is only logged: the next snapshot takes this one's place.
+// snapshotIfDue stores a snapshot at every SnapshotInterval-th revision, so that
+// a new host need not read the whole log, and then deletes old changes. A
+// failure is only logged: the next snapshot takes this one's place.
 func (l *Log) snapshotIfDue(ctx context.Context) {
 	r := l.Rules()
 	if r.Revision()%SnapshotInterval != 0 {
--- a/version/rules/route.go
+++ b/version/rules/route.go
@@ -34,8 +34,8 @@
 	return Match{}, false
 }
 
-// PickService selects one of the route's services, in proportion to their weights.
-// u is a random number from 0 up to but not including 1.
+// PickService selects one of the route's services, in proportion to their
+// weights. u is a random number from 0 up to but not including 1.
 func (m *Match) PickService(u float64) string {
 	total := 0
 	for _, t := range m.Targets {
@@ -51,9 +51,9 @@
 	return m.Targets[len(m.Targets)-1].Service
 }
 
-// RouteConstraints returns where a request of a route may be processed and with what
-// priority, or the reason why it may not be processed. The configuration may
-// have changed since the request was matched: its route, the route's target
+// RouteConstraints returns where a request of a route may be processed and with
+// what priority, or the reason why it may not be processed. The configuration
+// may have changed since the request was matched: its route, the route's target
 // service or its workspace may have been removed. Both the route's homes and
 // the workspace's allowed regions limit where it may be processed. The
 // workspace's priority takes precedence over the route's rank.
@@ -113,10 +113,10 @@
 	return set
 }
 
-// BestRegions returns the regions that serve the requests to a host name best. Each
-// route of the host name that has homes adds its number of requests, plus one,
-// to the weight of each of its homes; the result is the regions of the highest
-// weight, or none if no route of the host name has homes.
+// BestRegions returns the regions that serve the requests to a host name best.
+// Each route of the host name that has homes adds its number of requests, plus
+// one, to the weight of each of its homes; the result is the regions of the
+// highest weight, or none if no route of the host name has homes.
 func (r *Rules) BestRegions(host string, requestCount func(route string) int) []string {
 	var weights [vetchtrail.MaxRegions]int
 	most := 0
--- a/version/rules/rules.go
+++ b/version/rules/rules.go
@@ -112,10 +112,11 @@
 	return out
 }
 
-// ServiceConstraints returns where a request that belongs to no route may be processed, or
-// false if the service is unknown. A workspace without a home has its home where
-// the request entered. A service without allowed regions is only processed in
-// the home region, since processing elsewhere needs an explicit permission.
+// ServiceConstraints returns where a request that belongs to no route may be
+// processed, or false if the service is unknown. A workspace without a home has
+// its home where the request entered. A service without allowed regions is only
+// processed in the home region, since processing elsewhere needs an explicit
+// permission.
 func (r *Rules) ServiceConstraints(serviceName, workspaceName string, entry vetchtrail.RegionID) (Constraints, bool) {
 	s, ok := r.services[serviceName]
 	if !ok {
--- a/version/rules/rules_test.go
+++ b/version/rules/rules_test.go
@@ -79,8 +79,9 @@
 	}
 }
 
-// TestServiceConstraints checks where a request without a route may be processed. A mistake
-// here would process a workspace's data in a region that isn't allowed for it.
+// TestServiceConstraints checks where a request without a route may be
+// processed. A mistake here would process a workspace's data in a region that
+// isn't allowed for it.
 func TestServiceConstraints(t *testing.T) {
 	edits := append(baseEdits(),
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "bound", Home: "north", Allowed: []string{"north"}, Priority: 3}},
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -92,9 +92,10 @@
 	}
 }
 
-// TestRouteConstraints checks where requests of a route may be processed and with what
-// priority. Both the homes of the route and the allowed regions of the workspace
-// limit it, and a request must not run if its route or workspace was removed.
+// TestRouteConstraints checks where requests of a route may be processed and
+// with what priority. Both the homes of the route and the allowed regions of the
+// workspace limit it, and a request must not run if its route or workspace was
+// removed.
 func TestRouteConstraints(t *testing.T) {
 	route := func(name string, rank int8, keyed bool, homes ...string) vetchtrail.Edit {
 		return vetchtrail.PutRoute{Route: vetchtrail.Route{
--- a/workspace.go
+++ b/workspace.go
@@ -29,8 +29,8 @@
 // find another key with the same hash.
 type KeyHash [sha256.Size / 2]byte
 
-// HashKey returns the hash of a caller's key. Only the first MaxKeyBytes bytes count; CheckKey
-// rejects longer keys before.
+// HashKey returns the hash of a caller's key. Only the first MaxKeyBytes bytes count;
+// CheckKey rejects longer keys before.
 func HashKey(key string) KeyHash {
 	var text [MaxKeyBytes]byte // on the stack, so that a look-up allocates nothing
 	n := copy(text[:], key)
@@ -46,8 +46,8 @@
 )
 
 // CheckKey returns an error if the text can't be a key: if it is empty, is longer than
-// MaxKeyBytes bytes, or contains a byte that is not visible ASCII or that separates the values of a
-// header field.
+// MaxKeyBytes bytes, or contains a byte that is not visible ASCII or that separates the
+// values of a header field.
 func CheckKey(key string) error {
 	switch {
 	case key == "":
