--- a/process/notices/notices.go
+++ b/process/availability/availability.go
@@ -1,7 +1,7 @@
-// Package notices logs and counts what endpoints announce of their availability: that they are leaving, or that
+// Package availability logs and counts the availability that endpoints announce: that they are leaving, or that
 // they are paused and accept no requests from this host for a time. The announcements themselves are kept by
 // package load. The state of this package, which prevents repeated log lines, ends with the process.
-package notices
+package availability
 
 import (
 	"log/slog"
--- a/process/notices/notices_test.go
+++ b/process/availability/availability_test.go
@@ -1,4 +1,4 @@
-package notices
+package availability
 
 import (
 	"bytes"
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -24,12 +24,12 @@
 	"vetchtrail/connection/endpoint"
 	"vetchtrail/connection/peer"
 	"vetchtrail/connection/store"
+	"vetchtrail/process/availability"
 	"vetchtrail/process/clock"
 	"vetchtrail/process/journal"
 	"vetchtrail/process/lists"
 	"vetchtrail/process/load"
 	"vetchtrail/process/membership"
-	"vetchtrail/process/notices"
 	"vetchtrail/process/poll"
 	"vetchtrail/process/quarantines"
 	"vetchtrail/process/quotas"
@@ -104,7 +104,7 @@
 	dispatcher      *dispatch.Dispatcher
 	quotas          *quotas.Quotas
 	rateLimits      *ratelimits.RateLimits
-	notices         *notices.Notices // availability that endpoints announce: leaving, paused
+	availability    *availability.Notices // availability that endpoints announce: leaving, paused
 	quarantines     *quarantines.Quarantines
 	quarantineStore *quarantines.Store // persists quarantine entries unless the platform is hosted
 	lists           *lists.Lists       // the hosted platform's listing
@@ -191,9 +191,9 @@
 	})
 	off := vetchtrail.MechanismsOf(d.cfg.SwitchedOff...)
 	d.newRateLimits(off)
-	d.notices = notices.New(notices.Config{Observer: d.rateLimits, Table: d.table, Log: d.log})
+	d.availability = availability.New(availability.Config{Observer: d.rateLimits, Table: d.table, Log: d.log})
 	d.endpoints = endpoint.New(endpoint.Config{
-		Dialect: dialect, Observer: d.notices,
+		Dialect: dialect, Observer: d.availability,
 		Guard: func(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason {
 			return d.dispatcher.CheckBeforeSend(e, r)
 		},
--- a/process/daemon/ratelimits.go
+++ b/process/daemon/ratelimits.go
@@ -25,5 +25,5 @@
 
 // RecordFromPeer implements membership.Notices.
 func (l leavingReceiver) RecordFromPeer(from string, m *schema.EndpointLeaves) {
-	l.d.notices.RecordFromPeer(from, m)
+	l.d.availability.RecordFromPeer(from, m)
 }
