--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -20,7 +20,7 @@
 	"vetchtrail/connection/dialect"
 	"vetchtrail/connection/endpoint"
 	"vetchtrail/process/membership"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 	"vetchtrail/version/rules"
 )
 
@@ -50,7 +50,7 @@
 	Runner         Runner
 	Rules          func() *rules.Rules
 	Membership     *membership.Membership
-	IssuedKeys     *once.Registry
+	IssuedKeys     *idempotency.Registry
 	BodyLimit      int                // of a request's body, in bytes
 	ExposeEndpoint bool               // name the endpoint in a response header
 	Region         string             // this host's region
--- a/connection/caller/server_test.go
+++ b/connection/caller/server_test.go
@@ -19,7 +19,7 @@
 	"vetchtrail"
 	"vetchtrail/process/load"
 	"vetchtrail/process/membership"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 	"vetchtrail/version/rules"
 )
 
@@ -61,7 +61,7 @@
 	})
 	s := New(Config{
 		Runner: run, Rules: current, Membership: m, Region: "r", BodyLimit: 4096, Refresh: refresh,
-		IssuedKeys: once.New(once.Config{Host: "h", KeyTime: time.Minute}),
+		IssuedKeys: idempotency.New(idempotency.Config{Host: "h", KeyTime: time.Minute}),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -37,7 +37,7 @@
 	"vetchtrail/process/settings"
 	"vetchtrail/request/budget"
 	"vetchtrail/request/dispatch"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 	"vetchtrail/request/policy"
 	"vetchtrail/request/quota"
 	"vetchtrail/version/changelog"
@@ -174,7 +174,7 @@
 	if !ok {
 		return errors.Errorf("daemon.New: unknown policy %q", d.cfg.Policy)
 	}
-	idempotencyKeys := once.New(once.Config{
+	idempotencyKeys := idempotency.New(idempotency.Config{
 		Host: d.self.Name, Incarnation: d.self.Incarnation, KeyTime: d.cfg.Timing.KeyTime, MaxBytes: d.cfg.Limits.Records,
 	})
 	var dialect vetchtrail.Dialect
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -17,7 +17,7 @@
 
 	"vetchtrail"
 	"vetchtrail/request/budget"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 	"vetchtrail/request/queue"
 	"vetchtrail/version/rules"
 )
@@ -57,7 +57,7 @@
 	Membership     vetchtrail.HostTable      // other hosts and data centres
 	EndpointCaller vetchtrail.EndpointCaller // sends requests to endpoints
 	Peers          vetchtrail.Forwarder      // forwards requests to other hosts
-	IssuedKeys     *once.Registry            // idempotency keys that this process issued
+	IssuedKeys     *idempotency.Registry     // idempotency keys that this process issued
 	Journal        vetchtrail.Recorder       // records decisions and outcomes
 	Seed           uint64                    // of the policy's random numbers
 	RetryBudget    budget.Config             // retry budget of each service
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -17,7 +17,7 @@
 	"vetchtrail/process/load"
 	"vetchtrail/process/membership"
 	"vetchtrail/request/budget"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 	"vetchtrail/request/policy"
 	"vetchtrail/schema"
 	"vetchtrail/version/rules"
@@ -161,7 +161,7 @@
 	}})
 	return New(Config{
 		Self: self, Policy: policy.Weighted{}, Rules: func() *rules.Rules { return ruleSet }, Endpoints: table, Membership: m,
-		EndpointCaller: targets, Peers: targets, IssuedKeys: once.New(once.Config{Host: "self", KeyTime: time.Minute}), Journal: journal.New(journal.Config{Log: discardLog}),
+		EndpointCaller: targets, Peers: targets, IssuedKeys: idempotency.New(idempotency.Config{Host: "self", KeyTime: time.Minute}), Journal: journal.New(journal.Config{Log: discardLog}),
 		RetryBudget: budget.Config{Window: time.Second, Base: 100, Hosts: func() int { return 1 }},
 	})
 }
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -7,13 +7,13 @@
 	"github.com/go-faster/errors"
 
 	"vetchtrail"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 )
 
 // runKeyed runs a request with an idempotency key. Only the process that issued
 // the key (its issuer) may start the request, so any other forwards it there.
 func (d *Dispatcher) runKeyed(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	key, err := once.Parse(r.IdempotencyKey)
+	key, err := idempotency.Parse(r.IdempotencyKey)
 	if err != nil {
 		o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
 		o.Status, o.Err = statusBadRequest, err
@@ -39,7 +39,7 @@
 // request with the key has run. The outcome is therefore unknown, unless this
 // process issued the key and has not begun a request with it.
 func (d *Dispatcher) keyedRefusal(r *vetchtrail.Request, o vetchtrail.Outcome) vetchtrail.Outcome {
-	key, err := once.Parse(r.IdempotencyKey)
+	key, err := idempotency.Parse(r.IdempotencyKey)
 	if r.IdempotencyKey == "" || err != nil || (d.cfg.IssuedKeys.IssuedHere(key) && !d.cfg.IssuedKeys.MayHaveBegun(key)) {
 		return o
 	}
@@ -50,7 +50,7 @@
 // runForwarded runs a keyed request that another host forwarded. If the key names
 // this host, an earlier process of this host issued the key. That process is gone,
 // and the sender took this one for it, so the request is not run.
-func (d *Dispatcher) runForwarded(ctx context.Context, key once.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) runForwarded(ctx context.Context, key idempotency.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if key.Host == d.cfg.Self.Name {
 		return d.issuerGone(r)
 	}
@@ -59,15 +59,15 @@
 
 // runAsIssuer runs the first request with a key that this process issued. Any
 // further request with the key gets the answer of the first.
-func (d *Dispatcher) runAsIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
-	rec, first, err := d.cfg.IssuedKeys.Begin(key, once.Fingerprint(r), time.Now())
+func (d *Dispatcher) runAsIssuer(ctx context.Context, key idempotency.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+	rec, first, err := d.cfg.IssuedKeys.Begin(key, idempotency.Fingerprint(r), time.Now())
 	if err != nil {
 		return d.keyRefusal(key, err)
 	}
 	if !first {
 		return d.awaitFirst(ctx, rec, r, w)
 	}
-	tee := &once.Tee{To: w}
+	tee := &idempotency.Tee{To: w}
 	// The request continues when its caller disconnects: a retry with the same key
 	// needs the answer.
 	o := d.runWithRetries(context.WithoutCancel(ctx), r, tee)
@@ -77,7 +77,7 @@
 
 // awaitFirst waits until the first request with a key has ended, and replays its
 // answer to a further one.
-func (d *Dispatcher) awaitFirst(ctx context.Context, rec *once.Record, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) awaitFirst(ctx context.Context, rec *idempotency.Record, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	timeout := time.NewTimer(time.Until(r.Deadline))
 	defer timeout.Stop()
 	select {
@@ -92,18 +92,18 @@
 }
 
 // keyRefusal returns the outcome of a request whose key can't be used, for the
-// error of once.Registry.Begin.
-func (d *Dispatcher) keyRefusal(key once.Key, err error) vetchtrail.Outcome {
+// error of idempotency.Registry.Begin.
+func (d *Dispatcher) keyRefusal(key idempotency.Key, err error) vetchtrail.Outcome {
 	o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
 	o.Err = err
 	switch {
-	case errors.Is(err, once.ErrReused):
+	case errors.Is(err, idempotency.ErrReused):
 		o.Status = statusConflict
-	case errors.Is(err, once.ErrFull):
+	case errors.Is(err, idempotency.ErrFull):
 		o.Reason, o.RetryAt = vetchtrail.ReasonOverCapacity, time.Now().Add(time.Second)
-	case errors.Is(err, once.ErrExpired):
+	case errors.Is(err, idempotency.ErrExpired):
 		o.Status, o.Reason = statusConflict, vetchtrail.ReasonIdempotencyKeyExpired
-		if once.RecordMayBeRemoved(key, time.Now()) {
+		if idempotency.RecordMayBeRemoved(key, time.Now()) {
 			// The record of an earlier request may have been dropped.
 			o.Kind = vetchtrail.OutcomeUnknown
 		}
@@ -114,7 +114,7 @@
 // forwardToIssuer forwards a keyed request to the process that issued its key. If
 // that process can't be reached, the outcome is unknown: an earlier request with
 // the key may have run.
-func (d *Dispatcher) forwardToIssuer(ctx context.Context, key once.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+func (d *Dispatcher) forwardToIssuer(ctx context.Context, key idempotency.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	h, ok := d.cfg.Membership.Find(key.Host, time.Now())
 	if !ok {
 		return d.unknownOutcome(vetchtrail.ReasonIssuerGone, errors.New("host "+key.Host+", which issued the key, is unknown to this host"))
--- a/request/dispatch/quarantine_test.go
+++ b/request/dispatch/quarantine_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"vetchtrail"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 	"vetchtrail/version/rules"
 )
 
@@ -129,7 +129,7 @@
 	d := newDispatcher(t, targets, 1)
 	q := &fakeQuarantine{passFirst: 9}
 	d.cfg.Quarantine = q
-	d.cfg.IssuedKeys = once.New(once.Config{Host: "self", KeyTime: time.Minute, MaxBytes: 1 << 20})
+	d.cfg.IssuedKeys = idempotency.New(idempotency.Config{Host: "self", KeyTime: time.Minute, MaxBytes: 1 << 20})
 	key := d.cfg.IssuedKeys.Issue(time.Now()).String()
 	send := func() vetchtrail.Outcome {
 		r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, IdempotencyKey: key, Deadline: time.Now().Add(5 * time.Second)}
--- a/request/dispatch/quota.go
+++ b/request/dispatch/quota.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"vetchtrail"
-	"vetchtrail/request/once"
+	"vetchtrail/request/idempotency"
 )
 
 // quotaUse takes the cost of a request's attempts from the quota of its workspace.
@@ -37,7 +37,7 @@
 // Such a request is forwarded here before any cost is taken for it, so this host
 // takes the cost.
 func (d *Dispatcher) issuedKey(r *vetchtrail.Request) bool {
-	key, err := once.Parse(r.IdempotencyKey)
+	key, err := idempotency.Parse(r.IdempotencyKey)
 	return r.IdempotencyKey != "" && err == nil && d.cfg.IssuedKeys.IssuedHere(key)
 }
 
--- a/request/once/key.go
+++ b/request/idempotency/key.go
@@ -1,10 +1,10 @@
-// Package once runs a request that must not be repeated at most once. The caller first
-// gets a key from a host, then sends the request with that key. Only the process that
-// issued the key starts the request, so hosts need not agree on anything or store
-// anything elsewhere. If that process ends, the key can't be used any more. The package
-// keeps the keys and the outcomes of their requests; package dispatch runs the requests
-// and forwards them to the issuing host.
-package once
+// Package idempotency makes sure that a request with an idempotency key runs at most once.
+// The caller first gets a key from a host, then sends the request with that key. Only the
+// process that issued the key starts the request, so hosts need not agree on anything or
+// store anything elsewhere. If that process ends, the key can't be used any more. The
+// package keeps the keys and the outcomes of their requests; package dispatch runs the
+// requests and forwards them to the issuing host.
+package idempotency
 
 import (
 	"encoding/hex"
@@ -43,18 +43,18 @@
 func Parse(s string) (Key, error) {
 	parts := strings.Split(s, keySeparator)
 	if len(s) > maxKeyBytes || len(parts) != keyParts || parts[0] != keyVersion || parts[1] == "" {
-		return Key{}, errors.New("once.Parse: not a key issued by POST /v1/keys or GET /v1/hosts")
+		return Key{}, errors.New("idempotency.Parse: not a key issued by POST /v1/keys or GET /v1/hosts")
 	}
 	incarnation, err := strconv.ParseUint(parts[2], 16, 64)
 	if err != nil {
-		return Key{}, errors.New("once.Parse: the third part of the key is not an incarnation")
+		return Key{}, errors.New("idempotency.Parse: the third part of the key is not an incarnation")
 	}
 	expires, err := strconv.ParseInt(parts[3], 10, 64)
 	if err != nil {
-		return Key{}, errors.New("once.Parse: the fourth part of the key is not a Unix time")
+		return Key{}, errors.New("idempotency.Parse: the fourth part of the key is not a Unix time")
 	}
 	if _, err := hex.DecodeString(parts[4]); err != nil || parts[4] == "" {
-		return Key{}, errors.New("once.Parse: the last part of the key is not hexadecimal")
+		return Key{}, errors.New("idempotency.Parse: the last part of the key is not hexadecimal")
 	}
 	return Key{Host: parts[1], Incarnation: incarnation, Expires: time.Unix(expires, 0), Nonce: parts[4]}, nil
 }
--- a/request/once/keeper.go
+++ b/request/idempotency/registry.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"crypto/rand"
