--- a/request/quarantine/simulation_test.go
+++ b/request/quarantine/simulation_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"vetchtrail"
-	"vetchtrail/standin/agenda"
+	"vetchtrail/standin/eventqueue"
 )
 
 var simStart = time.Unix(1_800_000_000, 0)
@@ -27,7 +27,7 @@
 	strategy          Strategy
 	rnd               *rand.Rand
 	now               time.Time
-	schedule          agenda.EventQueue
+	schedule          eventqueue.EventQueue
 	endpoints         []*simEndpoint
 	history           *CrashHistory
 	entries           *Entries
--- a/request/quota/simulation_test.go
+++ b/request/quota/simulation_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchtrail"
-	"vetchtrail/standin/agenda"
+	"vetchtrail/standin/eventqueue"
 )
 
 // The simulation runs the hosts of three regions on virtual time. Messages are delayed or lost,
@@ -50,7 +50,7 @@
 	tolerance   Tolerance
 	rng         *rand.Rand
 	now         time.Time
-	events      agenda.EventQueue
+	events      eventqueue.EventQueue
 	hosts       []*simHost
 	partitioned [3]bool // regions that are partitioned from the others
 	lossShare   float64 // fraction of messages lost
