--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -54,7 +54,7 @@
 	BodyLimit      int                // of a request's body, in bytes
 	ExposeEndpoint bool               // name the endpoint in a response header
 	Region         string             // this host's region
-	Dialect        vetchtrail.Dialect // for routed requests; nil: dialect.Plain
+	Dialect        vetchtrail.Dialect // for routed requests; nil: dialect.Default
 	RoutesOnly     bool               // answer 404 to requests that match no route
 	// Refresh fetches the configuration if another host or the store has a newer one, and
 	// applies it. It reports whether the configuration in force is now the newest as far as
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -299,7 +299,7 @@
 }
 
 // interpretHead reads the head by the dialect of the request: the deployment's for a
-// routed one, dialect.Plain for others.
+// routed one, dialect.Default for others.
 func (t *attempt) interpretHead() vetchtrail.ResponseHead {
 	if t.req.Route == "" {
 		return dialect.Default{}.ParseResponse(t.resp.StatusCode(), t.headerField, t.req)
--- a/process/daemon/ratelimits.go
+++ b/process/daemon/ratelimits.go
@@ -17,13 +17,13 @@
 // rateReceiver receives the endpoints' rate limits that other hosts report in heartbeats.
 type rateReceiver struct{ d *Daemon }
 
-// Learn implements membership.Rates.
+// Learn implements membership.RateLimits.
 func (r rateReceiver) Learn(m *schema.EndpointRate) { r.d.rateLimits.Learn(m) }
 
 // leavingReceiver receives the leaving endpoints that other hosts report.
 type leavingReceiver struct{ d *Daemon }
 
-// RecordFromPeer implements membership.Notices.
+// RecordFromPeer implements membership.LeavingEndpoints.
 func (l leavingReceiver) RecordFromPeer(from string, m *schema.EndpointLeaves) {
 	l.d.availability.RecordFromPeer(from, m)
 }
