--- a/process/ratelimits/fleet_test.go
+++ b/process/ratelimits/fleet_test.go
@@ -30,7 +30,7 @@
 
 const (
 	guardSharedOwner guard = "one owner for all hosts"
-	guardSeenShare   guard = "rate reduced to the share of hosts heard"
+	guardSeenShare   guard = "rate reduced to the share of hosts seen"
 	guardReportOrder guard = "order of reports"
 	guardInstance    guard = "instance of the endpoint"
 )
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -55,7 +55,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		got := ParseRateLimit(text)
 		if got.Reported == (got.Err != nil) {
-			t.Fatalf("%q: told is %t with error %v", text, got.Reported, got.Err)
+			t.Fatalf("%q: reported is %t with error %v", text, got.Reported, got.Err)
 		}
 		if got.Advertised && (!got.Reported || !(got.Rate >= 0) || math.IsInf(got.Rate, 0) || got.Rate >= unlimitedRate) {
 			t.Fatalf("%q: invalid rate limit %g", text, got.Rate)
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -80,7 +80,7 @@
 	assert.Equal(t, q.Join(request("a", 0, time.Second), 2, now).Reason, vetchtrail.ReasonQueueFull)
 	// Workspace b has used less of its share than a. The request of c has a higher priority.
 	assert.Assert(t, q.Join(request("b", 0, time.Second), 2, now).Waiter != nil)
-	assert.Assert(t, isClosed(last.Waiter.Dropped()), "the displaced request is not told")
+	assert.Assert(t, isClosed(last.Waiter.Dropped()), "the displaced request is not dropped")
 	assert.Assert(t, q.Join(request("c", 5, time.Second), 2, now).Waiter != nil)
 	assert.Equal(t, q.Len(), 2)
 }
