--- a/standin/agenda/agenda.go
+++ b/standin/agenda/agenda.go
@@ -23,19 +23,19 @@
 }
 
 // Schedule schedules do for a virtual time. Events of the same time run in the order
-// in which they were put.
-func (a *EventQueue) Schedule(at time.Time, do func()) {
-	a.lastSequence++
-	heap.Push(&a.queue, event{at: at, sequence: a.lastSequence, do: do})
+// in which they were scheduled.
+func (q *EventQueue) Schedule(at time.Time, do func()) {
+	q.lastSequence++
+	heap.Push(&q.queue, event{at: at, sequence: q.lastSequence, do: do})
 }
 
 // Next removes the earliest event and returns it with its time. ok is false if
 // there is no event, or if the earliest one is after until: it stays queued.
-func (a *EventQueue) Next(until time.Time) (at time.Time, do func(), ok bool) {
-	if len(a.queue) == 0 || a.queue[0].at.After(until) {
+func (q *EventQueue) Next(until time.Time) (at time.Time, do func(), ok bool) {
+	if len(q.queue) == 0 || q.queue[0].at.After(until) {
 		return time.Time{}, nil, false
 	}
-	e := heap.Pop(&a.queue).(event)
+	e := heap.Pop(&q.queue).(event)
 	return e.at, e.do, true
 }
 
--- a/standin/agenda/agenda_test.go
+++ b/standin/agenda/agenda_test.go
@@ -7,19 +7,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEventOrder guards against simulations that run events out of order: events
-// come by time, and events of the same time in the order in which they were put.
-// An event after the limit stays queued until the limit reaches it.
+// TestEventOrder guards against simulations that run events out of order. Next must
+// return events by time, and events of the same time in the order in which they were
+// scheduled. An event after the limit stays queued until the limit reaches it.
 func TestEventOrder(t *testing.T) {
 	start := time.Unix(1, 0)
-	var a EventQueue
+	var q EventQueue
 	var got []int
 	for i, after := range []time.Duration{3, 1, 3, 2, 1, 9} {
-		a.Schedule(start.Add(after), func() { got = append(got, i) })
+		q.Schedule(start.Add(after), func() { got = append(got, i) })
 	}
 	last := start
 	for {
-		at, do, ok := a.Next(start.Add(5))
+		at, do, ok := q.Next(start.Add(5))
 		if !ok {
 			break
 		}
@@ -28,8 +28,8 @@
 		do()
 	}
 	assert.DeepEqual(t, got, []int{1, 4, 3, 0, 2})
-	_, _, ok := a.Next(start.Add(9))
+	_, _, ok := q.Next(start.Add(9))
 	assert.Assert(t, ok)
-	_, _, ok = a.Next(start.Add(time.Hour))
+	_, _, ok = q.Next(start.Add(time.Hour))
 	assert.Assert(t, !ok)
 }
--- a/standin/capacity/capacity_test.go
+++ b/standin/capacity/capacity_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFit guards against wrong slopes in the capacity tables: Parse must tell the
-// parameters of a case from the processor suffix, and Fit must use only the points
-// with the fixed parameters and refuse fewer than three.
+// TestFit guards against wrong slopes in the capacity tables. Parse must not take the
+// processor suffix of a case's name for a part of its parameters. Fit must use only the
+// points with the fixed parameters, and must fail with fewer than three.
 func TestFit(t *testing.T) {
 	points, err := Parse(strings.NewReader(`goos: linux
 BenchmarkX/hosts=10/endpoints=0-8   	 100	 1200 ns/op	 30.0 bytes/op
@@ -30,9 +30,9 @@
 	assert.ErrorContains(t, err, "1 points instead of 3")
 }
 
-// TestPageMatchesModel guards against an outdated page: docs/CAPACITY.md must hold the
-// tables that follow from the recorded benchmark figures and the constants in the
-// code. A change of such a constant makes it fail.
+// TestPageMatchesModel guards against an outdated page: docs/CAPACITY.md must contain
+// the tables that follow from the recorded benchmark figures and the constants in the
+// code. The test fails when such a constant changes and the page does not.
 func TestPageMatchesModel(t *testing.T) {
 	figures, err := os.Open("../../docs/capacity-figures.txt")
 	assert.NilError(t, err)
--- a/standin/capacity/model.go
+++ b/standin/capacity/model.go
@@ -130,9 +130,9 @@
 	exchanges := min(membership.Fanout, hostsPerCentre-1) / membership.HeartbeatInterval.Seconds() // begun by this host; it answers as many
 	messages := 2 * exchanges
 	polls := endpointsPerCentre / hostsPerCentre / pollSeconds
-	// A message to a peer holds only the load reports that are newer than the last
-	// message to it. reportShare is the share of messages with a new report of a given
-	// endpoint, which this host polls.
+	// A message to a peer contains only the load reports that are newer than the last
+	// message to it. reportShare is the share of messages that contain a new report of a
+	// given endpoint that this host polls.
 	endpointsPerHost := endpointsPerCentre / hostsPerCentre
 	peers := min(hostsPerCentre-1, 2*membership.GossipPeersPerDoubling*math.Ceil(math.Log2(hostsPerCentre))) // those that this host chose, and those that chose it
 	messagesPerPeer := messages / max(peers, 1)
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,6 +1,6 @@
 // Package client is an HTTP caller of the entry hosts, for the demo, the scenarios,
 // the soak and the load runs. It reads each answer to its end and compares
-// it with the one that a stand-in engine must give. It also sets the faults of the
+// it with the one that a stand-in engine must return. It also sets the faults of the
 // stand-ins and reads their records.
 package client
 
@@ -28,14 +28,14 @@
 	Outcome          string // of a problem document, as are Reason and Detail
 	Reason           string
 	Detail           string
-	RetryAt          time.Time     // when Retry-After of a problem document is over; zero: it has none
+	RetryAt          time.Time     // when the Retry-After of a problem document ends; zero: it has none
 	Complete         bool          // the answer was received to its end: the whole body, or the last event of a stream
 	Text             string        // content of the answer, as far as it was received
 	LastEventID      string        // id of the newest event
 	Endpoint         string        // name of the endpoint, from X-Vetchtrail-Endpoint
 	TimeToFirstToken time.Duration // until the first event, or the body of an answer that is not streamed
 	Took             time.Duration // from sending the request to the end of the answer
-	Err              error         // why the request could not be sent or the answer not be read
+	Err              error         // why the request could not be sent, or the answer could not be read
 }
 
 // Client calls entry hosts.
@@ -67,17 +67,17 @@
 
 // rawPrompt returns the prompt as the engine sees it: the JSON of the message's
 // content.
-func (a Request) rawPrompt() string {
-	b, _ := json.Marshal(a.Prompt)
+func (req Request) rawPrompt() string {
+	b, _ := json.Marshal(req.Prompt)
 	return string(b)
 }
 
-// ExpectedText returns the complete answer that the engine must give.
-func (a Request) ExpectedText() string { return engine.Answer(a.rawPrompt(), a.Tokens) }
+// ExpectedText returns the complete answer that the engine must return.
+func (req Request) ExpectedText() string { return engine.Answer(req.rawPrompt(), req.Tokens) }
 
 // IsCorrect reports whether a result is the complete and correct answer.
-func (a Request) IsCorrect(r Result) bool {
-	return r.Status == http.StatusOK && r.Complete && r.Text == a.ExpectedText()
+func (req Request) IsCorrect(r Result) bool {
+	return r.Status == http.StatusOK && r.Complete && r.Text == req.ExpectedText()
 }
 
 // message is a message of a completion request.
@@ -96,27 +96,27 @@
 
 // Do sends a completion request and reads its answer to the end, or up to the event
 // of StopAfter.
-func (c *Client) Do(ctx context.Context, a Request) Result {
+func (c *Client) Do(ctx context.Context, req Request) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	text, _ := json.Marshal(completionRequest{
-		Model: a.Service, Stream: a.Stream, MaxTokens: a.Tokens, Messages: []message{{Role: "user", Content: a.Prompt}},
+		Model: req.Service, Stream: req.Stream, MaxTokens: req.Tokens, Messages: []message{{Role: "user", Content: req.Prompt}},
 	})
 	h := http.Header{}
 	h.Set("Content-Type", "application/json")
-	setNonEmpty(h, "X-Workspace", a.Workspace)
-	if a.Credential != "" {
-		h.Set("Authorization", "Bearer "+a.Credential)
+	setNonEmpty(h, "X-Workspace", req.Workspace)
+	if req.Credential != "" {
+		h.Set("Authorization", "Bearer "+req.Credential)
 	}
-	setNonEmpty(h, "Idempotency-Key", a.Key)
-	setNonEmpty(h, "Last-Event-Id", a.LastEventID)
-	if a.ResumeWindowSeconds > 0 {
-		h.Set("Resume-Window", strconv.Itoa(a.ResumeWindowSeconds))
+	setNonEmpty(h, "Idempotency-Key", req.Key)
+	setNonEmpty(h, "Last-Event-Id", req.LastEventID)
+	if req.ResumeWindowSeconds > 0 {
+		h.Set("Resume-Window", strconv.Itoa(req.ResumeWindowSeconds))
 	}
-	if a.Timeout > 0 {
-		h.Set("Request-Timeout", strconv.FormatFloat(a.Timeout.Seconds(), 'f', 3, 64))
+	if req.Timeout > 0 {
+		h.Set("Request-Timeout", strconv.FormatFloat(req.Timeout.Seconds(), 'f', 3, 64))
 	}
-	return c.send(ctx, http.MethodPost, "http://"+a.Host.String()+"/v1/chat/completions", h, text, a.StopAfter)
+	return c.send(ctx, http.MethodPost, "http://"+req.Host.String()+"/v1/chat/completions", h, text, req.StopAfter)
 }
 
 // setNonEmpty sets a header field unless its value is empty.
@@ -142,7 +142,7 @@
 		return Result{Err: err}
 	}
 	req.Header = h
-	req.GetBody = nil // keeps net/http from sending the request a second time
+	req.GetBody = nil // prevents net/http from sending the request a second time
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return Result{Err: err, Took: time.Since(began)}
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -33,8 +33,8 @@
 )
 
 // All addresses are 127.N.S.x, where S is the deployment's subnet. N is the number of
-// a region, from 1, or one of the numbers below. The network of a link holds the
-// addresses on which the link accepts connections.
+// a region, from 1, or one of the numbers below. The addresses on which a link accepts
+// connections are in the network of that link.
 const (
 	platformNetwork   = 20
 	firstLinkNetwork  = 40 // links between regions: + maxRegions × index of the origin + index of the destination
@@ -43,7 +43,7 @@
 
 // Spec is the size of a deployment and its services.
 type Spec struct {
-	Subnet  int // third byte of all addresses, which keeps deployments apart
+	Subnet  int // third byte of all addresses; deployments on one machine must differ in it
 	Regions []RegionSpec
 	Model   ServiceSpec
 	Plain   ServiceSpec
@@ -64,7 +64,7 @@
 	Name    string
 	Weights document.Weights
 	Slots   int           // of each endpoint
-	Within  time.Duration // most time of a request whose caller sets no deadline
+	Within  time.Duration // time limit of a request whose caller sets no deadline
 	Queue   int           // limit of the service's queue
 }
 
@@ -80,8 +80,8 @@
 	Pipes       []link.Pipe    // of all links
 }
 
-// Wycena returns a deployment of three regions whose weights give the time to the
-// first token priority over staying in the caller's region.
+// Wycena returns a deployment of three regions. By its weights, a short time to the
+// first token is more important than to stay in the caller's region.
 func Wycena(subnet int) Spec {
 	return Spec{
 		Subnet: subnet, Delay: 20 * time.Millisecond,
@@ -95,8 +95,8 @@
 	}
 }
 
-// Cadastral returns a deployment of three regions whose weights make it costly to
-// leave the caller's region.
+// Cadastral returns a deployment of three regions. By its weights, a high cost is
+// added to each endpoint outside the caller's region.
 func Cadastral(subnet int) Spec {
 	return Spec{
 		Subnet: subnet, Delay: 25 * time.Millisecond,
@@ -202,6 +202,7 @@
 	}
 }
 
+// addEndpoint adds an endpoint of a service in a region to the configuration.
 func (d *Deployment) addEndpoint(r RegionSpec, s ServiceSpec, name string, at netip.AddrPort) {
 	d.Document.Endpoints = append(d.Document.Endpoints, document.Endpoint{
 		Name: name, Service: s.Name, Region: r.Name, DataCentre: r.DataCentre, Addr: at, Slots: s.Slots,
@@ -210,7 +211,7 @@
 
 // hostSettings returns the settings of the host of index n of a region. All other
 // hosts are its seeds. Translate maps the networks of the other regions to those
-// of the links, so that the host reaches them through a link.
+// of the links, so that the host connects to them through a link.
 func (d *Deployment) hostSettings(region, n int) settings.Settings {
 	r := d.Spec.Regions[region]
 	s := settings.Default()
--- a/standin/engine/announcement.go
+++ b/standin/engine/announcement.go
@@ -9,12 +9,12 @@
 	"vetchtrail/connection/dialect"
 )
 
-// Announcement are what an engine announces about its availability in its answers, in
+// Announcement is what an engine announces about its availability in its answers, in
 // addition to its rate limit.
 type Announcement struct {
 	Leaving       string `json:"leaving"` // value of the header X-Leaving in all answers; empty: no header
 	RejectSeconds string `json:"away"`    // Retry-After, in seconds, with which it rejects all requests; empty: it accepts them
-	// NewInstance makes it announce this as a new process instance: its uptime starts again.
+	// NewInstance makes the engine act as a process that has just started: its uptime starts again.
 	NewInstance bool `json:"anew"`
 }
 
@@ -30,15 +30,15 @@
 		writeJSON(ctx, s.announced)
 		return
 	}
-	var w Announcement
-	if err := json.Unmarshal(ctx.PostBody(), &w); err != nil {
+	var announcement Announcement
+	if err := json.Unmarshal(ctx.PostBody(), &announcement); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.announced = w
-	if w.NewInstance {
+	s.announced = announcement
+	if announcement.NewInstance {
 		s.startedAt = time.Now()
 	}
 }
@@ -56,8 +56,8 @@
 	}
 }
 
-// reject answers a request that the engine does not start, with the time for which
-// it wants no requests.
+// reject answers a request that the engine does not start. Retry-After contains the
+// seconds for which hosts must send no requests.
 func reject(ctx *fasthttp.RequestCtx, seconds string) {
 	ctx.Response.Header.Set("X-Not-Started", "1")
 	ctx.Response.Header.Set("Retry-After", seconds)
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -28,7 +28,7 @@
 	changed      chan struct{}      // closed and replaced at each change
 	cancel       context.CancelFunc // ends the generation
 	readers      int
-	resumeWindow time.Duration // how long the generation goes on without a reader
+	resumeWindow time.Duration // how long the generation continues without a reader
 }
 
 // newStream returns an empty stream, and the context of its generation.
@@ -37,6 +37,7 @@
 	return &stream{changed: make(chan struct{}), cancel: cancel, resumeWindow: resumeWindow}, ctx
 }
 
+// addToken appends a token and wakes the readers.
 func (st *stream) addToken(token string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -65,9 +66,10 @@
 	st.changed = make(chan struct{})
 }
 
-// read waits for the token of index n and returns it. ok is false if the stream
-// ended before that token, or if giveUp returned true, which read calls while it
-// waits. If ok is false, completed tells whether the answer has all its tokens.
+// read waits for the token of index n and returns it. While it waits, it calls giveUp
+// every few milliseconds. ok is false if the stream ended before that token, or if
+// giveUp returned true. If ok is false, completed reports whether the answer has all
+// its tokens.
 func (st *stream) read(n int, giveUp func() bool) (token string, ok, completed bool) {
 	for {
 		st.mu.Lock()
@@ -115,8 +117,8 @@
 	}
 }
 
-// handleCompletion answers a completion request. It rejects the request before it
-// starts if a fault or announcement says so, or if the queue is full.
+// handleCompletion answers a completion request. It rejects the request without
+// starting it if a fault or an announcement requires that, or if the queue is full.
 func (s *Server) handleCompletion(ctx *fasthttp.RequestCtx) {
 	f := s.consumeFaults()
 	if s.injectFault(ctx, f) {
@@ -268,12 +270,13 @@
 	Content string `json:"content"`
 }
 
+// newChunk returns the data of the event for a token.
 func newChunk(token string) Chunk {
 	return Chunk{Object: "chat.completion.chunk", Choices: []Choice{{Delta: &Message{Content: token}}}}
 }
 
 // sendWhole sends the answer as one body once it is complete. It closes the
-// connection if the answer stays incomplete.
+// connection if the generation ends before that.
 func (s *Server) sendWhole(ctx *fasthttp.RequestCtx, st *stream) {
 	defer st.removeReader()
 	var b strings.Builder
--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -10,7 +10,7 @@
 	"vetchtrail/standin/listen"
 )
 
-// CrashConfig is how an engine crashes under a poison request, and comes back.
+// CrashConfig sets when an engine crashes under a poison request, and when it restarts.
 type CrashConfig struct {
 	PoisonText   string        // a request is a poison request if its prompt contains this text; empty: none is
 	CrashDelay   time.Duration // from the start of the request to the crash
@@ -20,11 +20,11 @@
 // CrashHistory is the history of an engine's crashes.
 type CrashHistory struct {
 	Crashes []time.Time `json:"ends"` // time of each crash
-	// InFlight is the number of requests at each crash, running and queued, the
+	// InFlight contains the number of requests at each crash, running and queued, the
 	// poison request included.
 	InFlight []int `json:"beside"`
-	// PoisonRequests is the time at which each poison request was started. It includes those
-	// that caused no crash themselves, as the engine crashed under an earlier one.
+	// PoisonRequests contains the time at which each poison request was started. Not each of
+	// them caused a crash: the engine may have crashed under an earlier one first.
 	PoisonRequests []time.Time `json:"deadly"`
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -125,6 +125,7 @@
 	return s.stats
 }
 
+// handle answers a request by its path; the package comment lists the paths.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -156,6 +157,7 @@
 	}
 }
 
+// handleFaults replaces the faults by those in the body.
 func (s *Server) handleFaults(ctx *fasthttp.RequestCtx) {
 	var f Faults
 	if err := json.Unmarshal(ctx.PostBody(), &f); err != nil {
@@ -165,6 +167,8 @@
 	s.SetFaults(f)
 }
 
+// handleRateLimit replaces the rate limit that the engine advertises by the one in the
+// body.
 func (s *Server) handleRateLimit(ctx *fasthttp.RequestCtx) {
 	var rateLimit string
 	if err := json.Unmarshal(ctx.PostBody(), &rateLimit); err != nil {
@@ -176,6 +180,7 @@
 	s.rateLimit = rateLimit
 }
 
+// writeJSON answers a request with a value as JSON.
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
 	body, _ := json.Marshal(v)
 	ctx.SetContentType("application/json")
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -29,7 +29,7 @@
 }
 
 // promptText returns the prompt: the raw JSON of the messages' contents one after
-// the other, or of the field prompt if there are no messages.
+// the other, or that of the field prompt if there are no messages.
 func (r *completionRequest) promptText() string {
 	if len(r.Messages) == 0 {
 		return string(r.Prompt)
@@ -64,9 +64,9 @@
 	return b.String()
 }
 
-// acquireSlot takes a slot, and waits in the queue until one is free. It returns
-// false, without a slot, if ctx ended before. It does not check the queue's limit:
-// see queueFull.
+// acquireSlot takes a slot. If none is free, it waits in the queue for one. It returns
+// false, without a slot, if ctx ends first. It does not check the queue's limit: see
+// queueFull.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	s.mu.Lock()
 	if s.running < s.cfg.Slots && len(s.waiting) == 0 {
@@ -175,8 +175,8 @@
 }
 
 // lookUpAndAdd returns how many tokens of a prompt's beginning were cached, and
-// caches all its whole blocks. Over its capacity it drops the blocks that were
-// used longest ago.
+// caches all its whole blocks. If the cache is over its capacity then, it drops the
+// blocks that were used longest ago.
 func (c *prefixCache) lookUpAndAdd(prompt string) int {
 	if c.blocks == nil {
 		c.blocks = map[uint64]*list.Element{}
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet runs a deployment as separate processes on loopback addresses: the
 // real daemons and the stand-ins. A test can kill, stop, suspend and resume
-// processes and inject faults. All processes end with the process that started
-// them. Package world runs a deployment in one process instead.
+// processes and inject faults. All processes are killed when the process that started
+// them ends. Package world runs a deployment in one process instead.
 package fleet
 
 import (
@@ -137,7 +137,7 @@
 }
 
 // Await waits until done returns true. It fails after a timeout that is long enough
-// for a busy machine; the error names what was awaited.
+// for a busy machine; the error contains what, the description of the condition.
 func (f *Fleet) Await(ctx context.Context, what string, done func() bool) error {
 	deadline := time.Now().Add(awaitTimeout)
 	for !done() {
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// Stop terminates a process in order, by SIGTERM, and waits until it has ended. It
-// fails if the process does.
+// Stop terminates a process gracefully, by SIGTERM, and waits until it has ended. It
+// returns an error if the process fails.
 func (f *Fleet) Stop(name string) error {
 	cmd, err := f.signal(name, syscall.SIGTERM)
 	if err != nil {
@@ -253,20 +253,20 @@
 	return err
 }
 
-// removeProcess removes an ended process from those that run.
+// removeProcess removes an ended process from the running ones.
 func (f *Fleet) removeProcess(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.processes, name)
 }
 
-// Suspend suspends a process until Thaw.
+// Suspend suspends a process until Resume is called.
 func (f *Fleet) Suspend(name string) error {
 	_, err := f.signal(name, syscall.SIGSTOP)
 	return err
 }
 
-// Resume resumes a process that Freeze suspended.
+// Resume resumes a process that Suspend suspended.
 func (f *Fleet) Resume(name string) error {
 	_, err := f.signal(name, syscall.SIGCONT)
 	return err
@@ -286,8 +286,8 @@
 
 // SetLinkFault replaces the fault of the link from a region to another or to the
 // platform.
-func (f *Fleet) SetLinkFault(ctx context.Context, from, to string, t link.Fault) error {
-	return f.Client.Put(ctx, f.cfg.Deployment.LinkControl, "/cut", linkFault{Link: deployment.LinkName(from, to), Fault: t})
+func (f *Fleet) SetLinkFault(ctx context.Context, from, to string, fault link.Fault) error {
+	return f.Client.Put(ctx, f.cfg.Deployment.LinkControl, "/cut", linkFault{Link: deployment.LinkName(from, to), Fault: fault})
 }
 
 // Tool runs the operators' command vetchtrail against the daemon of a host and
@@ -351,7 +351,7 @@
 }
 
 // RacesAndPanics returns an excerpt of each log that reports a data race, a panic or a
-// fatal error. The exit status of a process doesn't show it, as most are killed.
+// fatal error. The exit status does not show these, as most processes are killed.
 func (f *Fleet) RacesAndPanics() []string {
 	var out []string
 	logs, _ := filepath.Glob(filepath.Join(f.cfg.Directory, "*.log"))
@@ -369,5 +369,5 @@
 	return out
 }
 
-// maxExcerptBytes bounds an excerpt of Complaints.
+// maxExcerptBytes bounds an excerpt that RacesAndPanics returns.
 const maxExcerptBytes = 3000
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestComplaints guards against data races and panics of the processes that no test
-// notices: Complaints must find them in the logs, and report nothing for a clean log.
-func TestComplaints(t *testing.T) {
+// TestRacesAndPanics guards against data races and panics in the processes that stay
+// unnoticed. RacesAndPanics must find them in the logs, and nothing in a clean log.
+func TestRacesAndPanics(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		want int
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -1,6 +1,6 @@
 // Package kv is a stand-in for the platform's key-value store. It implements the
 // part of Consul's published KV interface that the system uses: GET with blocking
-// queries, PUT with check-and-set, and DELETE. It keeps everything in memory.
+// queries, PUT with check-and-set, and DELETE. All data is in memory.
 //
 // PUT /faults with a JSON Faults injects faults, and GET /faults returns the
 // Counts of calls.
@@ -24,10 +24,10 @@
 type Faults struct {
 	Outage      bool          `json:"outage"`       // answer every call with status 500
 	Silent      bool          `json:"silent"`       // answer every call only after a minute
-	LoseAnswers int           `json:"lose_answers"` // how many more writes take effect without an answer: the connection is closed
+	LoseAnswers int           `json:"lose_answers"` // number of further writes that take effect but get no answer: the connection is closed
 	Delay       time.Duration `json:"delay"`        // before each answer, in nanoseconds
-	Writes      int           `json:"writes"`       // limit per second; 0: no limit; negative: none is allowed
-	Reads       int           `json:"reads"`        // limit per second; 0: no limit; negative: none is allowed
+	Writes      int           `json:"writes"`       // limit per second; 0: no limit; negative: no write is allowed
+	Reads       int           `json:"reads"`        // limit per second; 0: no limit; negative: no read is allowed
 }
 
 // Counts are the numbers of calls since the start.
@@ -35,7 +35,7 @@
 	Writes  int `json:"writes"`  // calls other than GET, whether they took effect or not
 	Reads   int `json:"reads"`   // GET calls
 	Lost    int `json:"lost"`    // writes that took effect without an answer
-	Refused int `json:"refused"` // calls during an outage, calls left unanswered by Silent, and calls over a limit
+	Refused int `json:"refused"` // calls during Outage or Silent, and calls over a limit
 }
 
 // maxValueBytes bounds the size of a value; a larger one gets status 413.
@@ -84,6 +84,7 @@
 	return s.counts
 }
 
+// handle answers a request by its path: a key, or /faults.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -96,6 +97,8 @@
 	}
 }
 
+// handleFaults returns the counts of calls for a GET. Otherwise it replaces the faults by
+// those in the body.
 func (s *Server) handleFaults(ctx *fasthttp.RequestCtx) {
 	if ctx.IsGet() {
 		body, _ := json.Marshal(s.Counts())
@@ -110,6 +113,7 @@
 	s.SetFaults(f)
 }
 
+// handleKey answers a call on a key. It first counts the call and applies the faults.
 func (s *Server) handleKey(ctx *fasthttp.RequestCtx, key string) {
 	f, ok := s.countCall(!ctx.IsGet())
 	if f.Silent {
@@ -167,6 +171,8 @@
 	return s.faults, ok
 }
 
+// get returns a key's value in Consul's JSON form. It waits for a change first if the
+// query sets an index and a wait time.
 func (s *Server) get(ctx *fasthttp.RequestCtx, key string) {
 	args := ctx.QueryArgs()
 	index, _ := strconv.ParseUint(string(args.Peek("index")), 10, 64)
@@ -186,7 +192,7 @@
 }
 
 // waitForChange returns a key's item and the index of the newest change. It waits
-// until the item's index is above the given one, or until the deadline. It does
+// until the item's index is higher than the given one, or until the deadline. It does
 // not wait if the given index is 0.
 func (s *Server) waitForChange(key string, index uint64, deadline time.Time) (item, bool, uint64) {
 	for {
@@ -204,6 +210,8 @@
 	}
 }
 
+// put stores the body as a key's value. With the query parameter cas it does so only if
+// the key's index is the given one; 0 means that the key must not exist.
 func (s *Server) put(ctx *fasthttp.RequestCtx, key string) {
 	args := ctx.QueryArgs()
 	expect, _ := strconv.ParseUint(string(args.Peek("cas")), 10, 64)
@@ -216,7 +224,7 @@
 }
 
 // write stores a value. done is false if cas is set and the key's index is not
-// the expected one. lost means that the write must stay unanswered.
+// the expected one. If lost is true, the caller must not answer the write.
 func (s *Server) write(key string, value []byte, cas bool, expect uint64) (done, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,6 +241,7 @@
 	return true, false
 }
 
+// remove deletes a key. The index rises even if the key does not exist.
 func (s *Server) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger records which requests a stand-in executed. Tests compare it
-// with what the gateway reports, so that they find requests that ran twice or
-// that ran although the gateway said otherwise.
+// Package ledger records which requests a stand-in executed. Tests compare these
+// records with the outcomes that the gateway reports. So they find requests that ran
+// twice, or that ran although the gateway reported that they did not.
 package ledger
 
 import (
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,7 +1,7 @@
 // Package link is a stand-in for the slow network links between regions. It
 // relays TCP connections, delays the bytes in both directions and injects faults.
-// While a link is cut, it refuses new connections and holds the bytes of open
-// ones; once the link is restored, it delivers them.
+// While a link is cut, it refuses new connections and buffers the bytes of open
+// connections; once the link is restored, it delivers these bytes.
 package link
 
 import (
@@ -27,8 +27,8 @@
 
 // Fault is the fault of a link; the zero value is a healthy link.
 type Fault struct {
-	Cut          bool          `json:"cut"`   // hold the bytes of both directions and refuse new connections
-	HoldOutbound bool          `json:"forth"` // hold only what the side that opened a connection sends
+	Cut          bool          `json:"cut"`   // buffer the bytes of both directions and refuse new connections
+	HoldOutbound bool          `json:"forth"` // buffer only the bytes from the side that opened a connection
 	Reset        bool          `json:"reset"` // reset the connections that are open now
 	Delay        time.Duration `json:"delay"` // in each direction, in addition to the pipe's own, in nanoseconds
 }
@@ -95,19 +95,20 @@
 
 // closeWhenCut closes a pipe's listener when its link is cut or ctx ends.
 func (r *Relay) closeWhenCut(ctx context.Context, p Pipe, l net.Listener) {
-	r.waitUntil(ctx, p.Link, func(t Fault) bool { return t.Cut })
+	r.waitUntil(ctx, p.Link, func(f Fault) bool { return f.Cut })
 	_ = l.Close()
 }
 
-// isOpen reports whether connections are accepted and bytes pass to the side that
-// opened them.
-func isOpen(t Fault) bool { return !t.Cut }
+// isOpen reports whether new connections are accepted, and bytes delivered to the side
+// that opened a connection.
+func isOpen(f Fault) bool { return !f.Cut }
 
-// isOutboundOpen reports whether bytes pass that the opener of a connection sends.
-func isOutboundOpen(t Fault) bool { return !t.Cut && !t.HoldOutbound }
+// isOutboundOpen reports whether bytes from the side that opened a connection are
+// delivered.
+func isOutboundOpen(f Fault) bool { return !f.Cut && !f.HoldOutbound }
 
 // waitUntil waits until a link's fault meets the condition. It returns false if ctx
-// ended before.
+// ends first.
 func (r *Relay) waitUntil(ctx context.Context, link string, condition func(Fault) bool) bool {
 	for {
 		r.mu.Lock()
@@ -129,17 +130,17 @@
 
 // SetFault replaces the fault of a link. Reset applies once, to the connections
 // that are open now.
-func (r *Relay) SetFault(link string, t Fault) {
+func (r *Relay) SetFault(link string, f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.Reset {
+	if f.Reset {
 		for c := range r.conns[link] {
 			_ = c.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 			_ = c.Close()
 		}
-		t.Reset = false
+		f.Reset = false
 	}
-	r.faults[link] = t
+	r.faults[link] = f
 	close(r.faultsChanged)
 	r.faultsChanged = make(chan struct{})
 }
@@ -187,7 +188,7 @@
 	<-done
 }
 
-// chunk is the bytes of one read, and the time at which they are written on.
+// chunk contains the bytes of one read, and the time from which they may be delivered.
 type chunk struct {
 	due  time.Time
 	data []byte
@@ -198,9 +199,9 @@
 	maxChunksHeld = 256      // read ahead in each direction of a connection
 )
 
-// copyDelayed copies one direction of a connection: it reads ahead, and writes
-// each chunk after the delay and once the link lets it pass. It sends to done
-// when the direction has ended.
+// copyDelayed copies one direction of a connection. It reads ahead, and writes each
+// chunk when its delay is over and mayPass returns true for the link's fault. It sends
+// to done when the direction has ended.
 func (r *Relay) copyDelayed(ctx context.Context, p Pipe, from, to net.Conn, mayPass func(Fault) bool, done chan<- struct{}) {
 	chunks := make(chan chunk, maxChunksHeld)
 	go func() {
@@ -225,7 +226,7 @@
 			break
 		}
 	}
-	r.waitUntil(ctx, p.Link, mayPass) // the end of a connection is held like its bytes
+	r.waitUntil(ctx, p.Link, mayPass) // the end of a connection is delayed as its bytes are
 	done <- struct{}{}
 	for range chunks { //nolint:revive // drains the channel, so that the reading goroutine ends
 	}
--- a/standin/listen/listen.go
+++ b/standin/listen/listen.go
@@ -12,7 +12,7 @@
 const maxBodyBytes = 64 << 20
 
 // Serve handles the requests on a listener until ctx ends, and then returns nil.
-// It returns an error only if the server fails before.
+// It returns an error only if the server fails before that.
 func Serve(ctx context.Context, l net.Listener, handler fasthttp.RequestHandler) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
--- a/standin/loadrun/faults.go
+++ b/standin/loadrun/faults.go
@@ -62,8 +62,8 @@
 	})
 }
 
-// loseRegion stops the hosts of a region, makes its engines refuse requests, and lets
-// its callers use the next region.
+// loseRegion stops the hosts of the lost region, makes its engines refuse requests, and
+// makes its callers use the hosts of the next region.
 func (r *run) loseRegion() {
 	name := r.d.Spec.Regions[lostRegionIndex].Name
 	r.mu.Lock()
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -1,7 +1,7 @@
 // Package loadrun compares request policies: it sends the same arrivals to a
 // deployment under each policy, injects the faults of a case and measures what the
-// callers saw. Daemons, engines and callers share one process and machine, so that its
-// figures compare policies with each other and don't predict those of real hosts. A
+// callers saw. Daemons, engines and callers share one process and machine. So its
+// figures compare policies with each other, but do not predict those of real hosts. A
 // run ends by itself after its length and the deadlines of its last requests.
 package loadrun
 
@@ -147,9 +147,9 @@
 	Sent             int
 	Answered         int                     // complete and correct
 	Truncated        int                     // broken off in a way that the caller noticed
-	Wrong            int                     // a wrong answer, or a truncated one that looks complete
+	Wrong            int                     // wrong answers, and truncated ones that look complete
 	NotRun           int                     // refused: the gateway reports that they were not executed
-	Unknown          int                     // the gateway reports that it can't tell whether they were executed, or gives no answer
+	Unknown          int                     // no answer, or the gateway reports that it does not know whether they were executed
 	OtherRegion      int                     // answered in another region than the caller's
 	Duplicates       int                     // executions in excess of one for each request
 	Retries          int                     // by the daemons
@@ -157,7 +157,7 @@
 	TimeToAnswer     *hdrhistogram.Histogram // microseconds to the end of the answer
 	TimeToRefusal    *hdrhistogram.Histogram // microseconds
 	SlotTime         time.Duration           // of all engines together
-	Stall            time.Duration           // longest time by which the machine delayed a goroutine that was due
+	Stall            time.Duration           // longest time by which a goroutine ran later than it should have, as the machine was busy
 	Cached           float64                 // share of the prompt tokens found in the engines' prefix caches
 }
 
@@ -199,13 +199,14 @@
 	return int(metrics.GetOrCreateCounter(dispatch.RetriesMetric(service, true)).Get())
 }
 
+// newHistogram returns an empty histogram for times of up to a minute, in microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	const longest, digits = int64(60 * time.Second / time.Microsecond), 3
 	return hdrhistogram.New(1, longest, digits)
 }
 
 // applyConfiguration proposes the deployment's configuration and waits until all hosts
-// hold it and reach each other's data centres.
+// have it and reach each other's data centres.
 func (r *run) applyConfiguration(ctx context.Context) error {
 	op, err := operator.Dial(ctx, operator.Config{Addr: r.d.Hosts[0].Listen.Peers})
 	if err != nil {
@@ -249,8 +250,8 @@
 	running.Wait()
 }
 
-// measureStall measures the longest time by which a short sleep was overslept. A run
-// on a machine that stalled says little about the policy.
+// measureStall measures the longest time by which a short sleep took too long. The
+// results of a run on a machine that stalled do not show much about the policy.
 func (r *run) measureStall(began time.Time) {
 	const sleepTime = 5 * time.Millisecond
 	longest := time.Duration(0)
@@ -324,7 +325,7 @@
 	return hosts[a.hostChoice%len(hosts)]
 }
 
-// regionOf returns the region of an endpoint; empty: it is unknown.
+// regionOf returns the region of an endpoint, or an empty string if it is unknown.
 func (r *run) regionOf(name string) string {
 	for _, e := range r.d.Document.Endpoints {
 		if e.Name == name {
--- a/standin/meter/meter.go
+++ b/standin/meter/meter.go
@@ -20,7 +20,7 @@
 }
 
 // Heap returns the bytes of live heap objects. It collects garbage twice, as a
-// sync.Pool gives up its contents only in the second collection.
+// sync.Pool releases its contents only in the second collection.
 func Heap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -53,12 +53,14 @@
 	bytes *atomic.Int64
 }
 
+// Read implements net.Conn.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -19,7 +19,7 @@
 
 // Faults are the faults that the service injects into its requests.
 type Faults struct {
-	LoseAnswers int           `json:"lose_answers"` // how many more requests are executed without an answer: the connection is closed
+	LoseAnswers int           `json:"lose_answers"` // number of further requests that are executed but get no answer: the connection is closed
 	Refuse      bool          `json:"refuse"`       // answer with status 503, and X-Not-Started, as nothing was executed
 	Delay       time.Duration `json:"delay"`        // how long an execution takes, in nanoseconds
 	Leaving     bool          `json:"leaving"`      // report in /load that it leaves; it still executes requests
@@ -62,6 +62,8 @@
 	s.faults = f
 }
 
+// handle answers a request by its path. All paths but those of the stand-in itself are
+// requests to the service.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/faults":
@@ -92,6 +94,7 @@
 // number of requests at once.
 const reportedSlots = 64
 
+// handleLoad returns the load report.
 func (s *Server) handleLoad(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +102,7 @@
 	ctx.SetBody(body)
 }
 
-// execute records and answers a request, unless the fault Refuse turns it down.
+// execute records and answers a request. With the fault Refuse, it rejects it instead.
 func (s *Server) execute(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	f := s.faults
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
 // Package platform holds stand-ins for two small services of the platform: the
 // list of live and leaving endpoints, which lags behind changes, and the
-// directory, which names the entry hosts to callers. A PUT to the list replaces
+// directory, from which callers read the addresses of the entry hosts. A PUT to the list replaces
 // it with a JSON array of the form that GET returns; the directory is read-only.
 package platform
 
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -25,7 +25,7 @@
 	"vetchtrail/standin/platform"
 )
 
-// startTimeout bounds the time until the daemons answer, are ready, or know the
+// startTimeout bounds the time until the daemons answer, are ready, or reach the
 // other data centres.
 const startTimeout = 15 * time.Second
 
@@ -84,6 +84,8 @@
 	return w, nil
 }
 
+// startAll starts everything in the order store, list of endpoints, links, endpoints,
+// daemons, and waits until the daemons answer.
 func (w *World) startAll() error {
 	d := &w.cfg.Deployment
 	if err := w.serve(d.Store, w.Store); err != nil {
@@ -141,8 +143,8 @@
 	return nil
 }
 
-// Settings returns the settings of a host in the deployment. StartHost adds those
-// of the world's configuration.
+// Settings returns the settings of a host as the deployment has them. StartHost starts
+// the host with these and with those of Config, such as the policy.
 func (w *World) Settings(name string) settings.Settings {
 	for _, s := range w.cfg.Deployment.Hosts {
 		if s.Host == name {
@@ -192,7 +194,7 @@
 	<-h.done
 }
 
-// AwaitReady waits until every host reports that it is ready and holds at least the given
+// AwaitReady waits until every host reports that it is ready and has at least the given
 // revision of the configuration.
 func (w *World) AwaitReady(revision uint64) error {
 	deadline := time.Now().Add(startTimeout)
@@ -204,18 +206,18 @@
 	return nil
 }
 
-// awaitHostReady waits for one host as Ready does for all, until a deadline.
+// awaitHostReady waits for one host as AwaitReady does for all, until a deadline.
 func (w *World) awaitHostReady(s settings.Settings, revision uint64, deadline time.Time) error {
 	for {
 		err := w.Client.Get(w.ctx, s.Listen.Callers, "/readyz", nil)
 		w.mu.Lock()
-		held := w.daemons[s.Host].daemon.Revision()
+		got := w.daemons[s.Host].daemon.Revision()
 		w.mu.Unlock()
-		if err == nil && held >= revision {
+		if err == nil && got >= revision {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("world.Ready: host %s: want ready with revision %d, have revision %d: %v", s.Host, revision, held, err)
+			return errors.Errorf("world.AwaitReady: host %s: want ready with revision %d, have revision %d: %v", s.Host, revision, got, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -236,7 +238,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("world.Settled: hosts reach %d other data centres in total, want %d", reachable, want)
+			return errors.Errorf("world.AwaitReachable: hosts reach %d other data centres in total, want %d", reachable, want)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -248,5 +250,5 @@
 	w.running.Wait()
 }
 
-// Context ends when the world is closed.
+// Context returns a context that ends when the world is closed.
 func (w *World) Context() context.Context { return w.ctx }
