--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,7 +1,7 @@
 // Command soak is a fault-injection test. It starts a deployment of the real programs on
-// loopback addresses, injects random faults and checks the guarantees of docs/PROOFS.md
-// while requests run. The package parses the command line and writes the reports; the
-// test itself is in package soak.
+// loopback addresses, sends requests to it, injects random faults, and checks the
+// guarantees of docs/PROOFS.md. The package parses the command line and writes the
+// reports; the test itself is in package soak.
 package main
 
 import (
@@ -41,8 +41,8 @@
 // errViolations is returned if at least one run found a violated guarantee.
 var errViolations = errors.New("guarantees were violated; see the reports")
 
-// Run runs the test once for each seed. A violated guarantee doesn't stop the further
-// runs; a run that itself fails does.
+// Run runs the test once for each seed. It continues with the next seed after a run that
+// found a violated guarantee, but not after a run that itself failed.
 func (a *arguments) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/soak/main_test.go
+++ b/cmd/soak/main_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPathsMadeAbsolute checks that the flags' directories become absolute and keep their
-// last element. The programs run in directories of their own, where a relative path such
-// as a default would name another directory.
+// TestPathsMadeAbsolute guards against relative paths in the flags. The programs run in
+// directories of their own, where a relative path, such as a default, means another
+// directory. Each path must become absolute and keep its last element.
 func TestPathsMadeAbsolute(t *testing.T) {
 	cases := map[string]struct{ binaries, out string }{
 		"relative, as the defaults": {"target", "soak-out"},
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -189,8 +189,8 @@
 	return reply.GetRevision(), nil
 }
 
-// setEngineFaults sets the faults of all model engines of a region. Its plain services
-// stay as they are.
+// setEngineFaults sets the faults of all model engines of a region. It does not change
+// the region's plain services.
 func (m *demo) setEngineFaults(r deployment.RegionSpec, f engine.Faults) {
 	for _, e := range m.layout.Document.Endpoints {
 		if engineServer, ok := m.system.Engines[e.Name]; ok && e.Region == r.Name {
@@ -201,7 +201,7 @@
 
 // sendFromAllRegions sends requests of each kind from each region: a streamed and a
 // whole model answer, a request bound to its region, and a booking at the plain service.
-// lost holds the regions whose engines are lost, which must refuse bound requests.
+// lost contains the regions whose engines are lost, which must refuse bound requests.
 func (m *demo) sendFromAllRegions(ctx context.Context, lost map[string]bool) {
 	for i, r := range m.layout.Spec.Regions {
 		callerAddr := m.callerAddr(r)
@@ -225,12 +225,12 @@
 // sendModelRequest sends a request to the model through a host of region r, and checks
 // and counts the answer.
 func (m *demo) sendModelRequest(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort, prompt, workspace string, stream bool) {
-	a := client.Request{
+	req := client.Request{
 		Host: callerAddr, Service: m.layout.Spec.Model.Name, Workspace: workspace, Prompt: prompt, Tokens: demoTokens, Stream: stream,
 	}
-	res := m.system.Client.Do(ctx, a)
+	res := m.system.Client.Do(ctx, req)
 	m.currentStep().requests++
-	if !a.IsCorrect(res) {
+	if !req.IsCorrect(res) {
 		m.recordWrong(r, res)
 		return
 	}
@@ -260,7 +260,7 @@
 }
 
 // bookTwice sends the same booking twice, with one idempotency key. The booking may run
-// at most once, so the second answer must be the one to the first.
+// at most once, so the second answer must be equal to the first.
 func (m *demo) bookTwice(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort) {
 	hosts, err := m.system.Client.Hosts(ctx, callerAddr)
 	if err != nil {
@@ -299,8 +299,8 @@
 	return ""
 }
 
-// awaitRegion sends requests that are bound to a region until one is answered: the
-// region's engines are in use again.
+// awaitRegion sends requests that are bound to a region until one is answered. Then the
+// hosts send requests to the region's engines again.
 func (m *demo) awaitRegion(ctx context.Context, r deployment.RegionSpec) error {
 	deadline := time.Now().Add(regionReturnTimeout)
 	for time.Now().Before(deadline) {
--- a/cmd/standin/examples.go
+++ b/cmd/standin/examples.go
@@ -15,8 +15,8 @@
 	Directory string `arg:"" default:"examples" help:"Directory to write to."`
 }
 
-// Address slots of the example deployments. The slot is a number in a deployment's
-// loopback addresses that keeps them apart from other deployments on the machine.
+// Address slots of the example deployments. The slot is a number in the loopback
+// addresses of a deployment; it must differ between the deployments on one machine.
 const (
 	slotWycena    = 1
 	slotCadastral = 2
--- a/cmd/standin/keys.go
+++ b/cmd/standin/keys.go
@@ -12,8 +12,8 @@
 const (
 	demoWorkspace = "zaklad-nowak"
 	demoKey       = "a-key-of-the-demo"
-	// demoQuota sets the size of the quota step: the workspace has a burst of 4 times as
-	// many requests, and the demo sends 8 times as many.
+	// demoQuota is the scale of the quota step: the workspace has a burst of 4 × demoQuota
+	// requests, and the demo sends 8 × demoQuota requests.
 	demoQuota = 3
 )
 
@@ -68,20 +68,20 @@
 
 // withDefaults returns the request with the host, service, prompt and length that all
 // requests of the key step have.
-func (m *demo) withDefaults(a client.Request) client.Request {
-	a.Host, a.Service, a.Prompt, a.Tokens = m.callerAddr(m.layout.Spec.Regions[0]), m.layout.Spec.Model.Name, "is it weldable?", demoTokens
-	return a
+func (m *demo) withDefaults(req client.Request) client.Request {
+	req.Host, req.Service, req.Prompt, req.Tokens = m.callerAddr(m.layout.Spec.Regions[0]), m.layout.Spec.Model.Name, "is it weldable?", demoTokens
+	return req
 }
 
 // expectRefusal sends a request that must be refused with the status and without having
 // run.
-func (m *demo) expectRefusal(ctx context.Context, who string, a client.Request, status int) {
-	res := m.system.Client.Do(ctx, m.withDefaults(a))
+func (m *demo) expectRefusal(ctx context.Context, label string, req client.Request, status int) {
+	res := m.system.Client.Do(ctx, m.withDefaults(req))
 	m.currentStep().requests++
 	if res.Status != status || res.Outcome != vetchtrail.OutcomeNotRun.String() {
 		m.recordWrong(m.layout.Spec.Regions[0], res)
 		return
 	}
 	m.currentStep().refused++
-	fmt.Printf("   %s: %d, %s\n", who, res.Status, res.Detail)
+	fmt.Printf("   %s: %d, %s\n", label, res.Status, res.Detail)
 }
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -75,8 +75,9 @@
 }
 
 // tailFirst is the value of --policies for the weighted policy with the model weights of
-// the example deployment wycena, where the time to the first token weighs most. It is
-// for comparison with the weights of the other example, which avoid remote regions.
+// the example deployment wycena. In these the time to the first token has the highest
+// weight. The weights of the other example, with which they are compared, avoid remote
+// regions.
 const tailFirst = "tail-first"
 
 // variant returns the deployment and the policy's name for a value of --policies.
@@ -91,8 +92,8 @@
 	return spec, name, nil
 }
 
-// selects reports whether the case is to run: its name begins with one of the prefixes,
-// or no prefixes are given.
+// selects reports whether the case is selected: its name begins with one of the prefixes
+// in --cases, or no prefixes are given.
 func (c *loadCommand) selects(k loadrun.Case) bool {
 	for _, prefix := range c.Cases {
 		if len(k) >= len(prefix) && string(k[:len(prefix)]) == prefix {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,8 +1,8 @@
 // Command standin runs stand-ins for the systems that vetchtrail depends on, such as
-// model engines, the platform's key-value store and the links between regions. It also
-// contains tools built on them: the demo, the comparison of policies under load, the
-// tables of the capacity page and the example files. It is for tests and evaluation, not
-// for production.
+// model engines, the platform's key-value store and the links between regions. Further
+// subcommands run the demo, compare the policies under load, and write the tables of the
+// capacity page and the example files. The command is for tests and evaluation, not for
+// production.
 package main
 
 import "github.com/alecthomas/kong"
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -20,7 +20,7 @@
 	"vetchtrail/standin/platform"
 )
 
-// standIn is a server that stands in for an external system.
+// standIn is a server that replaces an external system in tests.
 type standIn interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
@@ -65,7 +65,7 @@
 	}))
 }
 
-// plainCommand runs a stand-in for a plain HTTP service, one that is no model engine.
+// plainCommand runs a stand-in for a plain HTTP service, one that is not a model engine.
 type plainCommand struct {
 	Addr netip.AddrPort `arg:"" help:"Address to listen on."`
 }
@@ -102,8 +102,8 @@
 	return serve(ctx, c.Addr, platform.NewHostList(c.Lag))
 }
 
-// directoryCommand runs a stand-in for the directory, which names entry hosts to
-// clients.
+// directoryCommand runs a stand-in for the directory, from which clients read the
+// addresses of the entry hosts.
 type directoryCommand struct {
 	Addr  netip.AddrPort   `arg:"" help:"Address to listen on."`
 	Hosts []netip.AddrPort `arg:"" help:"Addresses of the entry hosts to name."`
--- a/cmd/vetchtrail/config.go
+++ b/cmd/vetchtrail/config.go
@@ -212,12 +212,12 @@
 	}
 }
 
-// revisionStatus says whether the awaited revision is in force on a host or in another
+// revisionStatus shows whether the awaited revision is in force on a host or in another
 // data centre.
 type revisionStatus struct {
 	Name     string    `json:"name"` // of the host or data centre
 	Region   string    `json:"region"`
-	Revision uint64    `json:"revision"` // revision known to be in force there; of a data centre, the lowest among its hosts
+	Revision uint64    `json:"revision"` // last reported revision; of a data centre, the lowest among its hosts
 	InForce  bool      `json:"in_force"` // the awaited revision, or a newer one, is in force
 	LastSeen time.Time `json:"heard"`    // when the newest report from there was received
 	CutOff   bool      `json:"cut_off"`  // the host is suspected dead, or the data centre is unreachable
--- a/cmd/vetchtrail/globals.go
+++ b/cmd/vetchtrail/globals.go
@@ -24,8 +24,8 @@
 // callTimeout bounds one subcommand's calls to the daemon, including the connection.
 const callTimeout = 20 * time.Second
 
-// globals holds the flags that every subcommand has. Its methods connect to the daemon
-// and print results.
+// globals holds the flags of every subcommand. Its methods connect to the daemon and
+// print results.
 type globals struct {
 	Daemon      netip.AddrPort `default:"127.0.0.1:7070" env:"VETCHTRAIL_DAEMON" help:"Peer address (listen.peers) of any daemon."`
 	Output      string         `enum:"text,json" default:"text" short:"o" help:"text for people, json for programs."`
@@ -123,8 +123,9 @@
 }
 
 // proposeOn proposes one change over an open connection and prints its result. If the
-// connection breaks, the change may have been accepted or not; the error then names the
-// id with which the same command settles it.
+// connection breaks, it is not known whether the change was accepted. The error then
+// contains the id of the change, with which the same command can be repeated to settle
+// the change.
 func (g *globals) proposeOn(ctx context.Context, client *operator.Client, f *changeFlags, edits []vetchtrail.Edit) error {
 	change := operator.NewChange(f.author(), f.Reason, f.ExpectRevision, edits)
 	if f.ChangeID != "" {
@@ -161,8 +162,8 @@
 	return "unknown"
 }
 
-// proposalError returns nil for an accepted proposal, and otherwise an error that says
-// what the operator can do.
+// proposalError returns nil for an accepted proposal. For any other it returns an error
+// with the reason and, where possible, what the operator can do.
 func proposalError(r *schema.ProposeReply, id string) error {
 	switch r.GetResult() {
 	case schema.ProposeReply_ACCEPTED:
--- a/cmd/vetchtrail/host.go
+++ b/cmd/vetchtrail/host.go
@@ -28,8 +28,8 @@
 // hostDrain makes the daemon leave the system and stop.
 type hostDrain struct{}
 
-// Run asks the daemon to leave and prints how many requests it still has in flight. It
-// doesn't wait for them.
+// Run requests the daemon to leave and prints how many requests it still has in flight.
+// It doesn't wait for them.
 func (c *hostDrain) Run(g *globals) error {
 	ctx, client, cleanup, err := g.dial()
 	if err != nil {
--- a/cmd/vetchtrail/losses.go
+++ b/cmd/vetchtrail/losses.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// second counts the requests of one second. Lost means any cause but
-// journal.CauseNone, late answers among them.
+// second counts the requests of one second. A request counts as lost with any cause but
+// journal.CauseNone; so late answers count as lost.
 type second struct {
 	second, all, lost int
 	regions, causes   map[string]int // lost requests by home region and by cause
--- a/cmd/vetchtrail/losses_test.go
+++ b/cmd/vetchtrail/losses_test.go
@@ -24,10 +24,10 @@
 	}}
 }
 
-// TestPrintLosses checks the printed tables: causes by route with the most frequent
-// first, the seconds with the most losses in chronological order, and the workspaces
-// with the highest share of losses first. A wrong sort order or count would lead an
-// operator to the wrong cause.
+// TestPrintLosses guards against wrong counts and a wrong order in the printed tables,
+// which would lead an operator to the wrong cause. Causes and routes must be sorted with
+// the most frequent first, the seconds with the most losses by time, and the workspaces
+// with the highest share of losses first.
 func TestPrintLosses(t *testing.T) {
 	var b bytes.Buffer
 	printLosses(&b, sampleLosses())
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestWriteLossesCSV checks that the CSV has a header line and one line for each row,
-// with the columns in the order of the header.
+// TestWriteLossesCSV guards against CSV columns that don't match the header. The output
+// must be the header line and one line for each row.
 func TestWriteLossesCSV(t *testing.T) {
 	var b bytes.Buffer
 	assert.NilError(t, writeLossesCSV(&b, sampleLosses()))
@@ -51,8 +51,8 @@
 	assert.Equal(t, len(lines), 5)
 }
 
-// TestPlotLosses checks that the plot is written with its legend, and that a file name
-// with an unknown format is an error.
+// TestPlotLosses guards against a plot without its legend, and against a file name with
+// an unknown format that is accepted.
 func TestPlotLosses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a.svg")
 	assert.NilError(t, plotLosses(sampleLosses(), file))
--- a/cmd/vetchtrail/main.go
+++ b/cmd/vetchtrail/main.go
@@ -1,6 +1,6 @@
 // Command vetchtrail is the operators' command-line tool. It calls the operators' API
 // of any daemon to show the system's state and to change its configuration. The
-// commands trace, losses and settings check read files instead and call no daemon.
+// subcommands trace, losses and settings check read files and call no daemon.
 package main
 
 import (
--- a/cmd/vetchtrail/quarantine.go
+++ b/cmd/vetchtrail/quarantine.go
@@ -37,7 +37,7 @@
 	return g.print(reply, func(w *tabwriter.Writer) {
 		_, _ = fmt.Fprintln(w, "REQUEST\tSTATE\tENDPOINTS ENDED\tTIMES HELD\tSINCE\tUNTIL")
 		for _, h := range reply.GetHolds() {
-			_, _ = fmt.Fprintf(w, "%x\t%s\t%d\t%d\t%s\t%s\n", h.GetDigest(), holdState(h), h.GetEnds(), h.GetStrike(),
+			_, _ = fmt.Fprintf(w, "%x\t%s\t%d\t%d\t%s\t%s\n", h.GetDigest(), entryState(h), h.GetEnds(), h.GetStrike(),
 				now.Add(-time.Duration(h.GetAge())).Format(time.TimeOnly), now.Add(time.Duration(h.GetRemaining())).Format(time.TimeOnly))
 		}
 		for _, s := range reply.GetSuspects() {
@@ -46,9 +46,9 @@
 	})
 }
 
-// holdState returns the state column of a quarantine entry: released, expired or
+// entryState returns the state column of a quarantine entry: released, expired or
 // in force.
-func holdState(h *schema.Hold) string {
+func entryState(h *schema.Hold) string {
 	switch {
 	case h.GetReleased():
 		return "let go"
--- a/cmd/vetchtrail/status.go
+++ b/cmd/vetchtrail/status.go
@@ -53,8 +53,8 @@
 }
 
 // formatAvailability returns three columns: the source of the information that an
-// endpoint is leaving, since when its responses have announced that, and for how long
-// the endpoint has paused requests from the daemon's host.
+// endpoint is leaving, the time since its responses first announced that, and the
+// remaining time of a pause that the endpoint requested from the daemon's host.
 func formatAvailability(e *schema.EndpointStatus, now time.Time) string {
 	by, since, pause := e.GetLeavingBy(), "-", "-"
 	if by == "" {
@@ -79,7 +79,7 @@
 }
 
 // formatAge formats a Unix time in nanoseconds as the time that has passed since. 0
-// stands for never.
+// means never.
 func formatAge(nanos int64) string {
 	if nanos == 0 {
 		return "never"
--- a/cmd/vetchtrail/trace.go
+++ b/cmd/vetchtrail/trace.go
@@ -36,8 +36,8 @@
 	return g.print(h, func(w *tabwriter.Writer) { printHistory(w, h) })
 }
 
-// openLogs opens log files for reading; the name - stands for standard input. The
-// returned function closes the files.
+// openLogs opens log files for reading; the name - means standard input. The returned
+// function closes the files.
 func openLogs(names []string) (logs []io.Reader, cleanup func(), err error) {
 	var files []*os.File
 	cleanup = func() {
@@ -62,7 +62,8 @@
 }
 
 // printHistory prints the lines about a request, each with the time since the first
-// one, then what the hosts learned of its endpoints at that time, and a conclusion.
+// line. Below them it prints the lines about the state of endpoints and data centres from
+// that time, and a conclusion.
 func printHistory(w io.Writer, h *journal.History) {
 	start := h.Lines[0].Time
 	sinceStart := func(l *journal.Line) string { return fmt.Sprintf("%+.3fs", l.Time.Sub(start).Seconds()) }
--- a/cmd/vetchtrail/workspace.go
+++ b/cmd/vetchtrail/workspace.go
@@ -53,8 +53,8 @@
 
 // updateWorkspace reads a workspace, applies edit to it and proposes the result. With
 // allowNew, a workspace that doesn't exist is added. The proposal for an existing
-// workspace is refused if the configuration changes after it was read, so that a key
-// which another operator adds meanwhile is not lost.
+// workspace is refused if the configuration changes after it was read. Otherwise a key
+// that another operator adds meanwhile would be lost.
 func (g *globals) updateWorkspace(f *changeFlags, name string, allowNew bool, edit func(*vetchtrail.Workspace) error) error {
 	ctx, client, cleanup, err := g.dial()
 	if err != nil {
--- a/cmd/vetchtraild/reload.go
+++ b/cmd/vetchtraild/reload.go
@@ -12,8 +12,8 @@
 	"vetchtrail/process/settings"
 )
 
-// filePollInterval is how often the settings file is checked for changes that come
-// without a SIGHUP. None of the settings that can be reloaded is urgent.
+// filePollInterval is the time between two checks whether the settings file has changed
+// without a SIGHUP. It can be long, as no setting that can be reloaded is urgent.
 const filePollInterval = 5 * time.Second
 
 // reloader reloads the settings file on SIGHUP and when its modification time
--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -56,8 +56,8 @@
 	return d.Run(ctx)
 }
 
-// memoryLimitShare is the share of the configured memory that is set as the Go
-// runtime's soft memory limit. The rest is for memory that the runtime doesn't count.
+// memoryLimitShare is the share of the configured memory that becomes the Go runtime's
+// soft memory limit. The rest is for memory that the runtime doesn't count.
 const memoryLimitShare = 0.6
 
 // gcPercent is the heap growth, relative to the live heap, at which the garbage
@@ -108,8 +108,8 @@
 	return slog.New(slog.NewTextHandler(out, options))
 }
 
-// setLevel sets the configured log level. An unknown level counts as info, because the
-// check of the settings file doesn't look at the level.
+// setLevel sets the configured log level. It sets the level info for an unknown value, as
+// the check of the settings file accepts any level.
 func setLevel(l settings.Log, level *slog.LevelVar) {
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
 		level.Set(slog.LevelInfo)
