--- a/soak/announcements.go
+++ b/soak/announcements.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// leavingPropagation is how long the hosts of an engine's region may take to learn that the
-	// engine announces that it is leaving.
+	// leavingPropagation is the time that the hosts of an engine's region may take until they no
+	// longer send requests to the engine, after it announced that it is leaving.
 	leavingPropagation = 3 * time.Second
-	// minLeavingDuration and maxLeavingDuration bound how long an engine announces this, and
-	// leavingPause is the time until the next engine does.
+	// minLeavingDuration and maxLeavingDuration bound the time for which an engine announces
+	// that it is leaving. leavingPause is the time until the next engine announces something.
 	minLeavingDuration = 6 * time.Second
 	maxLeavingDuration = 12 * time.Second
 	leavingPause       = 2 * time.Second
-	// pauseSeconds is the time for which an engine that rejects requests asks hosts to pause: they
-	// send to other engines meanwhile.
+	// pauseSeconds is the Retry-After of an engine that rejects requests. Hosts must send
+	// requests to other engines for that time.
 	pauseSeconds = "3"
 )
 
 // announceAvailability makes one engine at a time announce that it is leaving, or reject requests
-// with a pause, until ctx ends. After that the engine acts as a process that has just started,
-// which announces nothing.
+// with a pause, until ctx ends. Afterwards the engine acts as a process that has just started
+// and announces nothing.
 func (c *checker) announceAvailability(ctx context.Context, rnd *rand.Rand) {
 	modelEngines := c.modelEngines()
 	for ctx.Err() == nil {
@@ -56,12 +56,12 @@
 
 // announce makes an engine announce its availability in its responses. It returns false if the
 // engine could not be reached.
-func (c *checker) announce(ctx context.Context, name string, w engine.Announcement) bool {
+func (c *checker) announce(ctx context.Context, name string, announcement engine.Announcement) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	addr, err := c.fleet.EndpointAddr(name)
 	if err == nil {
-		err = c.fleet.Client.Put(ctx, addr, "/words", w)
+		err = c.fleet.Client.Put(ctx, addr, "/words", announcement)
 	}
 	if err != nil {
 		c.note("announcement not set: engine not reached")
@@ -79,16 +79,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	var words engine.Announcement
+	var announced engine.Announcement
 	var list []ledger.Execution
 	addr, err := c.fleet.EndpointAddr(name)
 	if err == nil {
-		err = c.fleet.Client.Get(ctx, addr, "/words", &words)
+		err = c.fleet.Client.Get(ctx, addr, "/words", &announced)
 	}
 	if err == nil {
 		err = c.fleet.Client.Get(ctx, addr, "/arrivals", &list)
 	}
-	if err != nil || words.Leaving == "" { // the poison request crashed the engine meanwhile, and it restarted
+	if err != nil || announced.Leaving == "" { // the poison request crashed the engine meanwhile, and it restarted
 		c.note("leaving engine not checked: it crashed or was not reached")
 		return
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -29,13 +29,13 @@
 	text         string
 }
 
-// process is what the checker knows of a host's current process.
+// process describes a host's current process.
 type process struct {
-	number   int    // how many processes of the host have ended; identifies reports of an earlier one
+	number   int    // number of the host's processes that ended before; it distinguishes reports of earlier processes
 	revision uint64 // newest configuration revision that the process reported
 }
 
-// checker gathers what callers, endpoints and hosts report and checks the promises against it.
+// checker collects what callers, endpoints and hosts report, and checks the promises against it.
 // It is safe for concurrent use.
 type checker struct {
 	fleet     *fleet.Fleet
@@ -83,7 +83,8 @@
 	c.processes[host] = process{number: c.processes[host].number + 1}
 }
 
-// keepExecutions keeps the list of what an endpoint ran before its process is killed.
+// keepExecutions stores the executions that an endpoint recorded. It is called before the
+// endpoint's process is killed, as the next process starts with an empty record.
 func (c *checker) keepExecutions(ctx context.Context, endpoint string) error {
 	list, err := c.executions(ctx, endpoint)
 	if err != nil {
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// queryTimeout bounds a call by which the checker reads from or sets a host or endpoint.
+// queryTimeout bounds a call by which the checker reads from a host or endpoint, or sets what an
+// endpoint announces.
 const queryTimeout = 2 * time.Second
 
 // executions returns the requests that an endpoint's process has started.
@@ -117,15 +119,16 @@
 	return len(list), err
 }
 
-// noPropagationFault reports whether no fault was active in a span that may delay the news of a
-// drain: a fault of the store, of links or of hosts.
+// noPropagationFault reports whether no fault was active in a span that may delay the change by
+// which an endpoint is drained on its way to the hosts: a fault of the store, of links or of
+// hosts.
 func (c *checker) noPropagationFault(from, until time.Time) bool {
-	for _, e := range c.faults {
-		switch e.Kind {
+	for _, f := range c.faults {
+		switch f.Kind {
 		case EngineRefuses, EngineCutsStreams, EngineEndsEarly, EngineNonsense, EngineKill, EngineFreeze, PlainLosesResponses, EndpointDrain, LinkReset:
 			continue
 		}
-		if c.startedAt.Add(e.Start).Before(until) && c.startedAt.Add(e.End()+settleTime).After(from) {
+		if c.startedAt.Add(f.Start).Before(until) && c.startedAt.Add(f.End()+settleTime).After(from) {
 			return false
 		}
 	}
@@ -141,9 +144,9 @@
 			region = h.Region
 		}
 	}
-	for _, e := range c.faults {
-		mine := e.Target == host || e.Target == region || e.To == region
-		if mine && c.startedAt.Add(e.Start).Before(until) && c.startedAt.Add(e.End()+settleTime).After(from) {
+	for _, f := range c.faults {
+		mine := f.Target == host || f.Target == region || f.To == region
+		if mine && c.startedAt.Add(f.Start).Before(until) && c.startedAt.Add(f.End()+settleTime).After(from) {
 			return true
 		}
 	}
@@ -152,8 +155,8 @@
 
 // checkModelResponse checks the content, the order and the duration of a response to a model
 // request.
-func (c *checker) checkModelResponse(a client.Request, host string, began time.Time, r client.Result) {
-	want := a.ExpectedText()
+func (c *checker) checkModelResponse(req client.Request, host string, began time.Time, r client.Result) {
+	want := req.ExpectedText()
 	switch {
 	case r.Complete && r.Status == 200 && r.Text != want:
 		c.recordViolation("a complete response has the right content", "%s: got %q, want %q", host, r.Text, want)
@@ -161,8 +164,8 @@
 		c.recordViolation("a response that ends early does not look complete", "%s: ended without an error after %q", host, r.Text)
 	case len(r.Text) > len(want) || r.Text != want[:len(r.Text)]:
 		c.recordViolation("a stream arrives in order", "%s: %q is not a prefix of %q", host, r.Text, want)
-	case r.Took > a.Timeout+maxOverrun && !c.hostAffected(host, began, time.Now()):
-		c.recordViolation("a request ends by its deadline", "%s: took %s with a timeout of %s, outcome %q, error %v", host, r.Took, a.Timeout, r.Outcome, r.Err)
+	case r.Took > req.Timeout+maxOverrun && !c.hostAffected(host, began, time.Now()):
+		c.recordViolation("a request ends by its deadline", "%s: took %s with a timeout of %s, outcome %q, error %v", host, r.Took, req.Timeout, r.Outcome, r.Err)
 	}
 }
 
@@ -186,8 +189,8 @@
 	}
 }
 
-// checkRevision reads a host's revision and checks that its process hasn't gone back to an older
-// one.
+// checkRevision reads a host's revision and checks that it isn't older than the one that the same
+// process reported before.
 func (c *checker) checkRevision(ctx context.Context, host string) {
 	s, err := c.fleet.Settings(host)
 	if err != nil {
@@ -210,9 +213,9 @@
 	c.recordRevision(host, before, reply.GetRevision())
 }
 
-// recordRevision checks the revision that a host reported against before, the state of its process
-// that was known before the call, and records it. If the process has ended since, it ignores the
-// revision: either process may have sent it.
+// recordRevision records a revision that a host reported, and checks that it is not older than the
+// one in before, the state of the host's process as it was before the call. If the process has
+// ended since, it ignores the revision: either process may have sent it.
 func (c *checker) recordRevision(host string, before process, revision uint64) {
 	c.mu.Lock()
 	current := c.processes[host]
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -23,12 +23,12 @@
 	return &d
 }
 
-// TestPromiseChecks guards against checks that miss a broken promise or report one that holds:
-// each case gives the checker what a caller, an endpoint or a host may show, and the promise that
-// this breaks, if any.
+// TestPromiseChecks guards against checks that miss a broken promise, or report a promise as broken
+// that holds. Each case passes to the checker what a caller, an endpoint or a host may report, and
+// has the name of the promise that this breaks; empty: none.
 func TestPromiseChecks(t *testing.T) {
-	ask := client.Request{Prompt: "p", Tokens: 3, Timeout: time.Second}
-	want := ask.ExpectedText()
+	req := client.Request{Prompt: "p", Tokens: 3, Timeout: time.Second}
+	want := req.ExpectedText()
 	began := time.Now()
 	at := func(n int, outcome, text string) attempt {
 		return attempt{began: began.Add(time.Duration(n) * time.Second), outcome: outcome, text: text}
@@ -38,24 +38,24 @@
 		want    string
 	}{
 		"right content": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: want})
+			c.checkModelResponse(req, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: want})
 		}, ""},
 		"wrong content": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: "x"})
+			c.checkModelResponse(req, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: "x"})
 		}, "a complete response has the right content"},
 		"short response that looks complete": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: want[:2]})
+			c.checkModelResponse(req, "centre-1-1", began, client.Result{Status: 200, Complete: true, Text: want[:2]})
 		}, "a complete response has the right content"},
 		"cut response": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[:2], Err: io.ErrUnexpectedEOF})
+			c.checkModelResponse(req, "centre-1-1", began, client.Result{Status: 200, Text: want[:2], Err: io.ErrUnexpectedEOF})
 		}, ""},
 		"short response that ends without an error": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[:2]})
+			c.checkModelResponse(req, "centre-1-1", began, client.Result{Status: 200, Text: want[:2]})
 		}, "a response that ends early does not look complete"},
 		"events out of order": {func(c *checker) {
-			c.checkModelResponse(ask, "centre-1-1", began, client.Result{Status: 200, Text: want[2:4], Err: io.ErrUnexpectedEOF})
+			c.checkModelResponse(req, "centre-1-1", began, client.Result{Status: 200, Text: want[2:4], Err: io.ErrUnexpectedEOF})
 		}, "a stream arrives in order"},
-		"ends long after its deadline": {func(c *checker) { c.checkModelResponse(ask, "centre-1-1", began, client.Result{Took: time.Minute}) }, "a request ends by its deadline"},
+		"ends long after its deadline": {func(c *checker) { c.checkModelResponse(req, "centre-1-1", began, client.Result{Took: time.Minute}) }, "a request ends by its deadline"},
 		"runs once":                    {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "answered", "a")}, 1) }, ""},
 		"runs twice":                   {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "answered", "a")}, 2) }, "a keyed request runs at most once"},
 		"answered but never ran":       {func(c *checker) { c.checkKeyedRequest("k", []attempt{at(0, "answered", "a")}, 0) }, "an answered request ran"},
@@ -95,8 +95,9 @@
 	}
 }
 
-// TestSchedule guards against a failed seed that can't be repeated, two faults on one resource at
-// a time, of which the end of one would clear the other, and kinds of fault that never occur.
+// TestSchedule guards against a schedule that differs from run to run, so that a failed seed can't
+// be repeated. It also guards against two faults on one resource at a time, as the end of one would
+// clear the other, and against kinds of fault that never occur.
 func TestSchedule(t *testing.T) {
 	const seed, length, rate = 7, 30 * time.Minute, 1
 	d := smallDeployment(t)
@@ -105,16 +106,16 @@
 	assert.Assert(t, len(faults) > 500, "%d", len(faults))
 	kinds := map[Kind]bool{}
 	last := map[string]time.Duration{}
-	for _, e := range faults {
-		kinds[e.Kind] = true
-		assert.Assert(t, e.Start >= last[e.resource()], "%v", e)
-		last[e.resource()] = e.End()
+	for _, f := range faults {
+		kinds[f.Kind] = true
+		assert.Assert(t, f.Start >= last[f.resource()], "%v", f)
+		last[f.resource()] = f.End()
 	}
 	assert.Equal(t, len(kinds), len(faultWeights))
 }
 
-// TestConfigBounds guards against a run that starts with values out of bounds, or an error that
-// doesn't name the value.
+// TestConfigBounds guards against a run that starts with values out of bounds, and against an error
+// that doesn't name the value.
 func TestConfigBounds(t *testing.T) {
 	spec := smallDeployment(t).Spec
 	cases := map[string]struct {
--- a/soak/driver.go
+++ b/soak/driver.go
@@ -15,7 +15,7 @@
 	modelTimeout     = 6 * time.Second // timeout of a model request
 	maxTokens        = 40
 	promptCount      = 60                    // different prompts; few, so that requests share cached prefixes
-	maxKeyedAttempts = 3                     // of one keyed request
+	maxKeyedAttempts = 3                     // at one keyed request
 	maxPause         = 60 * time.Millisecond // between two requests of a caller
 	// hostDownPause is how long a driver waits after a host did not respond.
 	hostDownPause = 300 * time.Millisecond
@@ -24,7 +24,7 @@
 // Tally counts things by their name, such as requests by outcome.
 type Tally map[string]int
 
-// driver is a caller that sends one request after the other. It keeps its connections until the
+// driver is a caller that sends one request after the other. It reuses its connections until the
 // process of their host ends.
 type driver struct {
 	d             *deployment.Deployment
@@ -33,7 +33,7 @@
 	rnd           *rand.Rand
 	homeHost      int                                // index of the host that gets most of its requests
 	outcomes      Tally                              // of its own requests
-	recordOutcome func(at time.Time, outcome string) // adds an outcome to the timeline
+	recordOutcome func(at time.Time, outcome string) // adds an outcome to the report's timeline
 }
 
 // run sends requests until ctx ends: four of ten are streamed model requests, two model requests
@@ -62,16 +62,16 @@
 // sendModelRequest sends a model request with a random prompt and length, and checks the response.
 func (v *driver) sendModelRequest(ctx context.Context, host int, stream bool, workspace string) {
 	h := v.d.Hosts[host]
-	a := client.Request{
+	req := client.Request{
 		Host: h.Listen.Callers, Service: v.d.Spec.Model.Name, Workspace: workspace, Stream: stream, Timeout: modelTimeout,
 		Prompt: fmt.Sprintf("a drawing with the number %d", v.rnd.IntN(promptCount)), Tokens: 1 + v.rnd.IntN(maxTokens),
 	}
 	began := time.Now()
-	r := v.client.Do(ctx, a)
+	r := v.client.Do(ctx, req)
 	if ctx.Err() != nil {
 		return
 	}
-	v.checks.checkModelResponse(a, h.Host, began, r)
+	v.checks.checkModelResponse(req, h.Host, began, r)
 	v.countOutcome(ctx, r)
 }
 
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// addedDelay is what a slow link or store adds to each transfer or call.
+	// addedDelay is the delay that a slow link adds to each transfer, and a slow store to each
+	// call.
 	addedDelay = 300 * time.Millisecond
 	// eventsBeforeCut is the number of events after which an engine cuts its streams or ends them
 	// early.
@@ -34,47 +35,47 @@
 }
 
 // run injects a fault, waits for its duration and clears it.
-func (j *injector) run(ctx context.Context, e Fault) error {
-	switch e.Kind {
+func (j *injector) run(ctx context.Context, fault Fault) error {
+	switch fault.Kind {
 	case HostKill:
-		return j.killHost(ctx, e)
+		return j.killHost(ctx, fault)
 	case HostStop:
-		return j.stopHosts(ctx, e, []string{e.Target})
+		return j.stopHosts(ctx, fault, []string{fault.Target})
 	case RegionStop:
-		return j.stopHosts(ctx, e, j.hostsInRegion(e.Target))
+		return j.stopHosts(ctx, fault, j.hostsInRegion(fault.Target))
 	case HostFreeze, EngineFreeze:
-		return j.freeze(ctx, e)
+		return j.freeze(ctx, fault)
 	case EngineKill:
-		return j.killEngine(ctx, e)
+		return j.killEngine(ctx, fault)
 	case EndpointDrain:
-		return j.drain(ctx, e)
+		return j.drain(ctx, fault)
 	}
-	set, clear := j.faultCalls(ctx, e)
+	set, clear := j.faultCalls(ctx, fault)
 	if err := set(); err != nil {
 		return err
 	}
-	sleep(ctx, e.Duration)
+	sleep(ctx, fault.Duration)
 	return clear()
 }
 
 // faultCalls returns the functions that set and clear a fault by a call to a stand-in.
-func (j *injector) faultCalls(ctx context.Context, e Fault) (set, clear func() error) {
-	linkFault := func(t link.Fault) func() error {
-		return func() error { return j.fleet.SetLinkFault(context.WithoutCancel(ctx), e.Target, e.To, t) }
+func (j *injector) faultCalls(ctx context.Context, fault Fault) (set, clear func() error) {
+	linkFault := func(lf link.Fault) func() error {
+		return func() error { return j.fleet.SetLinkFault(context.WithoutCancel(ctx), fault.Target, fault.To, lf) }
 	}
 	storeFault := func(f kv.Faults) func() error {
 		return func() error { return j.fleet.Client.Put(context.WithoutCancel(ctx), j.d.Store, "/faults", f) }
 	}
 	endpointFault := func(f any) func() error {
 		return func() error {
-			addr, err := j.fleet.EndpointAddr(e.Target)
+			addr, err := j.fleet.EndpointAddr(fault.Target)
 			if err != nil {
 				return err
 			}
 			return j.putFaults(context.WithoutCancel(ctx), addr, f)
 		}
 	}
-	switch e.Kind {
+	switch fault.Kind {
 	case LinkCut:
 		return linkFault(link.Fault{Cut: true}), linkFault(link.Fault{})
 	case LinkCutOneWay:
@@ -102,12 +103,12 @@
 	case PlainLosesResponses:
 		return endpointFault(plain.Faults{LoseAnswers: responsesLost}), endpointFault(plain.Faults{})
 	}
-	unknown := func() error { return errors.Errorf("soak: unknown fault %s", e.Kind) }
+	unknown := func() error { return errors.Errorf("soak: unknown fault %s", fault.Kind) }
 	return unknown, unknown
 }
 
-// putFaults sets the faults of an endpoint. It retries for twice poisonRestartDelay: the poison
-// request may just have crashed the endpoint, which then listens again.
+// putFaults sets the faults of an endpoint. It retries for twice poisonRestartDelay, in case the
+// poison request has just crashed the endpoint: it listens again after poisonRestartDelay.
 func (j *injector) putFaults(ctx context.Context, addr netip.AddrPort, f any) error {
 	for attempts := 0; ; attempts++ {
 		err := j.fleet.Client.Put(ctx, addr, "/faults", f)
@@ -118,6 +119,7 @@
 	}
 }
 
+// hostsInRegion returns the names of a region's hosts.
 func (j *injector) hostsInRegion(region string) []string {
 	var out []string
 	for _, h := range j.d.Hosts {
@@ -129,17 +131,17 @@
 }
 
 // killHost kills a host's process and starts another after the fault's duration.
-func (j *injector) killHost(ctx context.Context, e Fault) error {
-	if err := j.fleet.Kill(e.Target); err != nil {
+func (j *injector) killHost(ctx context.Context, fault Fault) error {
+	if err := j.fleet.Kill(fault.Target); err != nil {
 		return err
 	}
-	j.checks.processEnded(e.Target)
-	sleep(ctx, e.Duration)
-	return j.fleet.StartHost(e.Target)
+	j.checks.processEnded(fault.Target)
+	sleep(ctx, fault.Duration)
+	return j.fleet.StartHost(fault.Target)
 }
 
 // stopHosts stops hosts gracefully, all at once, and starts them again after the fault's duration.
-func (j *injector) stopHosts(ctx context.Context, e Fault, names []string) error {
+func (j *injector) stopHosts(ctx context.Context, fault Fault, names []string) error {
 	var stops conc.WaitGroup
 	errs := make([]error, len(names))
 	for i, name := range names {
@@ -154,7 +156,7 @@
 			j.checks.recordViolation("a host that is told to stop exits cleanly", "%s: %s", name, errs[i])
 		}
 	}
-	sleep(ctx, e.Duration)
+	sleep(ctx, fault.Duration)
 	for _, name := range names {
 		if err := j.fleet.StartHost(name); err != nil {
 			return err
@@ -164,31 +166,31 @@
 }
 
 // freeze suspends a process for the fault's duration.
-func (j *injector) freeze(ctx context.Context, e Fault) error {
-	if err := j.fleet.Suspend(e.Target); err != nil {
+func (j *injector) freeze(ctx context.Context, fault Fault) error {
+	if err := j.fleet.Suspend(fault.Target); err != nil {
 		return err
 	}
-	sleep(ctx, e.Duration)
-	return j.fleet.Resume(e.Target)
+	sleep(ctx, fault.Duration)
+	return j.fleet.Resume(fault.Target)
 }
 
-// killEngine kills an engine and starts it again. It first keeps the engine's records of what it
-// ran, which a new process starts without.
-func (j *injector) killEngine(ctx context.Context, e Fault) error {
-	if err := j.checks.keepExecutions(ctx, e.Target); err != nil {
+// killEngine kills an engine and starts it again. It first reads the engine's records of its
+// requests, as the new process starts with empty records.
+func (j *injector) killEngine(ctx context.Context, fault Fault) error {
+	if err := j.checks.keepExecutions(ctx, fault.Target); err != nil {
 		return err
 	}
-	j.checks.keepPoisonArrivals(ctx, e.Target)
-	if err := j.fleet.Kill(e.Target); err != nil {
+	j.checks.keepPoisonArrivals(ctx, fault.Target)
+	if err := j.fleet.Kill(fault.Target); err != nil {
 		return err
 	}
-	sleep(ctx, e.Duration)
-	return j.fleet.StartEndpoint(e.Target)
+	sleep(ctx, fault.Duration)
+	return j.fleet.StartEndpoint(fault.Target)
 }
 
 const (
 	// drainPropagation is the time after an accepted drain from which on the endpoint must get no
-	// new requests: the users' bound of 5 s, and what a busy machine adds.
+	// new requests: the users' bound of 5 s, and an allowance for a busy machine.
 	drainPropagation = 6500 * time.Millisecond
 	// drainObservation is how long the endpoint is then observed.
 	drainObservation = 1500 * time.Millisecond
@@ -196,21 +198,21 @@
 
 // drain drains an endpoint by the operators' tool, checks that it gets no new requests, and
 // undrains it.
-func (j *injector) drain(ctx context.Context, e Fault) error {
+func (j *injector) drain(ctx context.Context, fault Fault) error {
 	began := time.Now()
-	if out, err := j.fleet.Tool(ctx, j.d.Hosts[0].Host, "endpoint", "drain", e.Target); err != nil {
+	if out, err := j.fleet.Tool(ctx, j.d.Hosts[0].Host, "endpoint", "drain", fault.Target); err != nil {
 		j.checks.note("drain not accepted: " + out)
 		return nil // the store or the host may be down
 	}
 	sleep(ctx, drainPropagation)
-	before, err := j.checks.executionCount(ctx, e.Target)
+	before, err := j.checks.executionCount(ctx, fault.Target)
 	sleep(ctx, drainObservation)
-	after, err2 := j.checks.executionCount(ctx, e.Target)
+	after, err2 := j.checks.executionCount(ctx, fault.Target)
 	if err == nil && err2 == nil && after > before && j.checks.noPropagationFault(began, time.Now()) {
-		j.checks.recordViolation("a drained endpoint gets no new requests", "%s: started %d requests, %s after the drain", e.Target, after-before, time.Since(began))
+		j.checks.recordViolation("a drained endpoint gets no new requests", "%s: started %d requests, %s after the drain", fault.Target, after-before, time.Since(began))
 	}
 	for ctx.Err() == nil {
-		if _, err = j.fleet.Tool(ctx, j.d.Hosts[len(j.d.Hosts)-1].Host, "endpoint", "undrain", e.Target); err == nil {
+		if _, err = j.fleet.Tool(ctx, j.d.Hosts[len(j.d.Hosts)-1].Host, "endpoint", "undrain", fault.Target); err == nil {
 			return nil
 		}
 		sleep(ctx, time.Second)
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -14,10 +14,11 @@
 	// engine takes to listen again.
 	poisonPrompt       = "the drawing that ends its reader"
 	poisonRestartDelay = 700 * time.Millisecond
-	// poisonRetryInterval is the pause of its caller between two attempts.
+	// poisonRetryInterval is the pause between two attempts of the caller of the poison request.
+	// An injector also waits so long between two attempts to set the faults of an endpoint.
 	poisonRetryInterval = 300 * time.Millisecond
-	// crashesPerRegion is how many crashes a region without contact to the others needs before it
-	// quarantines the request.
+	// crashesPerRegion is the number of crashes after which a region quarantines the request
+	// without information from the other regions.
 	crashesPerRegion = 3
 )
 
@@ -57,16 +58,16 @@
 	if err != nil {
 		return 0
 	}
-	var l engine.CrashHistory
-	if c.fleet.Client.Get(ctx, addr, "/life", &l) != nil {
+	var history engine.CrashHistory
+	if c.fleet.Client.Get(ctx, addr, "/life", &history) != nil {
 		c.note("poison arrivals not read: engine not reached")
 	}
-	return len(l.PoisonRequests)
+	return len(history.PoisonRequests)
 }
 
 // checkPoisonArrivals checks how often the poison request reached engines. Each region may need
-// crashesPerRegion crashes to quarantine it by itself. Each fault that makes a host lose its
-// state, or miss a message about the quarantine, allows for one arrival more.
+// crashesPerRegion crashes to quarantine it by itself. Each fault by which a host may lose its
+// state, or miss a message about the quarantine, allows one arrival more.
 func (c *checker) checkPoisonArrivals(ctx context.Context) {
 	for _, e := range c.d.Document.Endpoints {
 		if e.Service == c.d.Spec.Model.Name {
@@ -74,8 +75,8 @@
 		}
 	}
 	bound := crashesPerRegion * len(c.d.Spec.Regions)
-	for _, e := range c.faults {
-		switch e.Kind {
+	for _, f := range c.faults {
+		switch f.Kind {
 		case EngineKill, EngineFreeze, EngineRefuses, EngineCutsStreams, EngineEndsEarly, EngineNonsense, PlainLosesResponses, EndpointDrain, LinkSlow, LinkReset:
 		default:
 			bound++
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -16,16 +16,17 @@
 	rateWindow    = 4 * time.Second
 	rateTolerance = 1.5
 	rateAllowance = 5
-	// ratePropagation is how long the hosts of the engine's region may take to learn of a rate
-	// limit: the time of a response and a heartbeat.
+	// ratePropagation is the time that the hosts of the engine's region may take to receive a rate
+	// limit: one host receives it with a response, the others with that host's next heartbeat.
 	ratePropagation = 2 * time.Second
-	// minRateDuration and maxRateDuration bound how long an engine advertises a rate limit, and
-	// ratePause is the time until the next engine does.
+	// minRateDuration and maxRateDuration bound the time for which an engine advertises a rate
+	// limit. ratePause is the time until the next engine advertises one.
 	minRateDuration = 8 * time.Second
 	maxRateDuration = 14 * time.Second
 	ratePause       = time.Second
-	// newHostAllowance is how many requests a host that has just started may send in addition: it
-	// learns of the rate limit only from its first response or another host's first heartbeat.
+	// newHostAllowance is the number of requests that a host that has just started may send in
+	// addition: it receives the rate limit, or the announcement that an engine is leaving, only
+	// with its first response or with the first heartbeat of another host.
 	newHostAllowance = 5
 )
 
@@ -37,8 +38,8 @@
 	from, until time.Time
 }
 
-// advertiseRateLimits makes one engine at a time advertise a rate limit, until ctx ends. Then no
-// engine does.
+// advertiseRateLimits makes one engine at a time advertise a rate limit, until ctx ends. After that
+// no engine advertises one.
 func (c *checker) advertiseRateLimits(ctx context.Context, rnd *rand.Rand) {
 	modelEngines := c.modelEngines()
 	for ctx.Err() == nil {
@@ -91,8 +92,8 @@
 	}
 }
 
-// checkRateLimit checks one rate limit in every rateWindow of the time in which it was advertised
-// and known.
+// checkRateLimit checks one rate limit in each rateWindow, from ratePropagation after its first
+// advertisement to its last.
 func (c *checker) checkRateLimit(n advertised, runs []ledger.Execution) {
 	var starts []time.Time
 	for _, e := range runs {
@@ -115,22 +116,23 @@
 }
 
 // engineInterrupted reports whether an engine was killed or frozen in the span of n. A frozen
-// engine records what it was sent in one burst when it resumes, which would look like too many.
+// engine records the requests that it received meanwhile all at once when it resumes. The check
+// would take this burst for a violation of the limit.
 func (c *checker) engineInterrupted(n advertised) bool {
-	return slices.ContainsFunc(c.faults, func(e Fault) bool {
-		hit := e.Target == n.engine && (e.Kind == EngineKill || e.Kind == EngineFreeze)
-		return hit && c.startedAt.Add(e.Start).Before(n.until) && c.startedAt.Add(e.End()+settleTime).After(n.from)
+	return slices.ContainsFunc(c.faults, func(f Fault) bool {
+		hit := f.Target == n.engine && (f.Kind == EngineKill || f.Kind == EngineFreeze)
+		return hit && c.startedAt.Add(f.Start).Before(n.until) && c.startedAt.Add(f.End()+settleTime).After(n.from)
 	})
 }
 
 // hostStarts returns how many hosts may have started, or resumed after a freeze, in a span.
 func (c *checker) hostStarts(from, until time.Time) int {
 	n := 0
-	for _, e := range c.faults {
-		if end := c.startedAt.Add(e.End()); end.Add(settleTime).Before(from) || end.After(until) {
+	for _, f := range c.faults {
+		if end := c.startedAt.Add(f.End()); end.Add(settleTime).Before(from) || end.After(until) {
 			continue
 		}
-		switch e.Kind {
+		switch f.Kind {
 		case HostKill, HostStop, HostFreeze:
 			n++
 		case RegionStop:
--- a/soak/report.go
+++ b/soak/report.go
@@ -19,8 +19,8 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(w, "seed\t%d\nfaults\t%d\n", r.Seed, len(r.Faults))
 	kinds := Tally{}
-	for _, e := range r.Faults {
-		kinds[string(e.Kind)]++
+	for _, f := range r.Faults {
+		kinds[string(f.Kind)]++
 	}
 	for _, list := range []struct {
 		name  string
@@ -86,12 +86,12 @@
 // addFaultBars adds a bar for each fault, in one row for each kind.
 func (r *Report) addFaultBars(p *plot.Plot) error {
 	rows := map[Kind]int{}
-	for _, e := range r.Faults {
-		if _, ok := rows[e.Kind]; !ok {
-			rows[e.Kind] = len(rows) + 1
+	for _, f := range r.Faults {
+		if _, ok := rows[f.Kind]; !ok {
+			rows[f.Kind] = len(rows) + 1
 		}
-		y := -float64(rows[e.Kind]) * rowHeight
-		l, err := plotter.NewLine(plotter.XYs{{X: e.Start.Seconds(), Y: y}, {X: e.End().Seconds(), Y: y}})
+		y := -float64(rows[f.Kind]) * rowHeight
+		l, err := plotter.NewLine(plotter.XYs{{X: f.Start.Seconds(), Y: y}, {X: f.End().Seconds(), Y: y}})
 		if err != nil {
 			return errors.Wrap(err, "soak.Plot")
 		}
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -60,8 +60,8 @@
 
 const (
 	faultFreeStart = 2 * time.Second // from the start of the run to its first fault
-	// minFaultDuration and maxFaultDuration bound a fault. The maximum is well above the few
-	// seconds after which the other hosts take a silent host for dead.
+	// minFaultDuration and maxFaultDuration bound the duration of a fault. The maximum is well
+	// above the few seconds after which the other hosts regard a silent host as dead.
 	minFaultDuration = 200 * time.Millisecond
 	maxFaultDuration = 6 * time.Second
 	// drainDuration is how long an endpoint is drained. It covers drainPropagation, after which
@@ -69,9 +69,9 @@
 	drainDuration = 9 * time.Second
 )
 
-// Schedule draws the faults of a run at random, at an average of faultsPerSecond, and drops
-// those that would affect a resource while another fault does. The others may overlap in time.
-// The same seed and deployment give the same schedule.
+// Schedule draws the faults of a run at random, at an average of faultsPerSecond. It drops a fault
+// that would affect a resource while another fault affects it; faults of different resources may
+// overlap in time. The same seed and deployment give the same schedule.
 func Schedule(seed uint64, length time.Duration, faultsPerSecond float64, d *deployment.Deployment) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, seed>>7))
 	total := 0
@@ -89,6 +89,7 @@
 	return out
 }
 
+// pickKind draws a kind of fault by faultWeights, whose sum is total.
 func pickKind(rnd *rand.Rand, total int) Kind {
 	n := rnd.IntN(total)
 	for _, w := range faultWeights {
@@ -124,6 +125,7 @@
 	}
 }
 
+// pickEndpoint draws an endpoint of a service.
 func pickEndpoint(rnd *rand.Rand, d *deployment.Deployment, service string) string {
 	var names []string
 	for _, e := range d.Document.Endpoints {
@@ -143,8 +145,9 @@
 	})
 }
 
-// settleTime is how long no fault affects a resource again after a fault on it was cleared, and
-// how long checks still count a cleared fault as active. A graceful stop takes about a second.
+// settleTime is the time after the end of a fault in which no other fault affects the same
+// resource, and in which checks still count the fault as active. It covers a graceful stop, which
+// takes about a second.
 const settleTime = 2 * time.Second
 
 // stopsTargetOf reports whether f stops all hosts of a region and other affects one of these
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,7 +1,8 @@
 // Package soak runs a deployment of the real programs, as separate processes on this machine,
-// under a random schedule of faults and under requests of many callers. It checks the promises
-// of docs/PROOFS.md from what callers and endpoints see and from the configuration revisions
-// that hosts report. It doesn't measure performance: standin/loadrun and standin/capacity do.
+// while it injects random faults and many callers send requests. It checks the promises of
+// docs/PROOFS.md against the responses that callers receive, the requests that endpoints record
+// and the configuration revisions that hosts report. It doesn't measure performance:
+// standin/loadrun and standin/capacity do.
 package soak
 
 import (
@@ -27,7 +28,7 @@
 	Seed           uint64        // of the schedule of faults and of the requests
 	RunLength      time.Duration // how long faults are injected
 	FaultRate      float64       // faults a second
-	CallersPerHost int           // for each host
+	CallersPerHost int           // callers that send most of their requests to one host
 	Spec           deployment.Spec
 	Binaries       string    // directory of the programs
 	Directory      string    // for settings files and logs
@@ -41,7 +42,7 @@
 	Announcements bool
 }
 
-// Bounds of a run: what one machine can run, and how long a person waits for it.
+// These limits of a run let one machine run the processes, and a person wait for the result.
 const (
 	maxRunLength      = 2 * time.Hour
 	maxProcesses      = 200
@@ -135,8 +136,8 @@
 	}
 	for _, h := range d.Hosts {
 		err := f.Await(ctx, h.Host+" ready", func() bool {
-			ask := client.Request{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1, Timeout: modelTimeout}
-			return f.Client.Get(ctx, h.Listen.Callers, "/readyz", nil) == nil && f.Client.Do(ctx, ask).Status == 200
+			req := client.Request{Host: h.Listen.Callers, Service: d.Spec.Model.Name, Prompt: "x", Tokens: 1, Timeout: modelTimeout}
+			return f.Client.Get(ctx, h.Listen.Callers, "/readyz", nil) == nil && f.Client.Do(ctx, req).Status == 200
 		})
 		if err != nil {
 			return err
@@ -156,8 +157,8 @@
 	report *Report
 }
 
-// execute starts the callers, injects the faults at their times, and fills the report. It waits
-// until the deployment has had time to recover before it stops the callers.
+// execute starts the callers, injects the faults at their times, and fills in the report. It
+// stops the callers only after the deployment has had time to recover from the last fault.
 func (r *run) execute(ctx context.Context) error {
 	callersCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -188,11 +189,11 @@
 		faults.Go(func() { r.checks.announceAvailability(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<22))) })
 	}
 	errs := make(chan error, len(r.report.Faults)+1)
-	for _, e := range r.report.Faults {
+	for _, f := range r.report.Faults {
 		faults.Go(func() {
-			sleep(ctx, time.Until(r.checks.startedAt.Add(e.Start)))
-			if err := (&injector{r.fleet, r.d, r.checks}).run(ctx, e); err != nil {
-				errs <- errors.Wrapf(err, "soak: %s %s", e.Kind, e.Target)
+			sleep(ctx, time.Until(r.checks.startedAt.Add(f.Start)))
+			if err := (&injector{r.fleet, r.d, r.checks}).run(ctx, f); err != nil {
+				errs <- errors.Wrapf(err, "soak: %s %s", f.Kind, f.Target)
 			}
 		})
 	}
@@ -247,12 +248,13 @@
 }
 
 const (
-	// recoveryTime is how long after the last fault the system may take to recover: a dead host
-	// is removed after some seconds, and a failed endpoint gets a request again after up to 8 s.
+	// recoveryTime is the time that the system may take to recover from the last fault: hosts
+	// remove a dead host after some seconds, and send a request to a failed endpoint again after
+	// up to 8 s.
 	recoveryTime = 15 * time.Second
 	// minAnsweredShare is the share of requests that must be answered after recoveryTime.
 	minAnsweredShare = 0.95
-	// recoverySample is how long requests are counted for that share.
+	// recoverySample is the time for which requests are counted for that share.
 	recoverySample = 3 * time.Second
 )
 
