--- a/scenario/availability_test.go
+++ b/scenario/availability_test.go
@@ -12,19 +12,20 @@
 	"vetchtrail/standin/engine"
 )
 
-// leavingPropagation bounds how long a host may go on taking requests for an endpoint after it
+// leavingPropagation is the time for which a host may still send requests to an endpoint after it
 // relayed a response in which the endpoint announced that it is leaving.
 const leavingPropagation = 3 * time.Second
 
 // TestLeavingAnnouncement guards against an endpoint that announces in each response that it is
-// leaving and goes on getting as many requests as the others. Hosts relayed this header field to
-// callers unread; they knew of leaving endpoints from the platform's listing and from load reports
-// alone. The store was down, so that the endpoint could not write there, and both went on showing
-// it as not leaving. With a log line for the field, and no decision by it, all three hosts of the
-// region logged it within 57 ms of the first response that had it. Then they sent 564 to 630
-// requests each to the endpoint in 10 s, each decided and sent at once, at the first attempt. So the
-// cause was neither a host that didn't get the announcement, nor a late announcement, nor requests
-// that were decided before.
+// leaving, and still receives as many requests as the other endpoints. Hosts relayed this header
+// field to callers but did not read it: they used only the platform's listing and the load reports
+// to detect leaving endpoints. Both still showed the endpoint as not leaving, as the store was down
+// and the endpoint could not write to it.
+// Hosts that logged the field, but did not use it for decisions, showed that nothing else was the
+// cause. All three hosts of the region logged the field within 57 ms of the first response with it.
+// In the next 10 s each of them sent 564 to 630 requests to the endpoint, decided in that time and
+// sent at once, at the first attempt. So each host received the announcement, received it early,
+// and the requests were not older than the announcement.
 func TestLeavingAnnouncement(t *testing.T) {
 	t.Parallel()
 	x := newEngineRun(t)
@@ -39,7 +40,7 @@
 	time.Sleep(3 * time.Second)
 	stop()
 	all.Wait()
-	first := map[string]time.Time{} // when a host first relayed a response with the announcement
+	first := map[string]time.Time{} // time of the first response with the announcement that each host relayed
 	for _, p := range x.relayed {
 		if at, known := first[p.host]; p.engine == leaving && p.sentAt.After(announcedAt) && (!known || p.receivedAt.Before(at)) {
 			first[p.host] = p.receivedAt
@@ -54,9 +55,9 @@
 	arrivals := x.arrivalTimes(leaving)
 	t.Logf("%d hosts relayed the announcement, %d requests later than the bound, %d arrived after the announcement, %d after the restart, outcomes %v",
 		len(first), late, countBetween(arrivals, announcedAt, restartedAt), countAfter(arrivals, restartedAt), x.outcomes)
-	loggedAt, placed := x.firstLogged("endpoint says that it leaves", leaving)
+	loggedAt, decisionCounts := x.firstLogged("endpoint says that it leaves", leaving)
 	for host, at := range loggedAt {
-		t.Logf("%s logged it %s after the announcement and chose the endpoint for %d requests since", host, at.Sub(announcedAt), placed[host])
+		t.Logf("%s logged it %s after the announcement and chose the endpoint for %d requests since", host, at.Sub(announcedAt), decisionCounts[host])
 	}
 	assert.Assert(t, len(first) > 0, "no host relayed the announcement")
 	assert.Equal(t, late, 0)
@@ -65,19 +66,19 @@
 }
 
 const (
-	// pauseDuration is the pause that an engine asks for when it rejects requests. From
-	// pausePropagation after all hosts know of it until it is over, at most maxPausedRequests may
-	// reach the engine for each host.
+	// pauseDuration is the Retry-After of an engine that rejects requests. All hosts must have
+	// stopped sending requests to it pausePropagation after the last of them received this pause.
+	// From then until the end of the pause, at most maxPausedRequests may arrive for each host.
 	pauseDuration     = 12 * time.Second
 	pausePropagation  = 500 * time.Millisecond
 	maxPausedRequests = 2
 )
 
 // TestTurnedAway guards against a host that sends requests to an endpoint during a pause that the
-// endpoint asked for with status 503. Hosts kept to the pause for at most 5 s, as after any
-// rejection, and a later rejection with a shorter pause, or none, replaced it. All three hosts
-// logged the pause within 38 ms of its announcement, and the requests that came during the 12 s
-// came 5 s and 10 s later, from all hosts alike.
+// endpoint announced with status 503. Hosts observed the pause for at most 5 s, as after any
+// rejection, and a later rejection with a shorter pause, or with none, replaced it. All three hosts
+// logged the pause within 38 ms of its announcement. The requests in the 12 s of the pause arrived
+// 5 s and 10 s after the announcement, and all hosts sent some.
 func TestTurnedAway(t *testing.T) {
 	t.Parallel()
 	x := newEngineRun(t)
@@ -92,9 +93,9 @@
 	time.Sleep(4 * time.Second)
 	stop()
 	all.Wait()
-	loggedAt, placed := x.firstLogged("endpoint wants nothing for a time", pausing)
+	loggedAt, decisionCounts := x.firstLogged("endpoint wants nothing for a time", pausing)
 	for host, at := range loggedAt {
-		t.Logf("%s logged it %s after the announcement and chose the endpoint for %d requests since", host, at.Sub(announcedAt), placed[host])
+		t.Logf("%s logged it %s after the announcement and chose the endpoint for %d requests since", host, at.Sub(announcedAt), decisionCounts[host])
 	}
 	arrivals, allInformedAt := x.arrivalTimes(pausing), time.Time{}
 	for _, at := range loggedAt {
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -34,7 +34,7 @@
 	}
 	ts.Defer(func() {
 		closeFleet(s.fleet)
-		if keep := os.Getenv("VETCHTRAIL_KEEP"); keep != "" { // directory where logs are kept after the run
+		if keep := os.Getenv("VETCHTRAIL_KEEP"); keep != "" { // directory to which the logs are copied after the run
 			logs, _ := filepath.Glob(ts.MkAbs("*.log"))
 			for _, l := range logs {
 				text, _ := os.ReadFile(l)
@@ -141,14 +141,14 @@
 }
 
 // ask implements "ask NAME host=H [service= workspace= credential= tokens= stream= key= timeout=
-// window= stop= resume=OTHER prompt=]": it sends a model request and keeps the result as NAME. With
+// window= stop= resume=OTHER prompt=]": it sends a model request and stores the result as NAME. With
 // path=/… [method= body=] it sends a request to the plain service.
 func (s *script) ask(_ *testscript.TestScript, args []string) error {
 	s.sendRequest(args)
 	return nil
 }
 
-// sendRequest sends the request that the arguments of ask describe and records its result.
+// sendRequest sends the request that the arguments of ask describe, and stores its result.
 func (s *script) sendRequest(args []string) {
 	name, o := args[0], parseOptions(args[1:])
 	h, err := s.fleet.Settings(o["host"])
@@ -166,27 +166,27 @@
 		return
 	}
 	timeout, _ := time.ParseDuration(o["timeout"])
-	a := client.Request{
+	req := client.Request{
 		Host: h.Listen.Callers, Service: s.d.Spec.Model.Name, Workspace: o["workspace"], Prompt: o["prompt"], Tokens: o.number("tokens", 8),
 		Stream: o["stream"] == "true", Key: o["key"], Timeout: timeout, ResumeWindowSeconds: o.number("window", 0), StopAfter: o.number("stop", 0),
 		Credential: o["credential"],
 	}
 	if v, ok := o["service"]; ok {
-		a.Service = v
+		req.Service = v
 	}
 	if from, ok := o["resume"]; ok {
 		s.mu.Lock()
-		a.LastEventID = s.results[from].LastEventID
+		req.LastEventID = s.results[from].LastEventID
 		s.mu.Unlock()
 	}
-	s.recordResult(name, a, s.fleet.Client.Do(ctx, a))
+	s.recordResult(name, req, s.fleet.Client.Do(ctx, req))
 }
 
-// recordResult keeps a request and its result under the request's name.
-func (s *script) recordResult(name string, a client.Request, r client.Result) {
+// recordResult stores a request and its result under the request's name.
+func (s *script) recordResult(name string, req client.Request, r client.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requests[name], s.results[name] = a, r
+	s.requests[name], s.results[name] = req, r
 }
 
 // bg implements "bg NAME …": as ask, but it doesn't wait for the response.
@@ -216,9 +216,9 @@
 }
 
 // check implements "check NAME [status= outcome= reason= whole= right= region= retry= cut= where=
-// soon=SECONDS same=OTHER joined=OTHER]": it compares the result with the expected values. same:
-// the text equals the other result's; joined: the other text followed by this one is the answer to
-// the other request.
+// soon=SECONDS same=OTHER joined=OTHER]": it compares the result with the expected values. same: the
+// text is equal to that of the other result. joined: the other text followed by this one is the
+// answer to the other request.
 func (s *script) check(_ *testscript.TestScript, args []string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +226,7 @@
 	if !ok {
 		return fmt.Errorf("no result %s", args[0])
 	}
-	a := s.requests[args[0]]
+	req := s.requests[args[0]]
 	for k, want := range parseOptions(args[1:]) {
 		var got string
 		switch k {
@@ -239,7 +239,7 @@
 		case "whole":
 			got = strconv.FormatBool(r.Complete)
 		case "right":
-			got = strconv.FormatBool(a.IsCorrect(r))
+			got = strconv.FormatBool(req.IsCorrect(r))
 		case "region":
 			got = s.regionOf(r.Endpoint)
 		case "retry":
@@ -276,7 +276,7 @@
 }
 
 // until implements "until ask-arguments… -- check-arguments…": it sends requests, each with another
-// prompt, until the check holds.
+// prompt, until the check succeeds for one.
 func (s *script) until(ts *testscript.TestScript, args []string) error {
 	separator := 0
 	for separator < len(args) && args[separator] != "--" {
@@ -285,7 +285,7 @@
 	var last error
 	n := 0
 	err := s.fleet.Await(context.Background(), strings.Join(args, " "), func() bool {
-		n++ // another prompt each time: the same prompt prefers the endpoint that has it cached
+		n++ // another prompt each time, as hosts prefer the endpoint that has a prompt cached
 		s.sendRequest(append(append([]string{}, args[:separator]...), fmt.Sprintf("prompt=%d", n)))
 		last = s.check(ts, append([]string{args[0]}, args[separator+1:]...))
 		return last == nil
@@ -357,7 +357,7 @@
 	return fmt.Errorf("process: unknown action %s", args[0])
 }
 
-// get implements "get HOST PATH": a GET that must get status 200.
+// get implements "get HOST PATH": it sends a GET, which must be answered with status 200.
 func (s *script) get(_ *testscript.TestScript, args []string) error {
 	h, err := s.fleet.Settings(args[0])
 	if err != nil {
@@ -367,7 +367,7 @@
 }
 
 // repeat implements "repeat20 ask-arguments… -- check-arguments…": it sends twenty requests, and the
-// check must hold for each.
+// check must succeed for each.
 func (s *script) repeat(ts *testscript.TestScript, args []string) error {
 	separator := 0
 	for args[separator] != "--" {
--- a/scenario/config_history_test.go
+++ b/scenario/config_history_test.go
@@ -73,8 +73,8 @@
 	return m.ToModel()
 }
 
-// observedRevisions keeps the newest revision seen on each host, and a message for each host that
-// went back to an older one.
+// observedRevisions contains the newest revision seen on each host, and a message for each time that
+// a host went back to an older one.
 type observedRevisions struct {
 	mu          sync.Mutex
 	newest      map[string]uint64
@@ -91,10 +91,10 @@
 	x.newest[host] = max(revision, x.newest[host])
 }
 
-// TestConfigurationHistory tests promise 9. It guards against changes that get lost or applied
-// twice, and against hosts that go back to an older configuration: operators race at several hosts
-// while the store loses responses, limits its rate and is down, hosts are replaced and links are
-// cut. Meanwhile it watches the revisions of all ready hosts.
+// TestConfigurationHistory tests promise 9. It guards against changes that are lost or applied twice,
+// and against hosts that go back to an older configuration. Several operators propose changes at
+// different hosts at the same time, while the store loses responses, limits its rate or is down,
+// hosts are replaced and links are cut. The test reads the revisions of all ready hosts meanwhile.
 func TestConfigurationHistory(t *testing.T) {
 	const seed, length = 9, 15 * time.Second
 	t.Logf("seed %d", seed)
--- a/scenario/engine_run_test.go
+++ b/scenario/engine_run_test.go
@@ -131,11 +131,11 @@
 
 // announce makes an engine announce its availability in its responses and returns the time at which
 // it began.
-func (x *engineRun) announce(name string, w engine.Announcement) time.Time {
+func (x *engineRun) announce(name string, announcement engine.Announcement) time.Time {
 	x.t.Helper()
 	addr, err := x.f.EndpointAddr(name)
 	assert.NilError(x.t, err)
-	assert.NilError(x.t, x.f.Client.Put(x.ctx, addr, "/words", w))
+	assert.NilError(x.t, x.f.Client.Put(x.ctx, addr, "/words", announcement))
 	return time.Now()
 }
 
@@ -157,9 +157,9 @@
 
 // firstLogged returns, for each host that logged a message about an engine, the time of the first
 // such line and the number of decisions for this engine that the host logged since.
-func (x *engineRun) firstLogged(message, engineName string) (first map[string]time.Time, placed map[string]int) {
+func (x *engineRun) firstLogged(message, engineName string) (first map[string]time.Time, decisionCounts map[string]int) {
 	x.t.Helper()
-	first, placed = map[string]time.Time{}, map[string]int{}
+	first, decisionCounts = map[string]time.Time{}, map[string]int{}
 	for _, h := range x.d.Hosts {
 		text, err := os.ReadFile(filepath.Join(x.dir, h.Host+".log"))
 		assert.NilError(x.t, err)
@@ -170,9 +170,9 @@
 				first[h.Host], err = time.Parse(time.RFC3339, strings.TrimPrefix(strings.Fields(l)[0], "time="))
 				assert.NilError(x.t, err)
 			case known && strings.Contains(l, " msg=decision ") && strings.Contains(l, " target="+engineName+" "):
-				placed[h.Host]++
+				decisionCounts[h.Host]++
 			}
 		}
 	}
-	return first, placed
+	return first, decisionCounts
 }
--- a/scenario/keyed_history_test.go
+++ b/scenario/keyed_history_test.go
@@ -19,7 +19,7 @@
 	"vetchtrail/standin/plain"
 )
 
-// attempt is the input of an operation: one attempt at a keyed request, or, with count, the read of
+// attempt is the input of an operation: one attempt at a keyed request, or, with count, a query of
 // how often the stand-ins executed it.
 type attempt struct {
 	key   string
@@ -75,6 +75,7 @@
 	ops []porcupine.Operation
 }
 
+// add records an operation.
 func (r *historyRecorder) add(op porcupine.Operation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,10 +137,10 @@
 	}
 }
 
-// TestKeyedRequestHistory tests promise 6. It guards against a keyed request that runs twice, or
-// whose retries get different responses: callers retry keyed requests at random hosts while hosts
-// are killed and frozen past every deadline, links are cut, the store is down and responses are
-// lost.
+// TestKeyedRequestHistory tests promise 6. It guards against a keyed request that runs twice, and
+// against retries that get different responses. Callers retry keyed requests at random hosts, while
+// hosts are killed or frozen for longer than any deadline, links are cut, the store is down and
+// responses are lost.
 func TestKeyedRequestHistory(t *testing.T) {
 	const seed, length = 6, 15 * time.Second
 	t.Logf("seed %d", seed)
@@ -191,8 +192,8 @@
 	return keys
 }
 
-// sendBookings sends bookings one after the other until stop is closed. It sends each one to four
-// times, also after a response, with the same key and to random hosts.
+// sendBookings sends bookings one after the other until stop is closed. It sends each booking one to
+// four times, also after a response, with the same key and to random hosts.
 func sendBookings(ctx context.Context, f *fleet.Fleet, d deployment.Deployment, r *historyRecorder, caller int, rnd *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
@@ -211,8 +212,8 @@
 	}
 }
 
-// unknownReturn is the return time of an operation without a known outcome: later than all others,
-// as its effect may come at any time.
+// unknownReturn is the return time of an operation without a known outcome. It is later than all
+// others, as the operation may take effect at any time.
 const unknownReturn = int64(1) << 62
 
 // sendBooking sends a keyed request and records the operation.
--- a/scenario/poison_test.go
+++ b/scenario/poison_test.go
@@ -24,13 +24,13 @@
 const (
 	// poisonPrompt is the prompt that crashes engines.
 	poisonPrompt = "the parcel that ends its reader"
-	// crashesUntilKnown is how many endpoints a request may crash before it counts as a poison
-	// request, and knownWithin the time in which all hosts must then know it.
+	// crashesUntilKnown is the number of endpoints that a request may crash before hosts regard it
+	// as a poison request. knownWithin is the time in which all hosts must then quarantine it.
 	crashesUntilKnown = 3
 	knownWithin       = 5 * time.Second
 	// poisonRetryInterval is the pause of the caller between two attempts.
 	poisonRetryInterval = 100 * time.Millisecond
-	// maxLateArrivals is how often a known poison request may still reach endpoints.
+	// maxLateArrivals is how often the poison request may still reach endpoints after that time.
 	maxLateArrivals = 3
 )
 
@@ -61,13 +61,13 @@
 	return x
 }
 
-// logCrashLines logs what the hosts logged of crashes and quarantined requests, if the test failed.
-// Without it, a crash that a host missed looks the same as one that it didn't report to others.
+// logCrashLines prints the log lines of the hosts about crashes and quarantined requests, if the test
+// failed. They distinguish a crash that a host missed from one that it did not report to others.
 func logCrashLines(t *testing.T, dir string) {
 	if !t.Failed() {
 		return
 	}
-	const most = 400 // lines
+	const maxLines = 400 // lines
 	pattern := regexp.MustCompile(`msg="(endpoint ended|request held back|holds not swapped|holds not taken|host not told|counter of ends)`)
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	logged := 0
@@ -75,7 +75,7 @@
 		text, errRead := os.ReadFile(path)
 		err = errors.Join(err, errRead)
 		for line := range strings.Lines(string(text)) {
-			if pattern.MatchString(line) && logged < most {
+			if pattern.MatchString(line) && logged < maxLines {
 				logged++
 				t.Log(strings.TrimSpace(line))
 			}
@@ -143,10 +143,10 @@
 		if e.Service != x.d.Spec.Model.Name {
 			continue
 		}
-		var l engine.CrashHistory
-		err := x.f.Await(x.ctx, e.Name, func() bool { return x.f.Client.Get(x.ctx, e.Addr, "/life", &l) == nil })
+		var history engine.CrashHistory
+		err := x.f.Await(x.ctx, e.Name, func() bool { return x.f.Client.Get(x.ctx, e.Addr, "/life", &history) == nil })
 		assert.NilError(x.t, err)
-		crashes, arrivals = append(crashes, l.Crashes...), append(arrivals, l.PoisonRequests...)
+		crashes, arrivals = append(crashes, history.Crashes...), append(arrivals, history.PoisonRequests...)
 	}
 	slices.SortFunc(crashes, time.Time.Compare)
 	slices.SortFunc(arrivals, time.Time.Compare)
@@ -173,13 +173,13 @@
 	return out
 }
 
-// TestPoisonRequest guards against one request that crashes endpoint after endpoint. Callers of two
-// routes were rejected or cut off for seconds, four times in a minute and a half. Nine endpoints
-// crashed each time, one every few tenths of a second, restarted and crashed again. Each had last
-// received the same request of one caller, who retried at another host after each failure; to the
-// hosts every retry was a new request. Of 645 requests sent to endpoints in that time, only those
-// of its size had reached all eight endpoints that crashed, in 12 attempts; no other request had
-// reached more than five.
+// TestPoisonRequest guards against one request that crashes endpoint after endpoint. Four times in a
+// minute and a half, the requests of two routes were rejected or cut off for seconds. Each time nine
+// endpoints crashed, one every few tenths of a second, restarted and crashed again. The last request
+// that each of them had received was that of one caller, who retried at another host after each
+// failure. Hosts regarded each retry as a new request.
+// Of 645 requests sent to endpoints in that time, only those of the size of this request had reached
+// all eight endpoints that crashed, in 12 attempts. No other request had reached more than five.
 func TestPoisonRequest(t *testing.T) {
 	t.Parallel()
 	x := newPoisonRun(t, 2, 2)
@@ -238,7 +238,7 @@
 }
 
 // TestQuarantineRelease guards against a release by an operator that has no effect, and against a
-// released request that isn't quarantined again when it goes on crashing endpoints.
+// released request that isn't quarantined again when it crashes more endpoints.
 func TestQuarantineRelease(t *testing.T) {
 	t.Parallel()
 	x := newPoisonRun(t, 1, 2)
@@ -256,7 +256,8 @@
 
 // TestQuarantineInIsolatedRegion guards against a poison request in a region that reaches neither
 // the other regions nor the platform. The region must quarantine the request by itself. Once its
-// links are restored, the other regions must learn of it before one of their endpoints crashes.
+// links are restored, the other regions must receive the quarantine entry, so that the request
+// crashes none of their endpoints.
 func TestQuarantineInIsolatedRegion(t *testing.T) {
 	t.Parallel()
 	x := newPoisonRun(t, 2, 3)
--- a/scenario/ratelimit_test.go
+++ b/scenario/ratelimit_test.go
@@ -15,8 +15,8 @@
 	rateWindow    = 4 * time.Second
 	rateTolerance = 1.5
 	rateAllowance = 5
-	// ratePropagation is the time after the first advertisement in which the bound doesn't hold
-	// yet: requests are under way, and hosts learn of the limit from responses.
+	// ratePropagation is the time after the first advertisement in which the bound doesn't apply
+	// yet: some requests are already in flight, and hosts receive the limit only with responses.
 	ratePropagation = time.Second
 )
 
@@ -56,15 +56,15 @@
 	return countAfter(times, from) - countAfter(times, to)
 }
 
-// TestAdvertisedRateLimit guards against an endpoint that gets more requests than the rate limit
-// that it advertises. Two endpoints in trouble asked in each response for at most 2 requests a
-// second from all hosts together, and went on getting 10 to 20 a second; callers were served all
-// the same. Hosts relayed the header field to callers unread, and a host counted only its own
-// requests to an endpoint.
-// With a log line for the field, and no decision by it, all three hosts of the region logged the
-// limit within 25 ms of each other, and then sent 686, 727 and 746 requests to the endpoint in the
-// 12 s in which it advertised 2 a second. So the cause was neither a host that didn't get the
-// limit nor a limit that came late.
+// TestAdvertisedRateLimit guards against an endpoint that receives more requests than the rate limit
+// that it advertises allows. Two endpoints with a fault advertised in each response a limit of 2
+// requests a second for all hosts together, and still received 10 to 20 a second; callers were
+// served all the same. Hosts relayed the header field to callers but did not read it, and each host
+// counted only its own requests to an endpoint.
+// Hosts that logged the field, but did not use it for decisions, showed that nothing else was the
+// cause. All three hosts of the region logged the limit within 25 ms of each other. Then they sent
+// 686, 727 and 746 requests to the endpoint in the 12 s in which it advertised 2 a second. So each
+// host received the limit, and received it early.
 func TestAdvertisedRateLimit(t *testing.T) {
 	t.Parallel()
 	const rate = 2.0
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -18,8 +18,8 @@
 	"vetchtrail/standin/deployment"
 	"vetchtrail/standin/fleet"
 
-	// The test cache doesn't see the programs, which are built while the tests run. These imports
-	// make it drop a cached result when the code of the programs changes.
+	// The programs are built while the tests run, so the test cache does not depend on their code.
+	// With these imports, a change of that code invalidates a cached result.
 	_ "vetchtrail/connection/operator"
 	_ "vetchtrail/platform"
 	_ "vetchtrail/process/daemon"
@@ -103,7 +103,8 @@
 	pending  map[string]chan struct{}
 }
 
-// TestScenarios runs the scripts in testdata. Each script's first lines say what it tests.
+// TestScenarios runs the scripts in testdata. The first lines of each script describe the failure
+// that it guards against.
 func TestScenarios(t *testing.T) {
 	scripts := sync.Map{}
 	stateOf := func(ts *testscript.TestScript) *script {
--- a/scenario/soak_test.go
+++ b/scenario/soak_test.go
@@ -17,8 +17,8 @@
 // regularSeed is the seed that CI runs in addition to those that once failed.
 const regularSeed = 1
 
-// TestSoak guards against promises that break under random faults: it runs a short soak with the
-// regular seed, and with each seed that once broke a promise.
+// TestSoak guards against promises that are broken under random faults. It runs a short soak with the
+// regular seed, and with each seed that has broken a promise before.
 func TestSoak(t *testing.T) {
 	const length, rate, callers = 12 * time.Second, 0.7, 2
 	for _, seed := range append([]uint64{regularSeed}, failedSeeds(t)...) {
@@ -28,7 +28,7 @@
 			assert.NilError(t, err)
 			report, err := soak.Run(context.Background(), soak.Config{
 				Seed: seed, RunLength: length, FaultRate: rate, CallersPerHost: callers, Spec: spec, Binaries: binaries, Directory: t.TempDir(),
-				PoisonRequests: seed == regularSeed, RateLimits: seed == regularSeed, Announcements: seed == regularSeed, // the failed seeds run as they did when they failed
+				PoisonRequests: seed == regularSeed, RateLimits: seed == regularSeed, Announcements: seed == regularSeed, // the failed seeds run with the configuration with which they failed
 			})
 			assert.NilError(t, err)
 			assert.Equal(t, len(report.Violations), 0, "%v", report.Violations)
@@ -37,7 +37,7 @@
 	}
 }
 
-// failedSeeds reads the seeds that once failed; each has a line of its own with the cause.
+// failedSeeds reads the seeds that failed before. Each has a line of its own with the cause.
 func failedSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	text, err := os.ReadFile("../soak/testdata/seeds.txt")
--- a/scenario/waits_test.go
+++ b/scenario/waits_test.go
@@ -12,7 +12,7 @@
 )
 
 // sleep implements "sleep DURATION": it waits for a time that a promise names ("after a few
-// seconds"). It must not be used to wait for an event; await, until and inforce do that.
+// seconds"). It must not be used to wait for an event: await, until and inforce do that.
 func (s *script) sleep(_ *testscript.TestScript, args []string) error {
 	d, err := time.ParseDuration(args[0])
 	time.Sleep(d)
