--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,18 +1,18 @@
 // Package engine is a stand-in for a model engine. It decodes several requests at
 // once, caches prompt prefixes in limited memory, slows down as its batch fills,
 // reports its load with a lag, and resumes and cancels streams. Its answers are a
-// function of the prompt, so that a test can tell a wrong or truncated one. It
-// models the timing of an engine and runs no model.
+// function of the prompt, so that a test can detect a wrong or truncated one. It
+// imitates the timing of an engine and runs no model.
 //
 // Its paths besides /v1/ are:
 //
 //	PUT /faults       injects faults, a JSON Faults
 //	PUT /rate         sets the rate limit that it advertises, a JSON string
-//	GET, PUT /words   what else it announces in its answers, a JSON Words
+//	GET, PUT /words   what else it announces in its answers, a JSON Announcement
 //	GET /load         its load report
 //	GET /arrivals     completion requests that arrived, rejected ones included
 //	GET /executions   completion requests that it started
-//	GET /life         its crashes, a JSON Life
+//	GET /life         its crashes, a JSON CrashHistory
 //	GET /stats        totals, a JSON Stats
 package engine
 
@@ -38,8 +38,8 @@
 	Step    time.Duration // between two tokens of a request that is decoded alone
 	Drag    float64       // share by which a step takes longer if all slots are in use
 	Cache   int           // capacity of the prefix cache, in prompt tokens
-	Lag     time.Duration // age of the load reports that it returns
-	// Crash is how it crashes under a poison request.
+	Lag     time.Duration // minimum age of the load reports that it returns
+	// Crash sets when it crashes under a poison request.
 	Crash CrashConfig
 }
 
@@ -67,7 +67,7 @@
 	faults       Faults
 	rateLimit    string // requests a second, as announced in its answers; empty: not announced
 	announced    Announcement
-	startedAt    time.Time       // of the process instance; set anew after a crash
+	startedAt    time.Time       // of the process instance; reset after a crash
 	running      int             // slots in use
 	waiting      []chan struct{} // queue for a slot, oldest first; a channel is closed when its request gets one
 	cache        prefixCache
@@ -223,9 +223,9 @@
 	}
 }
 
-// handleLoad returns the newest load report that is at least as old as the lag, but
-// with the present values of Leaving and Up. If none is old enough, it reports an
-// idle engine.
+// handleLoad returns the newest load report that is at least as old as the lag, with
+// the current values of Leaving and Up. If none is old enough, it reports an idle
+// engine.
 func (s *Server) handleLoad(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +244,7 @@
 	writeJSON(ctx, loadReport{At: newestAt, Slots: s.cfg.Slots, Leaving: s.faults.Leaving, Up: s.uptimeMillis()})
 }
 
-// stepTime returns the time between two tokens of a request at the present load.
+// stepTime returns the time between two tokens of a request at the current load.
 // The caller holds the lock.
 func (s *Server) stepTime() time.Duration {
 	usedShare := float64(s.running) / float64(max(s.cfg.Slots, 1))
