--- a/scenario/availability_test.go
+++ b/scenario/availability_test.go
@@ -66,9 +66,9 @@
 }
 
 const (
-	// pauseDuration is the Retry-After of an engine that rejects requests. All hosts must have
-	// stopped sending requests to it pausePropagation after the last of them received this pause.
-	// From then until the end of the pause, at most maxPausedRequests may arrive for each host.
+	// pauseDuration is the Retry-After of an engine that rejects requests. pausePropagation is the
+	// time in which requests may still arrive after the last host received this pause. From then
+	// until the end of the pause, at most maxPausedRequests may arrive for each host.
 	pauseDuration     = 12 * time.Second
 	pausePropagation  = 500 * time.Millisecond
 	maxPausedRequests = 2
