--- a/standin/eventqueue/eventqueue_test.go
+++ b/standin/eventqueue/eventqueue_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEventOrder guards against simulations that run events out of order: events
-// come by time, and events of the same time in the order in which they were scheduled.
-// An event after the limit stays queued until the limit reaches it.
+// TestEventOrder guards against simulations that run events out of order. Next must
+// return events by time, and events of the same time in the order in which they were
+// scheduled. An event after the limit stays queued until the limit reaches it.
 func TestEventOrder(t *testing.T) {
 	start := time.Unix(1, 0)
 	var q EventQueue
