--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -84,7 +84,7 @@
 	return &daemon.Hosted{
 		Feed: func(f vetchtrail.PollCoordinator) vetchtrail.Feed {
 			return platform.NewFeed(platform.FeedConfig{
-				Store: s.Platform.Store, DataCentreRegions: s.Platform.DataCentres, Log: log, Following: f, Clock: clock.Boot,
+				Store: s.Platform.Store, DataCentreRegions: s.Platform.DataCentres, Log: log, PollCoordinator: f, Clock: clock.Boot,
 				Weights: platform.Weights{Model: vetchtrail.Weights(s.Platform.Weights.Model), Plain: vetchtrail.Weights(s.Platform.Weights.Plain)},
 			})
 		},
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -157,7 +157,7 @@
 		return nil, err
 	}
 	d.poller = poll.New(poll.Config{
-		Table: d.table, Duties: d.membership, Interval: d.cfg.Timing.Poll, ListAddr: d.cfg.Platform.Hosts, Log: d.log,
+		Table: d.table, Assignments: d.membership, Interval: d.cfg.Timing.Poll, ListAddr: d.cfg.Platform.Hosts, Log: d.log,
 	})
 	var err error
 	d.server, err = peer.NewServer(peer.ServerConfig{
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -23,8 +23,8 @@
 // by the boot clock of the quarantines, hosts that are gone would never expire.
 type liveHosts struct{ *membership.Membership }
 
-// RankedIn implements quarantines.Hosts.
-func (l liveHosts) RankedIn(region, task string, n int) []vetchtrail.Host {
+// FirstInRegion implements quarantines.Hosts.
+func (l liveHosts) FirstInRegion(region, task string, n int) []vetchtrail.Host {
 	return l.Membership.FirstInRegion(region, task, n, time.Now())
 }
 
--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -43,11 +43,11 @@
 
 // Config configures a Poller.
 type Config struct {
-	Table    *load.Table
-	Duties   Assignments
-	Interval time.Duration  // interval between two polls of an endpoint
-	ListAddr netip.AddrPort // address of the platform's list of hosts; not valid: there is none
-	Log      *slog.Logger
+	Table       *load.Table
+	Assignments Assignments
+	Interval    time.Duration  // interval between two polls of an endpoint
+	ListAddr    netip.AddrPort // address of the platform's list of hosts; not valid: there is none
+	Log         *slog.Logger
 }
 
 // Poller fetches load reports and the platform's list of hosts.
@@ -102,11 +102,11 @@
 // reports are missing.
 func (p *Poller) due(name string, now time.Time) bool {
 	task := "poll " + name
-	if p.cfg.Duties.IsAssigned(task, 1, now) {
+	if p.cfg.Assignments.IsAssigned(task, 1, now) {
 		return true
 	}
 	reportedAt := p.cfg.Table.ReportedAt(name)
-	return now.Sub(reportedAt) > standbyIntervals*p.cfg.Interval && p.cfg.Duties.IsAssigned(task, 2, now)
+	return now.Sub(reportedAt) > standbyIntervals*p.cfg.Interval && p.cfg.Assignments.IsAssigned(task, 2, now)
 }
 
 // begin marks a poll of an endpoint as in progress; false: one is already.
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -197,8 +197,8 @@
 	return h.q, h.up
 }
 
-// RankedIn implements Hosts.
-func (h *testHost) RankedIn(region, _ string, n int) []vetchtrail.Host {
+// FirstInRegion implements Hosts.
+func (h *testHost) FirstInRegion(region, _ string, n int) []vetchtrail.Host {
 	now := time.Now()
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -76,7 +76,7 @@
 // noHosts is a Hosts without hosts.
 type noHosts struct{}
 
-func (noHosts) RankedIn(string, string, int) []vetchtrail.Host { return nil }
+func (noHosts) FirstInRegion(string, string, int) []vetchtrail.Host { return nil }
 
 // FuzzHostEnded checks that any report is either recorded or refused, but not both.
 func FuzzHostEnded(f *testing.F) {
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -94,7 +94,7 @@
 
 // regionPeers returns the other hosts of this region.
 func (q *Quarantines) regionPeers() []vetchtrail.Host {
-	all := q.cfg.Hosts.RankedIn(q.cfg.Self.Region, aggregatorTask, unlimitedHosts)
+	all := q.cfg.Hosts.FirstInRegion(q.cfg.Self.Region, aggregatorTask, unlimitedHosts)
 	return slices.DeleteFunc(all, func(h vetchtrail.Host) bool { return h.Name == q.cfg.Self.Name })
 }
 
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -38,11 +38,11 @@
 
 // Hosts provides the other hosts.
 type Hosts interface {
-	// RankedIn returns the first n live hosts of a region in their order for a task, including this
+	// FirstInRegion returns the first n live hosts of a region in their order for a task, including this
 	// host if it is in the region. The implementation decides by its own clock which hosts are
 	// alive: by the times of Config.Clock, which is another clock, lost hosts would stay alive for
 	// ever.
-	RankedIn(region, task string, n int) []vetchtrail.Host
+	FirstInRegion(region, task string, n int) []vetchtrail.Host
 }
 
 // Peers sends messages to other hosts and returns their replies.
@@ -171,7 +171,7 @@
 // aggregatorsIn returns the crash aggregators of a region: the hosts ranked first for
 // aggregatorTask.
 func (q *Quarantines) aggregatorsIn(region string) []vetchtrail.Host {
-	return q.cfg.Hosts.RankedIn(region, aggregatorTask, aggregatorsPerRegion)
+	return q.cfg.Hosts.FirstInRegion(region, aggregatorTask, aggregatorsPerRegion)
 }
 
 // merge merges entries from another host or from the platform, and returns those that changed
