--- a/process/load/load.go
+++ b/process/load/load.go
@@ -55,7 +55,7 @@
 	minEjection = 2 * time.Second
 	maxEjection = time.Minute
 	// An endpoint is ejected when its run of error answers would happen by chance with a probability below
-	// maxErrorRunProbability. With some hundred answers a second, 0.001 ejects one endpoint wrongly in some ten
+	// maxErrorRunProbability. With some hundred answers a second, one endpoint is ejected wrongly in some ten
 	// seconds, for two seconds.
 	maxErrorRunProbability = 0.001
 	// minUsualErrorShare and maxUsualErrorShare bound the share of errors that is assumed for the other
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -25,7 +25,7 @@
 	// one and a half times what the endpoint takes in that time, and five, which it tolerates when
 	// overloaded. Hosts send in 4 s what was leased in these and up to 1.5 s before, as a lease
 	// lasts 0.5 s and a reservation 1 s. That is 5.5 s of the rate, burstSeconds and one request.
-	// It leaves 0.25 s of the rate and four requests for owners that are replaced.
+	// It leaves a quarter of a second of the rate and four requests for owners that are replaced.
 	burstSeconds = 0.25
 	// reservationTime is how long a reservation is valid. A connection to the endpoint may have to
 	// be opened meanwhile, which may take 0.7 s.
