--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -14,22 +14,22 @@
 	// maxStreamShareOnRetry replaces maxStreamShare for a stream whose caller has retried
 	// or has little time left. If such a stream is refused again, the request is lost.
 	maxStreamShareOnRetry = 0.7
-	// lessUrgentShare makes an endpoint refuse less urgent streams earlier: at this share
-	// of the event interval from which more urgent ones are refused. Processing the prompts
-	// of less urgent streams slows the more urgent ones. Without the margin both would be
-	// refused equally often.
+	// lessUrgentShare is the event interval from which less urgent streams are refused, as a
+	// share of the interval from which more urgent ones are. Processing the prompts of less
+	// urgent streams slows the more urgent ones. Without the margin both would be refused
+	// equally often.
 	lessUrgentShare = 0.5
 	// maxGoalRatio bounds the expected wait of a first attempt for its first event, as a
 	// multiple of the time left until its latency objective. The expected wait is a median:
-	// of the answers that are expected after the objective, more than half do miss it.
+	// of the responses that are expected after the objective, more than half do miss it.
 	maxGoalRatio = 1.1
 )
 
 // streamTooSlow reports whether a stream would probably take too much of the time that
 // its request has left. The stream is expected to send its first event after firstEvent
-// seconds and the others at the given interval in seconds. Admitting a stream slows those
-// that already run there, so it is also too slow if the interval leaves too little margin
-// for more urgent streams (lessUrgentShare).
+// seconds and the others at the given interval in seconds. Admitting a stream slows the
+// streams that already run at the endpoint. So a stream is also too slow if the interval
+// leaves too little margin for more urgent streams (lessUrgentShare).
 func streamTooSlow(ev *evaluation, interval, firstEvent float64, r *vetchtrail.Request, v *vetchtrail.View) bool {
 	if r.Route == "" || v.ExpectedEvents == 0 || ev.off.Has(vetchtrail.MechanismStreamPace) {
 		return false
@@ -44,9 +44,9 @@
 	return firstEvent+interval*v.ExpectedEvents > share*r.Deadline.Sub(ev.now).Seconds()
 }
 
-// missesGoal reports whether the first attempt of a stream would probably miss its
-// latency objective and should be refused. The streams that are queued behind it can then
-// begin in time, and its caller can retry later, when the peak may be over.
+// missesGoal reports whether the first attempt of a stream should be refused because it
+// would probably miss its latency objective. After the refusal, the streams that would have
+// been queued behind it can begin in time, and its caller can retry when the peak may be over.
 func missesGoal(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
 	return !ev.off.Has(vetchtrail.MechanismShedding) && r.CallerCanRetry && r.Stream && !r.Goal.IsZero() && float64(wait) > maxGoalRatio*float64(r.Goal.Sub(ev.now))
 }
--- a/request/policy/cost.go
+++ b/request/policy/cost.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// serviceTimeWeight is the weight of the time for the whole answer, relative to the
+	// serviceTimeWeight is the weight of the time for the whole response, relative to the
 	// time to its first token.
 	serviceTimeWeight = 0.1
 	// refusedPenaltySeconds is added to the cost of every endpoint of this data centre after
@@ -38,15 +38,16 @@
 }
 
 // idlePrefillTime predicts the seconds that an idle endpoint takes to process prompt
-// tokens. It measures the work of processing them, which is the same at a busy endpoint
-// although that takes longer.
+// tokens. It is a measure of the work, which is the same at a busy endpoint although a busy
+// endpoint takes longer.
 func idlePrefillTime(tokens int, e *vetchtrail.EndpointView, v *vetchtrail.View) float64 {
 	return float64(tokens) * min(e.Prefill, v.IdlePrefill)
 }
 
 // remoteUncachedTokens estimates how many tokens of a request's prompt a remote data
-// centre would have to process. It assumes that its endpoints have cached the same share
-// of the tokens that prompts share as the local endpoints.
+// centre would have to process. All parts of a prompt but the last may be shared with other
+// requests; the estimate assumes that the remote endpoints have cached the same fraction of
+// them (View.CachedShare) as the local endpoints.
 func remoteUncachedTokens(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) int {
 	total := r.PromptTokens()
 	if len(r.Prompt) == 0 || ev.off.Has(vetchtrail.MechanismRemoteCacheEstimate) {
@@ -62,7 +63,7 @@
 	return float64(uncachedTokens(e, r)) * e.Prefill
 }
 
-// timeToFirstToken predicts the seconds until the first token of an answer arrives from
+// timeToFirstToken predicts the seconds until the first token of a response arrives from
 // an endpoint that is estimated to have the given number of requests.
 func timeToFirstToken(e *vetchtrail.EndpointView, r *vetchtrail.Request, requests float64) float64 {
 	return startDelay(e, requests) + e.BaseLatency + e.Backlog + prefillTime(e, r)
--- a/request/policy/mechanisms_test.go
+++ b/request/policy/mechanisms_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestSwitchedOffMechanisms checks for each mechanism of the policy, in a situation where
-// only that mechanism counts, that the decision differs when it is switched off. A
-// mechanism that ignores its setting can't be compared with and without.
+// only that mechanism counts, that the decision differs when it is switched off. If a
+// mechanism ignored its setting, measurements with and without it would show no difference.
 func TestSwitchedOffMechanisms(t *testing.T) {
 	stream := func(change func(*vetchtrail.Request)) func(*vetchtrail.Request) {
 		return func(r *vetchtrail.Request) {
--- a/request/policy/policy_test.go
+++ b/request/policy/policy_test.go
@@ -68,7 +68,7 @@
 		urgentInterval float64 // View.UrgentInterval
 		queueWait      float64 // View.QueueWait
 		ratio          float64 // View.PredictionRatio
-		waited         bool
+		waitExhausted  bool    // View.WaitExhausted
 		kind           vetchtrail.DecisionKind
 		name           string
 		reason         vetchtrail.Reason
@@ -276,12 +276,12 @@
 			kind:    vetchtrail.WaitHere, reason: vetchtrail.ReasonFull,
 		},
 		"forwards a request that has waited as long as it may": {
-			request: stream, weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", coldStart)}, waited: true,
+			request: stream, weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", coldStart)}, waitExhausted: true,
 			remotes: []vetchtrail.RemoteView{remote("x", func(m *vetchtrail.RemoteView) { m.Delay = 300 * time.Millisecond })},
 			kind:    vetchtrail.RunElsewhere, name: "x", reason: vetchtrail.ReasonChosen,
 		},
 		"refuses a request that has waited as long as it may": {
-			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, waited: true,
+			weights: latencyFirst, endpoints: []vetchtrail.EndpointView{endpoint("a", atLimit)}, waitExhausted: true,
 			kind: vetchtrail.Refuse, reason: vetchtrail.ReasonOverCapacity,
 		},
 		"limits the load of a data centre in its warm-up": {
@@ -292,7 +292,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v := &vetchtrail.View{Region: 1, Weights: c.weights, Endpoints: c.endpoints, Remotes: c.remotes, Excluded: c.excluded, ExpectedEvents: c.events, QueueWait: c.queueWait, WaitExhausted: c.waited, UrgentInterval: c.urgentInterval, PredictionRatio: c.ratio}
+			v := &vetchtrail.View{Region: 1, Weights: c.weights, Endpoints: c.endpoints, Remotes: c.remotes, Excluded: c.excluded, ExpectedEvents: c.events, QueueWait: c.queueWait, WaitExhausted: c.waitExhausted, UrgentInterval: c.urgentInterval, PredictionRatio: c.ratio}
 			d := Weighted{}.Decide(now, request(c.request), v, rand.New(rand.NewPCG(1, 1)))
 			assert.Equal(t, d.Kind, c.kind)
 			assert.Equal(t, d.Name, c.name)
@@ -303,8 +303,8 @@
 }
 
 // TestDecisionsRespectConstraints checks with random views that no policy chooses a candidate
-// that residency, the hop limit, the limit of requests, the deadline, an earlier attempt
-// or the state of the candidate forbids.
+// that is ruled out by residency, the hop limit, the limit of requests in flight, the
+// deadline, an earlier attempt or the candidate's state.
 func TestDecisionsRespectConstraints(t *testing.T) {
 	for _, name := range []string{NameWeighted, NameRoundRobin, NameLeastInFlight, NameTwoChoices} {
 		t.Run(name, func(t *testing.T) {
@@ -379,8 +379,8 @@
 }
 
 // TestSlowEndpointsBeyondCachedCosts checks that an endpoint whose streams would end late
-// is not drawn when it lies beyond maxCachedCosts. The cost of such an endpoint is
-// calculated again on the second pass, which could miss the check of the first.
+// is not drawn if its index is maxCachedCosts or higher. The cost of such an endpoint is not
+// stored but calculated again for the draw, and that calculation could lack the check.
 func TestSlowEndpointsBeyondCachedCosts(t *testing.T) {
 	var endpoints []vetchtrail.EndpointView
 	for i := range maxCachedCosts + 50 {
--- a/request/policy/ratelimited_test.go
+++ b/request/policy/ratelimited_test.go
@@ -31,11 +31,11 @@
 // endpoints it took 15.8 to 17.2 µs with none, 7.4 to 11.6 µs with half and 2.4 to 3.5 µs with all of them
 // rate-limited. It allocates no memory.
 func BenchmarkDecideLimited(b *testing.B) {
-	for _, share := range []int{0, 2, 1} {
-		b.Run(fmt.Sprintf("one-in=%d", share), func(b *testing.B) {
+	for _, oneIn := range []int{0, 2, 1} { // one in this many endpoints is rate-limited; 0: none
+		b.Run(fmt.Sprintf("one-in=%d", oneIn), func(b *testing.B) {
 			r, v, rnd := request(nil), view(270), rand.New(rand.NewPCG(1, 2))
 			for i := range v.Endpoints {
-				if e := &v.Endpoints[i]; share > 0 && i%share == 0 {
+				if e := &v.Endpoints[i]; oneIn > 0 && i%oneIn == 0 {
 					e.Unavailable, e.UnavailableReason, e.AvailableIn, e.RateLimited, e.Rate = true, vetchtrail.ReasonRateLimited, 0.5, true, 2
 				}
 			}
--- a/request/policy/refusal.go
+++ b/request/policy/refusal.go
@@ -42,8 +42,8 @@
 }
 
 // retryDelay returns how long the caller of a request that finds no capacity should wait
-// before it retries. A shortage lasts for seconds and callers retry only once or twice,
-// so a request of a route is delayed by a good part of the time that it has left.
+// before it retries. A shortage lasts for seconds and callers retry only once or twice, so
+// for a request of a route the delay is a share of the time left until its deadline.
 func retryDelay(now time.Time, r *vetchtrail.Request) time.Duration {
 	if r.Route == "" {
 		return minRetryDelay
@@ -68,6 +68,6 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// exactDuration converts seconds that are known rather than predicted, and so need no
-// cap.
+// exactDuration converts seconds to a duration without a cap, for waits until a known time,
+// such as the end of a pause.
 func exactDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/request/policy/remote.go
+++ b/request/policy/remote.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// digestAgePenalty is the share of a digest's age that is added to the wait it
-	// announces. Other hosts have read the same digest and may have forwarded requests
-	// since.
+	// digestAgePenalty is the share of a digest's age that is added to the time to first
+	// token that the digest reports. Other hosts have received the same digest and may have
+	// forwarded requests to the data centre since.
 	digestAgePenalty = 0.05
 	// remoteMargin is the share of the local cost that the remote cost must be below for a
 	// request to be forwarded. Without the margin, small errors in old digests would cause
--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -17,8 +17,8 @@
 	// costSpreadShare is the difference up to which the costs of two endpoints count as
 	// equal (the cost spread), as a share of a request's service time.
 	costSpreadShare = 0.002
-	// maxSpreads limits the draw of an endpoint: only endpoints whose cost is less than this
-	// many cost spreads above the lowest can be drawn.
+	// maxSpreads limits which endpoints can be drawn: those whose cost is less than this many
+	// cost spreads above the lowest cost.
 	maxSpreads = 3.0
 )
 
@@ -90,15 +90,15 @@
 }
 
 // queuedForRateLimits reports whether all endpoints that a request could wait for are
-// rate-limited and other requests already wait for them. The rates don't grow with the
-// queue, so a request that joined it would probably be refused too, only later.
+// rate-limited and other requests already wait for them. A longer queue doesn't raise the
+// rate limits, so a request that joined the queue would probably be refused too, only later.
 func queuedForRateLimits(ev *evaluation, v *vetchtrail.View) bool {
 	return ev.waitable == ev.rateLimited && v.QueueWait > 0
 }
 
 // evaluate calculates the cost of each endpoint that can take the request now, and finds
-// the lowest. It counts the other endpoints by the reason why they can't, and records
-// those reasons in d.
+// the lowest cost. It counts the other endpoints by the reason why they can't take it, and
+// records these reasons in d.
 func evaluate(ev *evaluation, d *vetchtrail.Decision, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) {
 	ev.bestCost, ev.wait = math.Inf(1), math.Inf(1)
 	ev.otherRequests, ev.now = meanOtherRequests(r, v), now
@@ -171,8 +171,8 @@
 	return endpointCost(ev, e, r, v, requests)
 }
 
-// unusableReason returns why an endpoint can't be sent the request. It is empty if the
-// endpoint can be used. It doesn't check this host's limit of requests there.
+// unusableReason returns why the request can't be sent to an endpoint. It is empty if the
+// endpoint can be used. It doesn't check InFlightLimit.
 func unusableReason(e *vetchtrail.EndpointView, r *vetchtrail.Request, v *vetchtrail.View) vetchtrail.Reason {
 	switch {
 	case !r.AllowedRegions.Has(e.Region):
