--- a/request/dispatch/availability_test.go
+++ b/request/dispatch/availability_test.go
@@ -33,15 +33,15 @@
 		return refuseWith(vetchtrail.StepResidency, reason)(r, w)
 	}
 	targets.replies = []reply{leaveBeforeSend, answerWith("ok")}
-	var g responseRecorder
-	o := d.Run(context.Background(), r, &g)
+	var got responseRecorder
+	o := d.Run(context.Background(), r, &got)
 	assert.Equal(t, o.Kind, vetchtrail.OutcomeAnswered, "%v", o)
 	assert.Equal(t, len(targets.called), 2)
 	assert.Assert(t, targets.called[0] != targets.called[1])
 }
 
 // TestAllEndpointsLeaving checks that requests go to another region when all endpoints here are leaving. If no
-// other region may run them they are refused at once, and don't wait for capacity that won't come.
+// other region may run them, they are refused at once and don't wait for capacity that no endpoint will have.
 func TestAllEndpointsLeaving(t *testing.T) {
 	cases := map[string]struct {
 		hops   int // a forwarded request is not forwarded again
@@ -56,8 +56,8 @@
 			announceLeaving(d, "2")
 			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second)}
 			started := time.Now()
-			var g responseRecorder
-			o := d.Run(context.Background(), r, &g)
+			var got responseRecorder
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, len(targets.called), c.called)
 			assert.Assert(t, time.Since(started) < 5*time.Second, "the refusal came only after a wait")
@@ -69,7 +69,7 @@
 	}
 }
 
-// announcePause has an endpoint announce that it accepts nothing from this host for a time.
+// announcePause has an endpoint announce that it accepts no requests from this host for the given time.
 func announcePause(d *Dispatcher, name string, pause time.Duration) {
 	now := time.Now()
 	d.cfg.Endpoints.(*load.Table).RecordAnnouncement(name, time.Time{}, vetchtrail.Availability{PausedUntil: now.Add(pause), RequestedAt: now, ReceivedAt: now})
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestRetryTimeAfterPause checks the time to retry that a caller gets when an endpoint refused its request and
-// announced a pause. It must be the time at which any endpoint has capacity for the request. The endpoint's own
-// pause concerns this host's requests, and would keep the caller from capacity that is free earlier.
+// TestRetryTimeAfterPause checks the retry time that a caller receives when an endpoint refused its request and
+// announced a pause. It must be the time at which the first endpoint has capacity for the request. The end of the
+// refusing endpoint's pause may be later than that.
 func TestRetryTimeAfterPause(t *testing.T) {
 	cases := map[string]struct {
 		other            time.Duration // pause of the other endpoint; 0: it is idle
@@ -114,9 +114,9 @@
 				}
 				return refuse(r, w)
 			}
-			var g responseRecorder
+			var got responseRecorder
 			started := time.Now()
-			o := d.Run(context.Background(), r, &g)
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, vetchtrail.OutcomeNotRun, "%v", o)
 			retryAfter := o.RetryAt.Sub(started)
 			assert.Assert(t, retryAfter >= c.earliest && retryAfter <= c.latest, "%s", retryAfter)
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestAllEndpointsPaused checks a request for which all endpoints are paused. If the pauses are longer than it may
-// wait, it is refused at once with the end of the first pause as its time to retry; otherwise it waits.
+// TestAllEndpointsPaused checks a request for which all endpoints are paused. If the pauses are longer than the
+// request may wait, it is refused at once, with the end of the first pause as its retry time; otherwise it waits.
 func TestAllEndpointsPaused(t *testing.T) {
 	cases := map[string]struct {
 		pause time.Duration
@@ -140,8 +140,8 @@
 			announcePause(d, "2", c.pause+time.Second)
 			r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: 1, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
 			started := time.Now()
-			var g responseRecorder
-			o := d.Run(context.Background(), r, &g)
+			var got responseRecorder
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			if c.kind == vetchtrail.OutcomeAnswered {
 				assert.Assert(t, time.Since(started) >= c.pause-time.Millisecond, "the request ran before the pause was over")
@@ -166,9 +166,9 @@
 	announcePause(d, "1", time.Minute)
 	assert.Equal(t, d.CheckBeforeSend(e, r), vetchtrail.ReasonPaused)
 	resumed := &vetchtrail.Request{ID: "y", Service: "s", Deadline: time.Now().Add(time.Second)}
-	asResume(resumed)
-	var g responseRecorder
-	o := d.Run(context.Background(), resumed, &g)
+	resumeAtEndpoint1(resumed)
+	var got responseRecorder
+	o := d.Run(context.Background(), resumed, &got)
 	assert.Equal(t, o.Reason, vetchtrail.ReasonPaused, "%v", o)
 	assert.Assert(t, time.Until(o.RetryAt) > 58*time.Second)
 }
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -29,8 +29,8 @@
 	// targets that could not be reached.
 	maxTotalAttempts = 4
 	// maxPlacementRounds bounds how often the policy decides on one attempt before the
-	// request joins the queue. It decides again when its target lost the capacity
-	// between the decision and its use.
+	// request joins the queue. It decides again if the target can't be acquired, because
+	// other requests took its capacity after the decision.
 	maxPlacementRounds = 3
 	// minRetryAfter is the shortest delay before a retry that a caller receives.
 	minRetryAfter = 200 * time.Millisecond
@@ -75,7 +75,7 @@
 	randomStreams atomic.Uint64 // random generators created; gives each its own sequence
 	inFlight      atomic.Int64
 
-	mu         sync.Mutex                // guards the maps
+	mu         sync.Mutex                // guards the maps and cfg.RetryBudget
 	waitQueues map[string]*queue.Queue   // by service
 	budgets    map[string]*budget.Budget // by service
 }
@@ -91,9 +91,9 @@
 // InFlight returns the number of calls of Run that have not returned.
 func (d *Dispatcher) InFlight() int { return int(d.inFlight.Load()) }
 
-// Run processes a request to its final outcome, writes what it receives of an
-// answer to a, and records and counts the outcome. The outcome is unknown if the
-// request may have run, its answer was lost, and it may not be retried.
+// Run processes a request to its final outcome, writes what it receives of the
+// response to w, and records and counts the outcome. The outcome is unknown if the
+// request may have run, its response was lost, and it may not be retried.
 func (d *Dispatcher) Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
@@ -107,38 +107,38 @@
 	return o
 }
 
-// RecordRejection records and counts a request that was refused before Run, because
-// its caller showed no valid key for a workspace.
+// RecordRejection records and counts a request that was refused before Run because
+// its caller sent no valid workspace key.
 func (d *Dispatcher) RecordRejection(r *vetchtrail.Request, o vetchtrail.Outcome) {
 	o.Peer = d.cfg.Self.Name
 	d.cfg.Journal.Note(vetchtrail.JournalRecord{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
 	countRequest(r, o, 0)
 }
 
-// run checks a request and passes it to the function for its type: a request that
-// resumes a stream, a request with an idempotency key, or any other.
+// run checks a request and runs it by its type: a request that resumes a stream, a
+// request with an idempotency key, or any other.
 func (d *Dispatcher) run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if r.Hops > 0 && r.Route != "" && d.cfg.Membership.Self().State == vetchtrail.HostLeaving {
-		// The answer's stream could outlast this host. The sender may not know
-		// yet that this host is leaving.
+		// The response stream could outlast this host. The host that forwarded the
+		// request may not have received this host's new state yet.
 		return d.refusal(vetchtrail.StepForward, vetchtrail.ReasonLeaving, time.Now().Add(minRetryAfter))
 	}
 	if o, ok := d.applyRules(r); !ok {
-		return d.keyedRefusal(r, o)
+		return d.refusalBeforeKeyCheck(r, o)
 	}
 	if r.ResumeAt.Endpoint != "" {
 		return d.resumeStream(ctx, r, w)
 	}
 	if r.IdempotencyKey != "" {
-		return d.runKeyed(ctx, r, w)
+		return d.runWithKey(ctx, r, w)
 	}
 	return d.runWithRetries(ctx, r, w)
 }
 
 // applyRules checks a request against the newest configuration and the
-// quarantine. It sets the request's home, priority and allowed regions; for a
-// forwarded request it only narrows the regions that the sender allowed. It
-// returns false with the refusal if the request may not run.
+// quarantine, and sets its home, priority and allowed regions. For a forwarded
+// request it only narrows the allowed regions. It returns false with the refusal if
+// the request may not run.
 func (d *Dispatcher) applyRules(r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	newest := d.cfg.Rules()
 	if r.Credential != (vetchtrail.KeyHash{}) {
@@ -146,18 +146,18 @@
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonUnknownKey, time.Time{}), false
 		}
 	}
-	j, reason := evaluateRules(newest, r)
+	constraints, reason := constraintsOf(newest, r)
 	if reason != "" {
 		return d.refusal(vetchtrail.StepDecide, reason, time.Time{}), false
 	}
 	if entry, quarantined := d.quarantined(r); quarantined {
 		return d.quarantineRefusal(entry), false
 	}
-	r.HomeRegion, r.Priority = j.Home, j.Priority
+	r.HomeRegion, r.Priority = constraints.Home, constraints.Priority
 	if r.Hops == 0 {
-		r.AllowedRegions = j.Allowed
+		r.AllowedRegions = constraints.Allowed
 	}
-	r.AllowedRegions &= j.Allowed
+	r.AllowedRegions &= constraints.Allowed
 	r.Revision = max(r.Revision, newest.Revision())
 	if r.AllowedRegions == 0 {
 		return d.refusal(vetchtrail.StepResidency, vetchtrail.ReasonResidency, time.Time{}), false
@@ -165,34 +165,34 @@
 	return vetchtrail.Outcome{}, true
 }
 
-// evaluateRules returns the home, priority and allowed regions that the
+// constraintsOf returns the home, priority and allowed regions that the
 // configuration defines for a request, by its route or, without one, by its
-// service. The reason is set if the request may not run at all.
-func evaluateRules(newest *rules.Rules, r *vetchtrail.Request) (rules.Constraints, vetchtrail.Reason) {
+// service. If the request may not run at all, it returns the reason.
+func constraintsOf(newest *rules.Rules, r *vetchtrail.Request) (rules.Constraints, vetchtrail.Reason) {
 	if r.Route != "" {
 		return newest.RouteConstraints(r.Route, r.Service, r.Workspace, r.EntryRegion)
 	}
-	j, ok := newest.ServiceConstraints(r.Service, r.Workspace, r.EntryRegion)
+	constraints, ok := newest.ServiceConstraints(r.Service, r.Workspace, r.EntryRegion)
 	if !ok {
-		return j, vetchtrail.ReasonUnknownService
+		return constraints, vetchtrail.ReasonUnknownService
 	}
-	return j, ""
+	return constraints, ""
 }
 
-// CheckBeforeSend is the last check before the first byte of a request is sent to an
-// endpoint. It returns the reason not to send it; empty: it may be sent.
-// Configuration, quarantine, availability and rate limit may all have changed since
-// the target was chosen.
+// CheckBeforeSend checks a request just before its first byte is sent to an endpoint.
+// It returns the reason not to send it, or an empty reason if it may be sent. The
+// configuration, the quarantine, the endpoint's availability and its rate limit may
+// have changed since the endpoint was chosen.
 func (d *Dispatcher) CheckBeforeSend(e vetchtrail.Endpoint, r *vetchtrail.Request) vetchtrail.Reason {
 	now := time.Now()
 	if !now.Before(r.Deadline) {
 		return vetchtrail.ReasonDeadline
 	}
 	newest := d.cfg.Rules()
-	j, reason := evaluateRules(newest, r)
+	constraints, reason := constraintsOf(newest, r)
 	region, known := newest.Region(e.Region)
-	if reason != "" || !known || !(j.Allowed & r.AllowedRegions).Has(region.ID) {
-		return vetchtrail.ReasonResidency
+	if reason != "" || !known || !(constraints.Allowed & r.AllowedRegions).Has(region.ID) {
+		return vetchtrail.ReasonResidency // also if the route, service or workspace was removed
 	}
 	if _, quarantined := d.quarantined(r); quarantined {
 		return vetchtrail.ReasonQuarantined
@@ -212,9 +212,9 @@
 type attemptHistory struct {
 	excluded      []string // endpoints and data centres that are not tried again
 	refusedHere   bool     // an endpoint of this data centre refused because of its load
-	waitOver      bool     // the request may no longer wait for capacity here
+	waitExhausted bool     // the request may no longer wait for capacity here
 	reached       int      // attempts that reached any process
-	reachedTarget int      // attempts that reached the endpoint they were meant for
+	reachedTarget int      // attempts that reached the endpoint they were sent to
 	last          vetchtrail.Outcome
 }
 
@@ -222,7 +222,7 @@
 // last attempt. If an earlier attempt may have run and the last one did not, the
 // outcome of the request stays unknown.
 func (h *attemptHistory) overallOutcome(o vetchtrail.Outcome) vetchtrail.Outcome {
-	// Unknown is the zero kind; without a step there was no earlier attempt.
+	// OutcomeUnknown is the zero value. If h.last has no step, there was no earlier attempt.
 	if o.Kind != vetchtrail.OutcomeNotRun || h.last.Kind != vetchtrail.OutcomeUnknown || h.last.Step == "" {
 		return o
 	}
@@ -253,10 +253,11 @@
 		}
 		o = d.runAttempt(ctx, r, p, n, w)
 		use.attemptEnded(o)
-		// Once an endpoint may have received the request, it is no longer fresh:
-		// part of its time is spent, and a stream that has begun continues even if
-		// it is late. A request that a remote data centre had no capacity for stays
-		// fresh, so that it can still be refused with a retry time.
+		// After an attempt that may have reached an endpoint, the request no longer
+		// counts as one that its caller can retry: part of its time is spent, and a
+		// stream that has begun continues even if it is late. If a remote data centre
+		// only had no capacity, the policy may still refuse the request with a retry
+		// time.
 		r.CallerCanRetry = r.CallerCanRetry && o.Kind == vetchtrail.OutcomeNotRun && !reached(o)
 		o.ResponseStarted = o.ResponseStarted || r.ResponseStarted
 		if o.Kind == vetchtrail.OutcomeAnswered {
@@ -275,9 +276,9 @@
 }
 
 // withRetryTime corrects the retry time of a request that did not run because its
-// endpoint, of this data centre, is paused. The pause only covers that endpoint, but
-// the caller needs to know when any endpoint has capacity for the request. So the
-// policy decides once more, without the request's history.
+// endpoint, in this data centre, is paused. The end of that pause is the wrong time:
+// another endpoint may have capacity earlier. So the policy decides once more,
+// without the request's history, and the retry time follows from that decision.
 func (d *Dispatcher) withRetryTime(r *vetchtrail.Request, p placement, o vetchtrail.Outcome) vetchtrail.Outcome {
 	now := time.Now()
 	if reason, _ := d.cfg.Endpoints.Blocked(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.OutcomeNotRun || reason != vetchtrail.ReasonPaused {
@@ -298,8 +299,8 @@
 	if reached(o) {
 		h.reached++
 	}
-	// With ReasonOtherProcess another process, which now has the endpoint's address,
-	// received the request.
+	// With ReasonOtherProcess, the request reached another process that now has the
+	// endpoint's address.
 	if reached(o) && o.Reason != vetchtrail.ReasonOtherProcess {
 		h.reachedTarget++
 	}
@@ -312,15 +313,15 @@
 }
 
 // reached reports whether an attempt reached, or may have reached, any process.
-// An attempt that did not run reached a process if it failed at StepResponse: it
-// was refused in a response.
+// An attempt that did not run reached one if it ended at StepResponse, because a
+// response refused it.
 func reached(o vetchtrail.Outcome) bool {
 	return o.Kind != vetchtrail.OutcomeNotRun || o.Step == vetchtrail.StepResponse
 }
 
-// replayFailure writes the deferred failure response of an endpoint to the
-// caller, now that no further attempt can give a better one. It does nothing if
-// there is none or if part of an answer was written already.
+// replayFailure writes the deferred error response of an endpoint to the caller
+// when no further attempt is made. It does nothing if there is none or if part of a
+// response was written already.
 func (d *Dispatcher) replayFailure(o vetchtrail.Outcome, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if o.DeferredFailure == nil || o.ResponseStarted {
 		return o
@@ -334,8 +335,8 @@
 }
 
 // mayRetry reports whether another attempt is safe and within the retry budget.
-// A host that received the request from another host never retries: that is up to
-// the sender.
+// A host that received the request from another host never retries it; only the host
+// that forwarded it may.
 func (d *Dispatcher) mayRetry(ctx context.Context, r *vetchtrail.Request, o vetchtrail.Outcome, history *attemptHistory, attempt int) bool {
 	switch {
 	case attempt >= maxTotalAttempts || r.Hops > 0 || ctx.Err() != nil:
@@ -364,8 +365,8 @@
 	return r.MaxAttempts
 }
 
-// placement is the target of one attempt: an endpoint of this data centre, where
-// capacity is reserved for it, or a host of a remote data centre.
+// placement is the target of one attempt: an endpoint of this data centre with
+// capacity acquired for the attempt, or a host of a remote data centre.
 type placement struct {
 	endpoint      vetchtrail.Endpoint // unset if dataCentre is set
 	host          vetchtrail.Host     // set if dataCentre is set
@@ -382,7 +383,8 @@
 }
 
 // runAttempt sends a request to its target. It reports the outcome to the
-// membership, or to the load table and the quarantine if the target is an endpoint.
+// membership, or to the endpoint table and the quarantine if the target is an
+// endpoint.
 func (d *Dispatcher) runAttempt(ctx context.Context, r *vetchtrail.Request, p placement, attempt int, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if p.dataCentre != "" {
 		o := d.cfg.Peers.Forward(ctx, p.host, r, w)
@@ -422,8 +424,8 @@
 	case vetchtrail.ReasonUnknownKey, vetchtrail.ReasonUnknownWorkspace:
 		o.Status = statusUnauthorized
 	case vetchtrail.ReasonNoCommonHome:
-		// The configuration contradicts itself: no region may run a legitimate
-		// request until the operators correct it.
+		// The route and the workspace allow no common region. The caller can't
+		// change that; the operators have to correct the configuration.
 		o.Status = statusUnavailable
 	case vetchtrail.ReasonOverQuota:
 		o.Status = statusTooMany
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -26,8 +26,8 @@
 // reply is what a target does with one attempt.
 type reply func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 
-// scriptedTargets stands in for all endpoints and remote hosts. It gives each attempt the
-// next of its replies, wherever the attempt goes.
+// scriptedTargets is a fake of all endpoints and remote hosts. It gives each attempt the
+// next of its replies, whatever the target of the attempt.
 type scriptedTargets struct {
 	mu           sync.Mutex
 	replies      []reply
@@ -82,8 +82,8 @@
 	}
 }
 
-// breakAfter loses the answer after a first part of the body, or before it if that is
-// empty.
+// breakAfter loses the rest of the response after the given first part of the body, or the
+// whole response if that part is empty.
 func breakAfter(body string) reply {
 	return func(_ *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		if body != "" {
@@ -111,7 +111,7 @@
 	}
 }
 
-// failWith500 has the endpoint answer with a failure.
+// failWith500 has the endpoint send an error response, which is deferred.
 func failWith500(*vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
 		Kind: vetchtrail.OutcomeUnknown, Status: 502, Step: vetchtrail.StepResponse, Reason: vetchtrail.ReasonEndpointFailed,
@@ -119,14 +119,14 @@
 	}
 }
 
-// refuseUnknownRoute refuses the request as does a host whose configuration lacks the route.
+// refuseUnknownRoute refuses the request like a host whose configuration lacks the route.
 func refuseUnknownRoute(*vetchtrail.Request, vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	return vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Status: 404, Step: vetchtrail.StepDecide, Reason: vetchtrail.ReasonNoRoute}
 }
 
-// newDispatcher returns the dispatcher of a host in data centre a-1, with a number of
-// endpoints there. Data centre b-1 of region b has one host, "remote". Route r may go
-// to both regions, route at-b to region b only.
+// newDispatcher returns the dispatcher of a host in data centre a-1, with the given number of
+// endpoints there, named 1, 2 and so on. Data centre b-1 of region b has one host, "remote".
+// Route r may go to both regions, route at-b to region b only.
 func newDispatcher(t *testing.T, targets *scriptedTargets, endpoints int) *Dispatcher {
 	t.Helper()
 	ruleSet, err := rules.Restore([]vetchtrail.Edit{
@@ -166,10 +166,10 @@
 	})
 }
 
-// TestAttempts checks the outcome of a request and the answer its caller gets, for
-// what the targets of its attempts do. It guards against a retry that could run a
-// request twice, a retry left out where it is safe, and an answer that mixes the
-// parts of two attempts.
+// TestAttempts checks the outcome of a request and the response its caller receives,
+// depending on what the targets of its attempts do. It guards against a retry that could
+// run a request twice, against a missing retry where one is safe, and against a response
+// that mixes the parts of two attempts.
 func TestAttempts(t *testing.T) {
 	event1, event2 := "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
 	repeatable := func(r *vetchtrail.Request) { r.Repeatable, r.MaxAttempts = true, 2 }
@@ -185,15 +185,15 @@
 		resumedAfter string // the event that the last attempt was to continue after
 	}{
 		"answered":                         {nil, []reply{answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 1, ""},
-		"answer lost, not repeatable":      {nil, []reply{breakAfter("")}, 2, vetchtrail.OutcomeUnknown, 502, "", 1, ""},
+		"response lost, not repeatable":    {nil, []reply{breakAfter("")}, 2, vetchtrail.OutcomeUnknown, 502, "", 1, ""},
 		"refused, attempt limit 1":         {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 2, vetchtrail.OutcomeNotRun, 503, "", 1, ""},
 		"address taken by another process": {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonOtherProcess), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
 		"unreachable":                      {nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
 		"refused, attempt limit 2":         {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
-		"answer lost, repeatable":          {repeatable, []reply{breakAfter(""), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"response lost, repeatable":        {repeatable, []reply{breakAfter(""), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
 		"failed, then answered":            {repeatable, []reply{failWith500, answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
 		"failed twice, replayed":           {repeatable, []reply{failWith500, failWith500}, 2, vetchtrail.OutcomeAnswered, 500, "failed", 2, ""},
-		"answer lost, then not run":        {repeatable, []reply{breakAfter(""), refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 2, vetchtrail.OutcomeUnknown, 502, "", 2, ""},
+		"response lost, then not run":      {repeatable, []reply{breakAfter(""), refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 2, vetchtrail.OutcomeUnknown, 502, "", 2, ""},
 		"stream continues":                 {resumable, []reply{breakAfter(event1), answerWith(event2)}, 2, vetchtrail.OutcomeAnswered, 200, event1 + event2, 2, "1"},
 		"stream continues after its goal": {func(r *vetchtrail.Request) {
 			resumable(r)
@@ -214,12 +214,12 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g responseRecorder
-			o := d.Run(context.Background(), r, &g)
+			var got responseRecorder
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
-			assert.Equal(t, g.body.String(), c.body)
-			assert.Assert(t, g.begins <= 1, "%d calls of Begin", g.begins)
+			assert.Equal(t, got.body.String(), c.body)
+			assert.Assert(t, got.begins <= 1, "%d calls of Begin", got.begins)
 			assert.Equal(t, len(targets.called), c.attempts, "%v", targets.called)
 			assert.Equal(t, targets.resumedAfter[len(targets.resumedAfter)-1], c.resumedAfter)
 		})
@@ -244,15 +244,15 @@
 			r := &vetchtrail.Request{
 				ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second),
 			}
-			var g responseRecorder
-			assert.Equal(t, d.Run(context.Background(), r, &g).Kind, c.kind)
+			var got responseRecorder
+			assert.Equal(t, d.Run(context.Background(), r, &got).Kind, c.kind)
 		})
 	}
 }
 
-// TestForwardAfterWait checks that a request which waited for capacity in vain is forwarded
-// to a data centre that can still serve it. Only if it can't be forwarded may it be
-// refused, with a time to retry.
+// TestForwardAfterWait checks that a request which found no capacity by the end of its wait
+// is forwarded to a data centre that can still serve it. It may be refused, with a retry
+// time, only if it can't be forwarded.
 func TestForwardAfterWait(t *testing.T) {
 	cases := map[string]struct {
 		modify func(*vetchtrail.Request)
@@ -280,8 +280,8 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g responseRecorder
-			o := d.Run(context.Background(), r, &g)
+			var got responseRecorder
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, len(targets.called), c.called)
 			assert.Equal(t, o.Kind != vetchtrail.OutcomeNotRun || !o.RetryAt.IsZero(), true)
--- a/request/dispatch/event_tracker.go
+++ b/request/dispatch/event_tracker.go
@@ -7,7 +7,7 @@
 
 // eventTracker writes a resumable stream to its caller and stores the ID of the
 // last event in the request, so that another attempt continues after that event.
-// The caller gets the status and header of the first attempt only.
+// The caller receives one status and header, from the first attempt that responds.
 type eventTracker struct {
 	next vetchtrail.ResponseWriter
 	req  *vetchtrail.Request
--- a/request/dispatch/home_test.go
+++ b/request/dispatch/home_test.go
@@ -12,7 +12,7 @@
 
 // TestHomeRegionLost checks that a request which only its home region may run never
 // runs elsewhere, even if the endpoints here are idle. While the home region can't be
-// reached, the caller learns at once that the request did not run and when to retry.
+// reached, the request is refused at once as not run, with a retry time.
 func TestHomeRegionLost(t *testing.T) {
 	lost := vetchtrail.Outcome{Kind: vetchtrail.OutcomeNotRun, Peer: "remote", Reason: vetchtrail.ReasonUnreachable, HostLost: true}
 	cases := map[string]struct {
@@ -30,7 +30,7 @@
 			d.cfg.Membership.ForwardEnded("b-1", "s", lost, time.Now().Add(-time.Minute))
 		}, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, 200, []string{"remote"}},
 		"unreachable when forwarded": {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonUnreachable)}, vetchtrail.OutcomeNotRun, 503, []string{"remote"}},
-		"answer lost":                {nil, []reply{breakAfter("")}, vetchtrail.OutcomeUnknown, 502, []string{"remote"}},
+		"response lost":              {nil, []reply{breakAfter("")}, vetchtrail.OutcomeUnknown, 502, []string{"remote"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -43,8 +43,8 @@
 				ID: "x", Service: "s", Route: "at-b", MaxAttempts: 2, Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
 			started := time.Now()
-			var g responseRecorder
-			o := d.Run(context.Background(), r, &g)
+			var got responseRecorder
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
 			assert.DeepEqual(t, targets.called, c.called)
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -10,9 +10,9 @@
 	"vetchtrail/request/idempotency"
 )
 
-// runKeyed runs a request with an idempotency key. Only the process that issued
-// the key (its issuer) may start the request, so any other forwards it there.
-func (d *Dispatcher) runKeyed(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
+// runWithKey runs a request with an idempotency key. Only the process that issued
+// the key (its issuer) may start the request, so any other process forwards it there.
+func (d *Dispatcher) runWithKey(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	key, err := idempotency.Parse(r.IdempotencyKey)
 	if err != nil {
 		o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
@@ -31,14 +31,14 @@
 // StartingOutcome returns the outcome of a request that arrived before this host
 // had a configuration.
 func (d *Dispatcher) StartingOutcome(r *vetchtrail.Request) vetchtrail.Outcome {
-	return d.keyedRefusal(r, d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonStarting, time.Now().Add(time.Second)))
+	return d.refusalBeforeKeyCheck(r, d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonStarting, time.Now().Add(time.Second)))
 }
 
-// keyedRefusal returns the outcome of a request that was refused before its
-// idempotency key was checked. Such a refusal doesn't show whether an earlier
-// request with the key has run. The outcome is therefore unknown, unless this
-// process issued the key and has not begun a request with it.
-func (d *Dispatcher) keyedRefusal(r *vetchtrail.Request, o vetchtrail.Outcome) vetchtrail.Outcome {
+// refusalBeforeKeyCheck returns the outcome of a request that was refused before
+// its idempotency key was checked. If it has a key, an earlier request with that key
+// may have run, so the outcome is unknown unless this process issued the key and has
+// not begun a request with it.
+func (d *Dispatcher) refusalBeforeKeyCheck(r *vetchtrail.Request, o vetchtrail.Outcome) vetchtrail.Outcome {
 	key, err := idempotency.Parse(r.IdempotencyKey)
 	if r.IdempotencyKey == "" || err != nil || (d.cfg.IssuedKeys.IssuedHere(key) && !d.cfg.IssuedKeys.MayHaveBegun(key)) {
 		return o
@@ -47,9 +47,10 @@
 	return o
 }
 
-// runForwarded runs a keyed request that another host forwarded. If the key names
-// this host, an earlier process of this host issued the key. That process is gone,
-// and the sender took this one for it, so the request is not run.
+// runForwarded runs a request with an idempotency key that another host forwarded.
+// If the key names another host, the issuer forwarded the request. If it names this
+// host, the issuer was an earlier process of this host, which has ended; the request
+// is not run, because that process may have run one with the same key.
 func (d *Dispatcher) runForwarded(ctx context.Context, key idempotency.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	if key.Host == d.cfg.Self.Name {
 		return d.issuerGone(r)
@@ -58,25 +59,25 @@
 }
 
 // runAsIssuer runs the first request with a key that this process issued. Any
-// further request with the key gets the answer of the first.
+// further request with the key gets the response to the first.
 func (d *Dispatcher) runAsIssuer(ctx context.Context, key idempotency.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	rec, first, err := d.cfg.IssuedKeys.Begin(key, idempotency.Fingerprint(r), time.Now())
 	if err != nil {
-		return d.keyRefusal(key, err)
+		return d.unusableKeyRefusal(key, err)
 	}
 	if !first {
 		return d.awaitFirst(ctx, rec, r, w)
 	}
 	tee := &idempotency.Tee{To: w}
-	// The request continues when its caller disconnects: a retry with the same key
-	// needs the answer.
+	// The request continues when its caller disconnects, because a retry with the
+	// same key needs the response.
 	o := d.runWithRetries(context.WithoutCancel(ctx), r, tee)
 	d.cfg.IssuedKeys.Finish(key, rec, tee, o)
 	return o
 }
 
 // awaitFirst waits until the first request with a key has ended, and replays its
-// answer to a further one.
+// response to a further request with the key.
 func (d *Dispatcher) awaitFirst(ctx context.Context, rec *idempotency.Record, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	timeout := time.NewTimer(time.Until(r.Deadline))
 	defer timeout.Stop()
@@ -86,14 +87,14 @@
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	o := d.unknownOutcome(vetchtrail.ReasonResponseLost, errors.New("the request is still running"))
+	o := d.unknownOutcome(vetchtrail.ReasonResponseLost, errors.New("the first request with this key is still running"))
 	o.RetryAt = time.Now().Add(time.Second)
 	return o
 }
 
-// keyRefusal returns the outcome of a request whose key can't be used, for the
-// error of idempotency.Registry.Begin.
-func (d *Dispatcher) keyRefusal(key idempotency.Key, err error) vetchtrail.Outcome {
+// unusableKeyRefusal returns the outcome of a request whose idempotency key can't be
+// used. err is the error of idempotency.Registry.Begin.
+func (d *Dispatcher) unusableKeyRefusal(key idempotency.Key, err error) vetchtrail.Outcome {
 	o := d.refusal(vetchtrail.StepIdempotency, vetchtrail.ReasonIdempotencyKey, time.Time{})
 	o.Err = err
 	switch {
@@ -104,16 +105,16 @@
 	case errors.Is(err, idempotency.ErrExpired):
 		o.Status, o.Reason = statusConflict, vetchtrail.ReasonIdempotencyKeyExpired
 		if idempotency.RecordMayBeRemoved(key, time.Now()) {
-			// The record of an earlier request may have been dropped.
+			// The record of an earlier request may have been removed.
 			o.Kind = vetchtrail.OutcomeUnknown
 		}
 	}
 	return o
 }
 
-// forwardToIssuer forwards a keyed request to the process that issued its key. If
-// that process can't be reached, the outcome is unknown: an earlier request with
-// the key may have run.
+// forwardToIssuer forwards a request to the process that issued its idempotency key.
+// If that process can't be reached, the outcome is unknown, because an earlier request
+// with the key may have run.
 func (d *Dispatcher) forwardToIssuer(ctx context.Context, key idempotency.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	h, ok := d.cfg.Membership.Find(key.Host, time.Now())
 	if !ok {
@@ -133,16 +134,16 @@
 	return o
 }
 
-// issuerGone returns the outcome of a keyed request whose issuer was replaced by
-// another process. An earlier request with the key may have run; none will start
-// after its deadline.
+// issuerGone returns the outcome of a request whose idempotency key was issued by a
+// process that has ended. An earlier request with the key may have run; no request
+// starts after its deadline.
 func (d *Dispatcher) issuerGone(r *vetchtrail.Request) vetchtrail.Outcome {
 	return d.unknownOutcome(vetchtrail.ReasonIssuerGone,
-		errors.New("the process that issued the key is gone: the request may have run, and will not start after "+r.Deadline.UTC().Format(time.RFC3339)))
+		errors.New("the process that issued the key has ended: the request may have run, but will not start after "+r.Deadline.UTC().Format(time.RFC3339)))
 }
 
-// unknownOutcome returns the outcome of a keyed request of which this host doesn't
-// know whether it ran.
+// unknownOutcome returns the outcome of a request with an idempotency key of which
+// this host can't determine whether it ran.
 func (d *Dispatcher) unknownOutcome(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
 		Kind: vetchtrail.OutcomeUnknown, Status: statusBadGateway, Step: vetchtrail.StepIdempotency,
--- a/request/dispatch/metrics.go
+++ b/request/dispatch/metrics.go
@@ -9,8 +9,8 @@
 	"vetchtrail"
 )
 
-// unknownService is the service label of requests for services that don't exist.
-// Without it callers could create any number of label values.
+// unknownService is the service label of requests for services that don't exist. If
+// the label held the requested name, callers could create any number of time series.
 const unknownService = "none"
 
 // countRequest counts a request by its outcome and records its duration.
@@ -25,8 +25,8 @@
 }
 
 // RetriesMetric returns the name of the metric that counts a service's retries:
-// those that were made, or those that were not made because the retry budget was
-// spent or retries are switched off.
+// either those that were made, or those that were not made because the retry budget
+// was used up or retries are switched off.
 func RetriesMetric(service string, made bool) string {
 	return fmt.Sprintf(`vetchtrail_retries_total{service=%q,made="%t"}`, service, made)
 }
--- a/request/dispatch/per_service.go
+++ b/request/dispatch/per_service.go
@@ -5,8 +5,8 @@
 	"vetchtrail/request/queue"
 )
 
-// SetBudget replaces the settings of all services' retry budgets. What a budget has
-// counted is kept, unless the window has another length.
+// SetBudget replaces the settings of all services' retry budgets. The budgets keep
+// their counts unless the length of the window changes.
 func (d *Dispatcher) SetBudget(c budget.Config) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -16,7 +16,7 @@
 	for range maxPlacementRounds {
 		dec := d.decide(r, history)
 		if dec.Kind == vetchtrail.RunHere && waitQueue.Len() > 0 {
-			// The request must not overtake those that wait in the queue.
+			// The request must not be served before those in the queue.
 			dec.Kind, dec.Reason = vetchtrail.WaitHere, vetchtrail.ReasonFull
 		}
 		d.recordDecision(r, dec, attempt)
@@ -47,7 +47,7 @@
 	v.Region, v.Weights = ownRegion.ID, s.Weights
 	v.ExpectedEvents, v.UrgentInterval, v.IdlePrefill, v.CachedShare, v.PredictionRatio = 0, 0, 0, 0, 0
 	v.Endpoints, v.Remotes, v.Excluded = v.Endpoints[:0], v.Remotes[:0], history.excluded
-	v.RefusedHere, v.WaitExhausted = history.refusedHere, history.waitOver
+	v.RefusedHere, v.WaitExhausted = history.refusedHere, history.waitExhausted
 	v.QueueWait = d.waitQueue(r.Service).EstimatedWait().Seconds()
 	d.cfg.Endpoints.Fill(v, r, now)
 	v.ExpectedEvents = expectedEvents(r, s.EventTokens, v.ExpectedEvents)
@@ -60,14 +60,14 @@
 	return d.cfg.Policy.Decide(now, r, v, random)
 }
 
-// assumedAnswerShare is the share of its maximum number of tokens that an answer
-// is assumed to have while nothing better is known.
-const assumedAnswerShare = 0.5
+// assumedResponseShare is the assumed length of a response, as a share of its maximum
+// number of tokens, when there is no other estimate.
+const assumedResponseShare = 0.5
 
-// expectedEvents returns how many events a streamed answer is expected to have;
-// 0: not a stream, or not known. It uses the caller's estimate of the answer's
-// length if there is one, then the usual number of events of the route's answers,
-// then the maximum length of the answer.
+// expectedEvents returns the expected number of events in a streamed response; 0: not
+// a stream, or not known. It uses the caller's estimate of the response length if
+// there is one, otherwise the usual number of events of the route's responses,
+// otherwise the maximum length of the response.
 func expectedEvents(r *vetchtrail.Request, tokensPerEvent int, usual float64) float64 {
 	switch {
 	case !r.Stream:
@@ -77,12 +77,13 @@
 	case usual > 0 || tokensPerEvent == 0:
 		return usual
 	}
-	return assumedAnswerShare * float64(r.MaxTokens) / float64(tokensPerEvent)
+	return assumedResponseShare * float64(r.MaxTokens) / float64(tokensPerEvent)
 }
 
-// acquire takes capacity at the endpoint that the policy chose, or picks a host of
-// the data centre that it chose. It returns false if that fails: other requests may
-// have taken the capacity since the decision, or the hosts are out of reach.
+// acquire acquires capacity at the endpoint that the policy chose, with a reservation
+// within its rate limit, or picks a host of the data centre that it chose. It returns
+// false if that fails: other requests may have taken the capacity or the rate limit
+// since the decision, or no host of the data centre may be reachable.
 func (d *Dispatcher) acquire(ctx context.Context, r *vetchtrail.Request, dec vetchtrail.Decision) (placement, bool) {
 	if dec.Kind == vetchtrail.RunElsewhere {
 		h, ok := d.cfg.Membership.Pick(dec.Name, r.Service, time.Now())
@@ -104,18 +105,18 @@
 
 // waitForCapacity waits in the service's queue until a candidate has capacity, the
 // request may wait no longer, or its caller disconnects. A request that can't join the
-// queue, or has waited in vain, gets a last chance in a remote data centre.
+// queue, or leaves it without capacity, is forwarded or refused (forwardOrRefuse).
 func (d *Dispatcher) waitForCapacity(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
 	if d.cfg.Disabled.Has(vetchtrail.MechanismQueueing) {
-		return d.lastChance(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
+		return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
 	}
 	s, _ := d.cfg.Rules().Service(r.Service)
 	waitQueue := d.waitQueue(r.Service)
-	verdict := waitQueue.Join(r, s.QueueLimit, time.Now())
-	if verdict.Waiter == nil {
-		return d.lastChance(ctx, r, history, verdict.Reason, time.Now().Add(max(verdict.Wait, minRetryAfter)), attempt)
+	joined := waitQueue.Join(r, s.QueueLimit, time.Now())
+	if joined.Waiter == nil {
+		return d.forwardOrRefuse(ctx, r, history, joined.Reason, time.Now().Add(max(joined.Wait, minRetryAfter)), attempt)
 	}
-	w := verdict.Waiter
+	w := joined.Waiter
 	timeout := time.NewTimer(time.Until(r.QueueDeadline()))
 	defer timeout.Stop()
 	for {
@@ -128,10 +129,10 @@
 			continue
 		case <-w.Dropped(): // the queue dropped the request
 			waitQueue.Leave(w, false, time.Now())
-			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
+			return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
 		case <-timeout.C:
 			waitQueue.Leave(w, false, time.Now())
-			return d.lastChance(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
+			return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
 		case <-ctx.Done():
 			waitQueue.Leave(w, false, time.Now())
 			return d.refuseWaiter(r, vetchtrail.ReasonCallerGone, time.Time{}, attempt)
@@ -140,8 +141,8 @@
 }
 
 // decideAtHead has the policy decide again for the request at the head of the queue,
-// when capacity may have become free. It returns done if the request has left the
-// queue, with a placement or with a refusal; otherwise the request keeps waiting.
+// when capacity may have become free. If it returns done, the request has left the
+// queue with a placement or a refusal; otherwise it stays in the queue.
 func (d *Dispatcher) decideAtHead(ctx context.Context, r *vetchtrail.Request, waitQueue *queue.Queue, w *queue.Waiter, history attemptHistory, attempt int) (p placement, o vetchtrail.Outcome, done bool) {
 	if o, ok := d.applyRules(r); !ok { // the configuration may have changed
 		waitQueue.Leave(w, false, time.Now())
@@ -165,11 +166,11 @@
 	return p, vetchtrail.Outcome{}, true
 }
 
-// lastChance forwards a request that may not wait, or no longer, to a remote data
-// centre that can still serve it. If there is none, the request is refused with
+// forwardOrRefuse forwards a request that may not wait, or not any longer, to a remote
+// data centre that can still serve it. If there is none, it refuses the request with
 // the given reason.
-func (d *Dispatcher) lastChance(ctx context.Context, r *vetchtrail.Request, history attemptHistory, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
-	history.waitOver = true
+func (d *Dispatcher) forwardOrRefuse(ctx context.Context, r *vetchtrail.Request, history attemptHistory, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
+	history.waitExhausted = true
 	if d.cfg.Disabled.Has(vetchtrail.MechanismForwardAfterWait) {
 		return d.refuseWaiter(r, reason, retryAt, attempt)
 	}
--- a/request/dispatch/quarantine.go
+++ b/request/dispatch/quarantine.go
@@ -12,8 +12,8 @@
 // quarantined returns the quarantine entry of a request, if it has one. It is
 // called on every path to an endpoint: on arrival, before each attempt, at the
 // head of the queue, on the host that a request is forwarded to, and just before
-// the first byte is sent. Limits within one request, such as its attempts, don't
-// stop a poison request: its caller sends it again as a new request, to any host.
+// the first byte is sent. The attempt limit alone doesn't stop a poison request,
+// because its caller can send it again as a new request, to any host.
 func (d *Dispatcher) quarantined(r *vetchtrail.Request) (vetchtrail.QuarantineEntry, bool) {
 	if d.cfg.Quarantine == nil {
 		return vetchtrail.QuarantineEntry{}, false
@@ -30,8 +30,8 @@
 }
 
 // reportAttempt reports to the quarantine how an attempt at an endpoint ended, and
-// records the attempt if its answer was lost. An attempt whose caller disconnected
-// shows nothing about the endpoint.
+// records the attempt if its response was lost. An attempt whose caller disconnected
+// shows nothing about the endpoint and is not reported as lost.
 func (d *Dispatcher) reportAttempt(ctx context.Context, e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, timing vetchtrail.Timing, attempt int) {
 	lost := o.Kind == vetchtrail.OutcomeUnknown && ctx.Err() == nil
 	if lost {
@@ -46,9 +46,9 @@
 	}
 }
 
-// recordLostAttempt records an attempt that may have run in the journal. Only all
-// these records together show which requests an endpoint was running when it
-// crashed, and whether their callers retried them.
+// recordLostAttempt records in the journal an attempt that may have run but whose
+// response was lost. These records show which requests an endpoint was running when
+// it crashed, and whether their callers retried them.
 func (d *Dispatcher) recordLostAttempt(r *vetchtrail.Request, o vetchtrail.Outcome, sent time.Time, attempt int) {
 	d.cfg.Journal.Note(vetchtrail.JournalRecord{
 		At: sent, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, PromptTokens: r.PromptTokens(),
--- a/request/dispatch/quarantine_test.go
+++ b/request/dispatch/quarantine_test.go
@@ -33,8 +33,8 @@
 func (q *fakeQuarantine) Answered(*vetchtrail.Request) { q.answered++ }
 
 // TestQuarantinedRefused checks that a quarantined request reaches no endpoint on any
-// path there, and is refused without a time to retry. A path without the check would
-// let a poison request crash further endpoints.
+// path, and is refused without a retry time. A path without the check would let a poison
+// request crash further endpoints.
 func TestQuarantinedRefused(t *testing.T) {
 	repeatable := func(r *vetchtrail.Request) { r.Repeatable, r.MaxAttempts = true, 2 }
 	cases := map[string]struct {
@@ -65,8 +65,8 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g responseRecorder
-			o := d.Run(context.Background(), r, &g)
+			var got responseRecorder
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Equal(t, o.Status, c.status)
 			assert.Equal(t, o.Reason, c.reason)
@@ -78,7 +78,8 @@
 	}
 }
 
-// enableQueue lets requests of the dispatcher's service wait in a queue.
+// enableQueue replaces the configuration by one in which requests may queue for the service.
+// Only region a may run them.
 func enableQueue(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	ruleSet, err := rules.Restore([]vetchtrail.Edit{
@@ -93,8 +94,8 @@
 }
 
 // TestQuarantinedWhileQueued checks that a request which is quarantined while it waits
-// for capacity is refused at the head of the queue. The check on arrival can't see
-// that.
+// for capacity is refused at the head of the queue. The check on arrival is too early
+// for that.
 func TestQuarantinedWhileQueued(t *testing.T) {
 	targets, q := &scriptedTargets{}, &fakeQuarantine{passFirst: 1}
 	d := newDispatcher(t, targets, 1)
@@ -105,14 +106,14 @@
 	}
 	r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: 1, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(5 * time.Second)}
 	time.AfterFunc(20*time.Millisecond, func() { d.cfg.Endpoints.Release("1", vetchtrail.Observation{Request: "a"}, time.Now()) })
-	var g responseRecorder
-	o := d.Run(context.Background(), r, &g)
+	var got responseRecorder
+	o := d.Run(context.Background(), r, &got)
 	assert.Equal(t, o.Reason, vetchtrail.ReasonQuarantined, "%v", o)
 	assert.Equal(t, len(targets.called), 0)
 }
 
-// TestQuarantinedBeforeSend checks the last check, just before the first byte is sent:
-// a request may be quarantined after it was placed.
+// TestQuarantinedBeforeSend checks that a request which is quarantined after its endpoint
+// was chosen is refused just before its first byte is sent.
 func TestQuarantinedBeforeSend(t *testing.T) {
 	d := newDispatcher(t, &scriptedTargets{}, 1)
 	d.cfg.Quarantine = &fakeQuarantine{}
@@ -122,8 +123,8 @@
 }
 
 // TestQuarantinedAfterRun checks that a quarantined request with an idempotency key is
-// not reported as not run if an earlier request with the key may have run: its caller
-// would take it as safe to send again.
+// not reported as not run if an earlier request with the key may have run. Otherwise its
+// caller would consider it safe to send the request again.
 func TestQuarantinedAfterRun(t *testing.T) {
 	targets := &scriptedTargets{replies: []reply{breakAfter("")}}
 	d := newDispatcher(t, targets, 1)
@@ -133,8 +134,8 @@
 	key := d.cfg.IssuedKeys.Issue(time.Now()).String()
 	send := func() vetchtrail.Outcome {
 		r := &vetchtrail.Request{ID: "x", Service: "s", Route: "r", MaxAttempts: 1, IdempotencyKey: key, Deadline: time.Now().Add(5 * time.Second)}
-		var g responseRecorder
-		return d.Run(context.Background(), r, &g)
+		var got responseRecorder
+		return d.Run(context.Background(), r, &got)
 	}
 	first := send()
 	assert.Equal(t, first.Kind, vetchtrail.OutcomeUnknown, "%v", first)
--- a/request/dispatch/quota.go
+++ b/request/dispatch/quota.go
@@ -34,8 +34,8 @@
 }
 
 // issuedKey reports whether this process issued the idempotency key of a request.
-// Such a request is forwarded here before any cost is taken for it, so this host
-// takes the cost.
+// Other hosts forward such a request here before they take its cost, so this host
+// takes it.
 func (d *Dispatcher) issuedKey(r *vetchtrail.Request) bool {
 	key, err := idempotency.Parse(r.IdempotencyKey)
 	return r.IdempotencyKey != "" && err == nil && d.cfg.IssuedKeys.IssuedHere(key)
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -28,7 +28,7 @@
 
 func (q *fakeQuota) Return(_ string, cost float64) { q.remaining += cost }
 
-// newQuotaDispatcher returns a dispatcher whose configuration has a workspace w with an API key and
+// newQuotaDispatcher returns a dispatcher whose configuration has a workspace w with a key and
 // a quota, and a function that changes the configuration.
 func newQuotaDispatcher(t *testing.T, targets *scriptedTargets, quota *fakeQuota, endpoints int) (*Dispatcher, func(edits ...vetchtrail.Edit)) {
 	t.Helper()
@@ -61,16 +61,16 @@
 		wantRemaining float64 // of the quota, after the request
 		status        int
 	}{
-		"answered":                     {nil, []reply{answerWith("ok")}, 1000, 700, 200},
-		"no token counts":              {func(r *vetchtrail.Request) { r.EstimatedTokens, r.MaxTokens = 0, 0 }, []reply{answerWith("ok")}, 1000, 800, 200},
-		"answer lost, then answered":   {repeatable, []reply{breakAfter(""), answerWith("ok")}, 1000, 400, 200},
-		"not run, then answered":       {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), answerWith("ok")}, 1000, 700, 200},
-		"not run":                      {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 1000, 1000, 503},
-		"over the quota":               {nil, nil, 299, 299, 429},
-		"answer lost, quota exhausted": {repeatable, []reply{breakAfter("")}, 400, 100, 502},
-		"no workspace":                 {func(r *vetchtrail.Request) { r.Workspace = "" }, []reply{answerWith("ok")}, 0, 0, 200},
-		"forwarded":                    {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, []reply{answerWith("ok")}, 0, 0, 200},
-		"failed twice":                 {repeatable, []reply{failWith500, failWith500}, 1000, 400, 500},
+		"answered":                       {nil, []reply{answerWith("ok")}, 1000, 700, 200},
+		"no token counts":                {func(r *vetchtrail.Request) { r.EstimatedTokens, r.MaxTokens = 0, 0 }, []reply{answerWith("ok")}, 1000, 800, 200},
+		"response lost, then answered":   {repeatable, []reply{breakAfter(""), answerWith("ok")}, 1000, 400, 200},
+		"not run, then answered":         {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), answerWith("ok")}, 1000, 700, 200},
+		"not run":                        {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 1000, 1000, 503},
+		"over the quota":                 {nil, nil, 299, 299, 429},
+		"response lost, quota exhausted": {repeatable, []reply{breakAfter("")}, 400, 100, 502},
+		"no workspace":                   {func(r *vetchtrail.Request) { r.Workspace = "" }, []reply{answerWith("ok")}, 0, 0, 200},
+		"forwarded":                      {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, []reply{answerWith("ok")}, 0, 0, 200},
+		"failed twice":                   {repeatable, []reply{failWith500, failWith500}, 1000, 400, 500},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestAPIKeyRemoved checks that a request runs no more once its API key is removed from
-// its workspace, also between two attempts. Its outcome is still what is known of the
-// first attempt: if that may have run, the outcome must not become "not run".
+// TestAPIKeyRemoved checks that a request no longer runs once its key is removed from the
+// workspace, also between two attempts. If the first attempt may have run, the outcome must
+// not become "not run".
 func TestAPIKeyRemoved(t *testing.T) {
 	removeKey := func(applyEdits func(...vetchtrail.Edit)) {
 		applyEdits(vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w"}})
@@ -135,24 +135,24 @@
 	}
 }
 
-// TestCallerCanRetryAfterRefusal checks that the caller can retry after an attempt that reached no
-// endpoint, so that it still receives a retry time, and can't once an
-// endpoint has received it.
+// TestCallerCanRetryAfterRefusal checks that Request.CallerCanRetry stays set after an attempt that
+// reached no endpoint, so that the policy may still refuse the request with a retry time, and is
+// cleared once an endpoint has received the request.
 func TestCallerCanRetryAfterRefusal(t *testing.T) {
 	cases := map[string]struct {
-		first          reply
-		callerCanRetry bool
+		first         reply
+		stillCanRetry bool // Request.CallerCanRetry at the second attempt
 	}{
 		"no capacity there":      {refuseWith(vetchtrail.StepDecide, vetchtrail.ReasonOverCapacity), true},
 		"unreachable":            {refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), true},
 		"refused by an endpoint": {refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), false},
-		"answer lost":            {breakAfter(""), false},
+		"response lost":          {breakAfter(""), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var stillFresh bool
+			var stillCanRetry bool
 			targets := &scriptedTargets{replies: []reply{c.first, func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
-				stillFresh = r.CallerCanRetry
+				stillCanRetry = r.CallerCanRetry
 				return answerWith("ok")(r, w)
 			}}}
 			d := newDispatcher(t, targets, 2)
@@ -163,7 +163,7 @@
 			o := d.Run(context.Background(), r, &responseRecorder{})
 			assert.Equal(t, o.Kind, vetchtrail.OutcomeAnswered)
 			assert.Equal(t, len(targets.called), 2)
-			assert.Equal(t, stillFresh, c.callerCanRetry)
+			assert.Equal(t, stillCanRetry, c.stillCanRetry)
 		})
 	}
 }
--- a/request/dispatch/reservation_test.go
+++ b/request/dispatch/reservation_test.go
@@ -34,15 +34,15 @@
 	return vetchtrail.Reservation{Endpoint: e.Name}, time.Time{}, true
 }
 
-func (l *fakeRateLimits) Cancel(p vetchtrail.Reservation) {
-	if p.Endpoint != "" {
+func (l *fakeRateLimits) Cancel(res vetchtrail.Reservation) {
+	if res.Endpoint != "" {
 		l.returned++
 	}
 }
 
-func (l *fakeRateLimits) Allows(p vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
-	l.checked = p
-	return !l.refuseAll && p.Endpoint == e.Name
+func (l *fakeRateLimits) Allows(res vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
+	l.checked = res
+	return !l.refuseAll && res.Endpoint == e.Name
 }
 
 // newRateLimitedDispatcher returns a dispatcher whose endpoints all advertise a rate limit.
@@ -68,8 +68,8 @@
 }
 
 // TestReservations checks that a request takes a reservation on every path to a rate-limited endpoint, and
-// returns it if it did not get there. A path without one would exceed the endpoint's limit; a reservation
-// that is not returned would waste a part of it.
+// returns it if it did not reach the endpoint. Without the reservation, requests would exceed the endpoint's
+// rate limit; a reservation that is not returned wastes a part of that limit.
 func TestReservations(t *testing.T) {
 	repeatable := func(r *vetchtrail.Request) { r.Repeatable, r.MaxAttempts = true, 2 }
 	cases := map[string]struct {
@@ -91,9 +91,9 @@
 		"rate limit advertised after the placement": {nil, nil, []reply{refuseWith(vetchtrail.StepResidency, vetchtrail.ReasonRateLimited), answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 2, 1, 2},
 		"all used up":                       {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, []string{"1", "2"}, nil, vetchtrail.OutcomeNotRun, "", 0, 0, 0},
 		"all here used up, remote capacity": {nil, []string{"1", "2"}, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 0, 0, 1},
-		"resumed stream":                    {asResume, nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
-		"resumed stream, used up":           {asResume, []string{"1"}, nil, vetchtrail.OutcomeNotRun, vetchtrail.ReasonRateLimited, 0, 0, 0},
-		"resumed stream, unreachable":       {asResume, nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable)}, vetchtrail.OutcomeNotRun, vetchtrail.ReasonUnreachable, 1, 1, 1},
+		"resumed stream":                    {resumeAtEndpoint1, nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
+		"resumed stream, used up":           {resumeAtEndpoint1, []string{"1"}, nil, vetchtrail.OutcomeNotRun, vetchtrail.ReasonRateLimited, 0, 0, 0},
+		"resumed stream, unreachable":       {resumeAtEndpoint1, nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable)}, vetchtrail.OutcomeNotRun, vetchtrail.ReasonUnreachable, 1, 1, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -103,8 +103,8 @@
 			if c.modify != nil {
 				c.modify(r)
 			}
-			var g responseRecorder
-			o := d.Run(context.Background(), r, &g)
+			var got responseRecorder
+			o := d.Run(context.Background(), r, &got)
 			assert.Equal(t, o.Kind, c.kind, "%v", o)
 			assert.Assert(t, c.reason == "" || o.Reason == c.reason, "%v", o)
 			assert.Equal(t, limits.taken, c.taken)
@@ -119,13 +119,13 @@
 	}
 }
 
-// asResume makes a request resume a stream of endpoint 1.
-func asResume(r *vetchtrail.Request) {
+// resumeAtEndpoint1 makes a request resume a stream of endpoint 1.
+func resumeAtEndpoint1(r *vetchtrail.Request) {
 	r.Route, r.ResumeAt = "", vetchtrail.StreamPosition{Endpoint: "1", Stream: "x"}
 }
 
-// TestReservationBeforeSend checks that the reservation is checked again just before the first byte is sent: the
-// endpoint may have advertised another rate limit since.
+// TestReservationBeforeSend checks that the reservation is checked again just before the first byte is sent,
+// because the endpoint may have advertised another rate limit since the reservation was made.
 func TestReservationBeforeSend(t *testing.T) {
 	d, limits := newRateLimitedDispatcher(t, &scriptedTargets{}, 1)
 	r := &vetchtrail.Request{
--- a/request/dispatch/resume.go
+++ b/request/dispatch/resume.go
@@ -9,14 +9,14 @@
 	"vetchtrail"
 )
 
-// streamPath is the path at which an endpoint sends a stream again from an
-// offset. The stream's name follows it.
+// streamPath is the path prefix at which an endpoint sends a stream again from an
+// offset. The stream's name follows the prefix.
 const streamPath = "/v1/streams/"
 
-// resumeStream continues a stream whose connection the caller lost, after the last
-// event that the caller received. Only the endpoint that has the stream can do so. In
-// this data centre it is called directly, in a remote one through a host there. The
-// request is not run again.
+// resumeStream continues a stream whose connection broke, after the last event that
+// the caller received. Only the endpoint that holds the stream can continue it. An
+// endpoint in this data centre is called directly, and one in a remote data centre
+// through a host there. The original request is not run again.
 func (d *Dispatcher) resumeStream(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	e, ok := d.cfg.Rules().Endpoint(r.ResumeAt.Endpoint)
 	if !ok || e.Service != r.Service {
