--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -1,8 +1,9 @@
 // Package queue holds the requests of one host that wait for capacity at the endpoints of
 // a service. Each service has a bounded queue. It is ordered by priority, then by fair
 // shares between workspaces (start-time fair queueing), then by deadline, then by
-// arrival. The package doesn't know the endpoints: the caller decides whether the first
-// request can run, and removes it.
+// arrival. The package has no access to the endpoints: it signals to the first request
+// that there may be capacity, and the caller then decides whether the request can run and
+// removes it from the queue.
 package queue
 
 import (
@@ -76,9 +77,9 @@
 	}
 	index, _ := slices.BinarySearchFunc(q.waiting, w, compare)
 	wait := time.Duration(index+1) * q.interval
-	// A request is never refused because of the interval when the queue is empty. The
-	// interval may be from an earlier overload, and it is only updated when requests are
-	// served from the queue: if it kept all requests out, it would never shrink again.
+	// An empty queue never refuses a request because of the interval. The interval may be
+	// from an earlier overload, and it is only updated when requests are served from the
+	// queue. If it caused all requests to be refused, it would never shrink again.
 	if len(q.waiting) > 0 && now.Add(wait).After(w.deadline) {
 		return JoinResult{Reason: vetchtrail.ReasonDeadline, Wait: wait}
 	}
@@ -133,8 +134,8 @@
 // can't be served in time, or because another request displaced it.
 func (w *Waiter) Dropped() <-chan struct{} { return w.dropped }
 
-// Leave removes a request from the queue, if it is still there. served is true if the
-// request got capacity; then the next request is signalled.
+// Leave removes a request from the queue, if it is still there. served is true if there
+// was capacity for the request; the next request is then signalled.
 func (q *Queue) Leave(w *Waiter, served bool, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -25,7 +25,8 @@
 	return &vetchtrail.Request{Workspace: workspace, Priority: priority, Deadline: now.Add(within)}
 }
 
-// serveFirst removes the first request as if it got capacity, and returns its name.
+// serveFirst removes the first request as if there was capacity for it, and returns its
+// name.
 func serveFirst(q *Queue, names map[*Waiter]string) string {
 	w := q.waiting[0]
 	q.Leave(w, true, now)
@@ -68,8 +69,9 @@
 }
 
 // TestRefusals checks that Join refuses a request at once when it can't be served in time
-// or the queue is full. Otherwise its caller would wait in vain until the deadline. A
-// request with a smaller share or a higher priority displaces the last one instead.
+// or the queue is full. Otherwise its caller would wait until the deadline for nothing. If
+// the request has a higher priority, or its workspace has used less of its share, it
+// displaces the last request of the full queue instead.
 func TestRefusals(t *testing.T) {
 	q := stoppedQueue()
 	first := q.Join(request("a", 0, time.Second), 2, now)
@@ -95,7 +97,7 @@
 }
 
 // TestDropsLateRequests checks that requests which can no longer be served in time are
-// dropped before their deadline, so that they can still go elsewhere. This happens when
+// dropped before their deadline, so that they can still be forwarded. This happens when
 // the interval between served requests grows after they joined.
 func TestDropsLateRequests(t *testing.T) {
 	q := stoppedQueue()
