--- a/request/budget/budget_test.go
+++ b/request/budget/budget_test.go
@@ -35,9 +35,9 @@
 }
 
 // TestRetriesOfAllHosts checks that the retries of all hosts together in any window stay
-// within the share of their requests and the base. Hosts act in random order, and each may
-// count hosts as live that are gone. It guards against a host that uses more than its part
-// of the limit: then the sum over many hosts multiplies the load of an outage.
+// within the share of their requests and the base. Hosts act in random order, and a host
+// may count other hosts as live that have left. The test guards against a host that uses
+// more than its part of the limit, so that all hosts together exceed it.
 func TestRetriesOfAllHosts(t *testing.T) {
 	const window, share, base = 10 * time.Second, 0.2, 54.0
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,7 +47,7 @@
 		}
 		n := rapid.IntRange(1, 12).Draw(t, "hosts")
 		budgets := make([]*Budget, n)
-		hostCounts := make([]int, n) // number of live hosts as each host knows it
+		hostCounts := make([]int, n) // number of live hosts that each host counts
 		for i := range budgets {
 			hostCounts[i] = n
 			budgets[i] = New(Config{Window: window, Share: share, Base: base, Hosts: func() int { return hostCounts[i] }})
@@ -61,7 +61,7 @@
 			case 0:
 				budgets[i].CountRequest(start.Add(at))
 				events = append(events, event{at: at})
-			case 1: // a host also counts hosts that are dead or have left
+			case 1: // the host counts up to three hosts that are dead or have left
 				hostCounts[i] = n + rapid.IntRange(0, 3).Draw(t, "more")
 			default:
 				if budgets[i].TakeRetry(start.Add(at)) {
