--- a/request/idempotency/idempotency_test.go
+++ b/request/idempotency/idempotency_test.go
@@ -15,15 +15,15 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-// discard is an answer that goes nowhere. With callerGone it fails as if the caller had
-// left.
-type discard struct{ callerGone bool }
+// discard is a ResponseWriter that discards the response. If disconnected is set, it
+// returns errors as if the caller had disconnected.
+type discard struct{ disconnected bool }
 
 func (d discard) Begin(int, []vetchtrail.HeaderField) error { return d.err() }
 func (d discard) Write([]byte) error                        { return d.err() }
 func (d discard) err() error {
-	if d.callerGone {
-		return errors.New("the caller is gone")
+	if d.disconnected {
+		return errors.New("the caller has disconnected")
 	}
 	return nil
 }
@@ -32,15 +32,15 @@
 	return New(Config{Host: "h", Incarnation: 7, KeyTime: time.Minute, MaxBytes: maxBytes})
 }
 
-// TestParse checks that Parse reads an issued key back and rejects other texts. Callers may
-// choose their own value of the header, and a damaged key must not start a request.
+// TestParse checks that Parse returns the key that was issued and rejects other texts.
+// Callers may send any value in the header, and a damaged key must not start a request.
 func TestParse(t *testing.T) {
-	good := newTestRegistry(1).Issue(now)
+	issued := newTestRegistry(1).Issue(now)
 	cases := map[string]struct {
 		text string
 		ok   bool
 	}{
-		"issued key":               {good.String(), true},
+		"issued key":               {issued.String(), true},
 		"key chosen by the caller": {"booking-4711", false},
 		"empty":                    {"", false},
 		"no host":                  {"v1..7.1800000000.aa", false},
@@ -55,16 +55,16 @@
 			k, err := Parse(c.text)
 			assert.Equal(t, err == nil, c.ok)
 			if c.ok {
-				assert.Equal(t, k, good)
+				assert.Equal(t, k, issued)
 			}
 		})
 	}
 }
 
-// TestRegistryRunsOnce checks with random sequences of calls that the request of a key is
-// started again only if it did not run before, that a repeated request gets the first
-// answer, and that the records stay within their memory limit. A second run is the harm
-// that a key is meant to prevent.
+// TestRegistryRunsOnce checks with random sequences of calls that a request with a key is
+// started again only if it did not run before, that a repeated request has the outcome of
+// the first unless that response was not stored, and that the records stay within their
+// memory limit. A key is meant to prevent a second run.
 func TestRegistryRunsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		registry := newTestRegistry(8 * recordBytes)
@@ -109,7 +109,7 @@
 				if s.rec == nil {
 					rt.Skip("not running")
 				}
-				tee := &Tee{To: discard{callerGone: rapid.Bool().Draw(rt, "gone")}}
+				tee := &Tee{To: discard{disconnected: rapid.Bool().Draw(rt, "gone")}}
 				o := vetchtrail.Outcome{Kind: vetchtrail.OutcomeKind(rapid.IntRange(0, 2).Draw(rt, "kind"))}
 				if o.Kind == vetchtrail.OutcomeAnswered {
 					assert.NilError(rt, tee.Begin(200, nil))
@@ -128,7 +128,7 @@
 	})
 }
 
-// BenchmarkKeeper shows how much memory a number of records takes.
+// BenchmarkKeeper measures the memory that a number of records takes.
 func BenchmarkKeeper(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
--- a/request/idempotency/key.go
+++ b/request/idempotency/key.go
@@ -1,8 +1,8 @@
 // Package idempotency makes sure that a request with an idempotency key runs at most once.
 // The caller first gets a key from a host, then sends the request with that key. Only the
-// process that issued the key starts the request, so hosts need not agree on anything or
-// store anything elsewhere. If that process ends, the key can't be used any more. The
-// package keeps the keys and the outcomes of their requests; package dispatch runs the
+// process that issued the key starts the request, so hosts need no agreement and no shared
+// storage. If that process ends, the key can't be used any more. The package issues the
+// keys and stores the outcomes of their requests in memory; package dispatch runs the
 // requests and forwards them to the issuing host.
 package idempotency
 
--- a/request/idempotency/registry.go
+++ b/request/idempotency/registry.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// retention is how long after the expiry of its key a record is kept.
+	// retention is how long a record is stored after the expiry of its key.
 	retention = 10 * time.Minute
-	// maxAnswerBytes is the size of the largest answer that is stored.
-	maxAnswerBytes = 1 << 20
-	// recordBytes is the memory that a record takes without its answer.
+	// maxResponseBytes is the size of the largest response body that is stored.
+	maxResponseBytes = 1 << 20
+	// recordBytes is the memory that a record takes without its response.
 	recordBytes = 512
-	// sweepInterval is the least time between two sweeps for old records.
+	// sweepInterval is the minimum time between two sweeps for old records.
 	sweepInterval = 10 * time.Second
 )
 
@@ -61,7 +61,7 @@
 	status  int
 	header  []vetchtrail.HeaderField
 	body    []byte
-	stored  bool // status, header and body hold the whole answer
+	stored  bool // status, header and body hold the whole response
 }
 
 // New returns a registry without records.
@@ -94,10 +94,10 @@
 	return d.Sum64()
 }
 
-// Begin returns the record of a key that this process issued. If first is true, the
-// request has not been started: the caller starts it and calls Finish. Otherwise it was
-// started before and may still be running: the caller waits for the record's Done and
-// calls Replay.
+// Begin returns the record of a key that this process issued. If first is true, no request
+// with the key is running or may have run: the caller runs this one and calls Finish.
+// Otherwise an earlier request with the key is running or has ended: the caller waits for
+// the record's Done and calls Replay.
 func (r *Registry) Begin(key Key, fingerprint uint64, now time.Time) (rec *Record, first bool, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,9 +120,8 @@
 	return rec, true, nil
 }
 
-// MayHaveBegun reports whether the request of a key that this process issued may have
-// been started: there is a record of it, or there may have been a record that was
-// removed.
+// MayHaveBegun reports whether a request with a key that this process issued may be
+// running or may have run: there is a record, or there may have been one that expired.
 func (r *Registry) MayHaveBegun(key Key) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,15 +129,16 @@
 	return ok || RecordMayBeRemoved(key, time.Now())
 }
 
-// Finish records how a request ended, with its answer if that is not too large. The
-// record of a request that did not run is removed, so that its key can be used again.
-func (r *Registry) Finish(key Key, rec *Record, a *Tee, o vetchtrail.Outcome) {
+// Finish records how a request ended, with its response unless that is too large or the
+// memory is used up. The record of a request that did not run is removed, so that its key
+// can be used again.
+func (r *Registry) Finish(key Key, rec *Record, t *Tee, o vetchtrail.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec.outcome = o
-	if o.Kind == vetchtrail.OutcomeAnswered && !a.tooLarge && r.bytes+len(a.body) <= r.cfg.MaxBytes {
-		rec.status, rec.header, rec.body, rec.stored = a.status, a.header, a.body, true
-		r.bytes += len(a.body)
+	if o.Kind == vetchtrail.OutcomeAnswered && !t.tooLarge && r.bytes+len(t.body) <= r.cfg.MaxBytes {
+		rec.status, rec.header, rec.body, rec.stored = t.status, t.header, t.body, true
+		r.bytes += len(t.body)
 	}
 	if o.Kind == vetchtrail.OutcomeNotRun {
 		r.remove(key.Nonce, rec)
@@ -170,13 +170,13 @@
 }
 
 // RecordMayBeRemoved reports whether a record of the key may have been removed by now.
-// Without a record it is then not known whether the request ran.
+// If so, the absence of a record doesn't show that no request with the key ran.
 func RecordMayBeRemoved(key Key, now time.Time) bool { return now.After(key.Expires.Add(retention)) }
 
 // Stats is the size of a Registry.
 type Stats struct {
 	Records int // number of records
-	Bytes   int // their memory, including the stored answers
+	Bytes   int // their memory, including the stored responses
 }
 
 // Stats returns the size of the registry.
@@ -189,8 +189,8 @@
 // Done returns a channel that is closed when the request has ended.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// Replay sends the stored answer of the request to a caller that repeated it, and returns
-// the outcome. It may only be called after Done is closed.
+// Replay sends the stored response to a caller that repeated the request, and returns the
+// outcome. It may only be called after Done is closed.
 func (r *Record) Replay(w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	o := r.outcome
 	if o.Kind != vetchtrail.OutcomeAnswered {
@@ -199,50 +199,50 @@
 	if !r.stored {
 		return vetchtrail.Outcome{
 			Kind: vetchtrail.OutcomeUnknown, Status: 502, Step: vetchtrail.StepIdempotency, Reason: vetchtrail.ReasonResponseNotStored,
-			Err: errors.New("the request ran once and was answered, but its answer was not stored"),
+			Err: errors.New("the request ran and was answered, but its response was not stored"),
 		}
 	}
 	if err := w.Begin(r.status, r.header); err != nil {
-		return callerGone(o, err)
+		return disconnectedOutcome(o, err)
 	}
 	if err := w.Write(r.body); err != nil {
-		return callerGone(o, err)
+		return disconnectedOutcome(o, err)
 	}
 	o.ResponseStarted = true
 	return o
 }
 
-// callerGone returns the outcome of a replay whose caller is gone.
-func callerGone(o vetchtrail.Outcome, err error) vetchtrail.Outcome {
+// disconnectedOutcome returns the outcome of a replay whose caller has disconnected.
+func disconnectedOutcome(o vetchtrail.Outcome, err error) vetchtrail.Outcome {
 	o.Reason, o.Err, o.ResponseStarted = vetchtrail.ReasonCallerGone, err, true
 	return o
 }
 
-// Tee forwards an answer to the caller and keeps a copy of it. If the caller is gone, it
-// still copies it, without an error, because the caller may repeat the request to get the
-// answer.
+// Tee forwards a response to the caller and stores a copy of it. If the caller has
+// disconnected, Tee returns no error and still stores the response, because the caller may
+// repeat the request to get it.
 type Tee struct {
-	To         vetchtrail.ResponseWriter // where the answer is forwarded
-	status     int
-	header     []vetchtrail.HeaderField
-	body       []byte
-	tooLarge   bool // the body exceeds maxAnswerBytes and is not kept
-	callerGone bool
+	To           vetchtrail.ResponseWriter // where the response is forwarded
+	status       int
+	header       []vetchtrail.HeaderField
+	body         []byte
+	tooLarge     bool // the body exceeds maxResponseBytes and is not stored
+	disconnected bool // the caller has disconnected
 }
 
 // Begin implements vetchtrail.ResponseWriter.
 func (t *Tee) Begin(status int, header []vetchtrail.HeaderField) error {
 	t.status, t.header = status, header
-	t.callerGone = t.To.Begin(status, header) != nil
+	t.disconnected = t.To.Begin(status, header) != nil
 	return nil
 }
 
 // Write implements vetchtrail.ResponseWriter.
 func (t *Tee) Write(part []byte) error {
-	if !t.callerGone {
-		t.callerGone = t.To.Write(part) != nil
+	if !t.disconnected {
+		t.disconnected = t.To.Write(part) != nil
 	}
-	if t.tooLarge || len(t.body)+len(part) > maxAnswerBytes {
+	if t.tooLarge || len(t.body)+len(part) > maxResponseBytes {
 		t.tooLarge, t.body = true, nil
 		return nil
 	}
