--- a/request/quarantine/detect.go
+++ b/request/quarantine/detect.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// crashThreshold is the number of crashes after which a request that was in flight at each of
-	// them is quarantined.
+	// crashThreshold is the number of crashes at which a request must have been in flight to be
+	// quarantined.
 	crashThreshold = 3
-	// repeatCrashThreshold replaces crashThreshold for a request that was quarantined before.
+	// repeatCrashThreshold replaces crashThreshold for a request that was quarantined before and
+	// not released by an operator.
 	repeatCrashThreshold = 1
 	// unexplainedPerExtraCrash is the number of unexplained crashes in the same period for which
-	// one more crash is required, and maxExtraCrashes is the most that are added. Where endpoints
-	// also crash for other reasons, a request that is retried is present at several crashes by
-	// chance.
+	// crashThreshold is raised by one, by at most maxExtraCrashes in total. Where endpoints also
+	// crash for other reasons, a request that is retried is present at several crashes by chance.
 	unexplainedPerExtraCrash = 2
 	maxExtraCrashes          = 3
 	// unexplainedLookback extends that period to before the first crash counted against the
@@ -32,8 +32,8 @@
 // than StrategyThreshold and quarantines no harmless request; StrategyThreshold quarantines some.
 const (
 	// StrategyGreedy quarantines the request that was present at the most crashes and then treats
-	// these crashes as explained: they no longer count against other requests. A crash affects
-	// dozens of requests, and those that are retried may be present at the next crash too.
+	// these crashes as explained: they no longer count against other requests. Dozens of requests
+	// are in flight at each crash, and those that are retried may be present at the next one too.
 	StrategyGreedy Strategy = iota
 	// StrategyThreshold quarantines every request that was present at enough crashes.
 	StrategyThreshold
@@ -67,13 +67,13 @@
 	strategy  Strategy
 	now       time.Time
 	history   *CrashHistory
-	known     map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry
+	known     map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry // all entries, in force, expired or released
 	explained map[*mergedCrash]bool
 	detected  []vetchtrail.ContentHash // requests found so far
 }
 
-// explainKnown marks as explained all crashes at which a known poison request was present, whether
-// its quarantine is active or over. Released requests explain nothing.
+// explainKnown marks as explained all crashes at which a request with an entry was present, whether
+// the entry is in force or expired. Entries that an operator released explain nothing.
 func (d *detection) explainKnown() {
 	for hash, entry := range d.known {
 		req, ok := d.history.requests[hash]
@@ -90,12 +90,12 @@
 type tally struct {
 	contentHash  vetchtrail.ContentHash
 	crashes      []involvement
-	independent  int // crashes, where those with a common cause count as one
-	notStreaming int // crashes at which its response was not streaming yet
+	independent  int // number of crashes, where those with a common cause count as one
+	notStreaming int // number of crashes at which its response was not streaming yet
 }
 
-// strongest returns the request with the strongest evidence, of those with enough of it. Equally
-// strong ones are all returned.
+// strongest returns the request with the strongest evidence, among those with enough evidence to be
+// quarantined. If several have equally strong evidence, it returns them all.
 func (d *detection) strongest() []tally {
 	var out []tally
 	consider := func(hash vetchtrail.ContentHash, req *requestHistory) {
@@ -111,7 +111,7 @@
 	for hash, req := range d.history.repeated {
 		consider(hash, req)
 	}
-	for hash := range d.known { // the index of repeated crashes lacks requests with one crash
+	for hash := range d.known { // one crash may be enough for them, and repeated lacks requests with one crash
 		if req, ok := d.history.requests[hash]; ok && d.history.repeated[hash] == nil {
 			consider(hash, req)
 		}
@@ -129,8 +129,8 @@
 	return t.notStreaming - other.notStreaming
 }
 
-// halfCrashes returns the weight of the evidence in half crashes. A crash counts half if the
-// response was already streaming: poison requests mostly crash an endpoint as it starts them.
+// halfCrashes returns the weight of the evidence: 2 for each crash, but only 1 if the response was
+// already streaming, because poison requests mostly crash an endpoint when it starts them.
 func (t *tally) halfCrashes() int { return t.independent + min(t.independent, t.notStreaming) }
 
 // tally collects the evidence against a request and reports whether it is enough to quarantine it.
--- a/request/quarantine/entries.go
+++ b/request/quarantine/entries.go
@@ -19,16 +19,18 @@
 )
 
 const (
-	// initialDuration is how long a request is quarantined the first time. Releasing a poison
-	// request costs some endpoints, each with its streams and some seconds of a cold start. A
-	// request that was quarantined by mistake is served again after this time.
+	// initialDuration is how long a request is quarantined the first time. When the quarantine of
+	// a poison request ends, it can crash some endpoints again, which costs the streams of each and
+	// some seconds of cold start. A request that was quarantined by mistake is served again after
+	// this time.
 	initialDuration = 10 * time.Minute
 	// maxDuration bounds the duration, which doubles each time.
 	maxDuration = 6 * time.Hour
-	// entryRetention is how long an expired entry is remembered. Within this time, one crash is
+	// entryRetention is how long an entry is stored after it expired. Within this time, one crash is
 	// enough to quarantine the request again, for twice as long.
 	entryRetention = time.Hour
-	// maxEntries bounds the entries to about 0.1 MB. Each of them takes several crashes to make.
+	// maxEntries bounds the memory of the entries to about 0.1 MB. That many are not expected, as
+	// each entry is made only after several crashes.
 	maxEntries = 1024
 )
 
@@ -38,8 +40,8 @@
 	return min(initialDuration<<shift, maxDuration)
 }
 
-// Entries is the requests that are quarantined, or were lately, as one host knows them. It is safe
-// for concurrent use; Lookup takes no lock.
+// Entries is one host's copy of the quarantine entries, both those in force and those that ended
+// lately. It is safe for concurrent use; Lookup takes no lock.
 type Entries struct {
 	mu     sync.Mutex
 	byHash map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry
@@ -69,14 +71,14 @@
 	return entry, ok && now().Before(entry.Until)
 }
 
-// known returns a copy of all remembered entries, in force or expired.
+// known returns a copy of all entries, in force, expired or released.
 func (e *Entries) known() map[vetchtrail.ContentHash]vetchtrail.QuarantineEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.byHash)
 }
 
-// Add quarantines a request that was present at so many crashes.
+// Add quarantines a request. crashes is the number of crashes that count against it.
 func (e *Entries) Add(hash vetchtrail.ContentHash, crashes int, now time.Time) vetchtrail.QuarantineEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,10 +101,11 @@
 	return entry, true
 }
 
-// Merge takes an entry from another host and reports whether it is new here or newly released. Of
-// two entries of one request, the one with the higher count wins. If the counts are equal, a
-// release wins, and the earlier expiry: a host that has read the entry from the platform doesn't
-// know how old it is and may expect it to expire too late. The order of merges makes no difference.
+// Merge adds an entry from another host and reports whether that entry is new here, has a higher
+// count than the one here, or newly releases it. Of two entries of one request, the one with the
+// higher count wins. If the counts are equal, a release wins, and so does the earlier Until: a host
+// that read the entry from the platform doesn't have its age, so its Until may be too late. Except
+// for Since, which stays that of the entry received first, the order of merges makes no difference.
 func (e *Entries) Merge(in vetchtrail.QuarantineEntry, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -171,7 +174,7 @@
 	return first.ContentHash
 }
 
-// All returns the remembered entries, ordered by content hash.
+// All returns the entries, in force, expired or released, ordered by content hash.
 func (e *Entries) All(now time.Time) []vetchtrail.QuarantineEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,7 +188,8 @@
 	return out
 }
 
-// Version returns a hash that is equal on hosts with the same entries. It is 0 if there are none.
+// Version returns a hash of the content hashes, counts and releases of all entries. Hosts compare
+// it to find out whether they have the same entries. It is 0 if there are none.
 func (e *Entries) Version(now time.Time) uint64 {
 	sum := uint64(0)
 	for _, entry := range e.All(now) {
--- a/request/quarantine/history.go
+++ b/request/quarantine/history.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// sameCrashWindow is how far apart hosts may date one crash, where they don't know its process
-	// instance. They notice it by their broken connections, some of them late. An endpoint takes
-	// longer than this to restart, so that two crashes of one endpoint aren't merged.
+	// sameCrashWindow is the time difference below which two reports of an endpoint's crash are
+	// merged if they don't both state the start time of the process instance. Hosts detect a crash
+	// by their broken connections, some later than others. An endpoint takes longer than this to
+	// restart, so two crashes of one endpoint aren't merged.
 	sameCrashWindow = 500 * time.Millisecond
-	// reportWait is how long after the first report of a crash those of the other hosts are
-	// awaited. Until then the reports may contain only harmless requests that were in
+	// reportWait is how long after the first report of a crash it is not used yet, because other
+	// hosts may still report it. The first reports may contain only harmless requests that were in
 	// flight with the poison request.
 	reportWait = 300 * time.Millisecond
-	// commonCauseWindow is how close in time crashes count as one against a request that was
-	// present at both: endpoints that fail together have lost their power or their network.
+	// commonCauseWindow is the time difference below which two crashes count as one against a
+	// request that was present at both: endpoints that fail together have probably lost their power
+	// or their network.
 	commonCauseWindow = 200 * time.Millisecond
 	// crashRetention is how long a crash counts. It is long enough to detect a poison request whose
 	// caller sends it only once in several minutes.
 	crashRetention = 30 * time.Minute
-	// maxCrashes and maxRequestsPerCrash bound the memory of a crash aggregator: 256 crashes with
-	// 256 requests each are 65,536 records, about 4 MB.
+	// maxCrashes and maxRequestsPerCrash bound the memory of a CrashHistory: 256 crashes with 256
+	// requests each are 65,536 records, about 4 MB.
 	maxCrashes          = 256
 	maxRequestsPerCrash = 256
-	// maxCrashesPerRequest bounds the crashes that are remembered of one request.
+	// maxCrashesPerRequest bounds the crashes that are recorded for one request.
 	maxCrashesPerRequest = 16
 )
 
@@ -46,7 +48,7 @@
 	InFlight  []InFlight
 }
 
-// mergedCrash is a crash with the requests that all hosts have reported of it.
+// mergedCrash is a crash, merged from the reports of all hosts.
 type mergedCrash struct {
 	Crash
 	firstReportedAt time.Time
@@ -56,7 +58,7 @@
 // requestHistory is the crashes at which one request was present.
 type requestHistory struct {
 	crashes  []involvement // in chronological order
-	servedAt time.Time
+	servedAt time.Time     // when an endpoint last served it completely
 }
 
 // involvement is a crash at which a request was present.
@@ -116,14 +118,15 @@
 	return nil
 }
 
-// addRequest records that a request was present at a crash, unless it was served after the crash.
+// addRequest records that a request was present at a crash, unless the request was served after
+// the crash or the crash already has maxRequestsPerCrash requests.
 func (h *CrashHistory) addRequest(c *mergedCrash, r InFlight) {
 	req, ok := h.requests[r.ContentHash]
 	if !ok {
 		req = &requestHistory{}
 	}
-	known := slices.ContainsFunc(req.crashes, func(inv involvement) bool { return inv.mergedCrash == c })
-	if known || !c.At.After(req.servedAt) || c.requestCount >= maxRequestsPerCrash {
+	recorded := slices.ContainsFunc(req.crashes, func(inv involvement) bool { return inv.mergedCrash == c })
+	if recorded || !c.At.After(req.servedAt) || c.requestCount >= maxRequestsPerCrash {
 		return
 	}
 	h.requests[r.ContentHash] = req
@@ -139,8 +142,8 @@
 	}
 }
 
-// RecordServed records that an endpoint served a request completely at a time. This clears the
-// request of all earlier crashes.
+// RecordServed records that an endpoint served a request completely at the given time. Earlier
+// crashes then no longer count against the request.
 func (h *CrashHistory) RecordServed(hash vetchtrail.ContentHash, at time.Time) {
 	req, ok := h.requests[hash]
 	if !ok {
@@ -166,7 +169,7 @@
 	}
 }
 
-// removeOldest removes c, which has to be the oldest crash.
+// removeOldest removes c, which must be the first of h.crashes.
 func (h *CrashHistory) removeOldest(c *mergedCrash) {
 	h.crashes = h.crashes[1:]
 	for _, r := range c.InFlight {
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -10,9 +10,9 @@
 	"vetchtrail"
 )
 
-// PersistedEntries is the persisted form of the entries, which survives the loss of all hosts. It
-// contains no times, as no host's wall clock can be relied on: on a host that reads it after all
-// hosts were lost, each request is quarantined for its full duration again.
+// PersistedEntries is the persisted form of the entries, which outlasts a restart of all hosts. It
+// contains no times, as no host's wall clock can be relied on. A host that reads it after all hosts
+// were restarted quarantines each request for its full duration again.
 type PersistedEntries struct {
 	Entries []PersistedEntry `json:"holds"`
 }
@@ -71,7 +71,8 @@
 }
 
 // EntriesAt returns the entries for a host that reads them now. As their age isn't persisted, each
-// one starts now; hosts that know its real age correct this when they exchange entries.
+// one starts now. When the host exchanges entries with hosts that kept running, the earlier Until
+// wins (see Entries.Merge).
 func (p *PersistedEntries) EntriesAt(now time.Time) []vetchtrail.QuarantineEntry {
 	out := make([]vetchtrail.QuarantineEntry, 0, len(p.Entries))
 	for _, entry := range p.Entries {
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -25,7 +25,7 @@
 	return c
 }
 
-// midStream returns the same report for requests whose responses were streaming.
+// midStream marks the responses of all requests in a report as streaming.
 func midStream(c Crash) Crash {
 	for i := range c.InFlight {
 		c.InFlight[i].Streaming = true
@@ -33,8 +33,9 @@
 	return c
 }
 
-// TestDetect checks which requests are quarantined after which crashes: poison requests, not the
-// requests that were in flight with them and not those that met unrelated crashes.
+// TestDetect checks which requests are quarantined after which crashes: poison requests, but
+// neither the requests that were in flight with them nor those that were present at unrelated
+// crashes.
 func TestDetect(t *testing.T) {
 	const poison, other, third = 1, 2, 3
 	cases := map[string]struct {
@@ -100,8 +101,7 @@
 }
 
 // TestDetectAwaitsReports guards against quarantining the wrong request because some hosts have not
-// reported a crash yet. Request 2 seems to have been at more crashes than request 1 until the late
-// reports arrive.
+// reported a crash yet. Until the late reports arrive, request 2 has more crashes than request 1.
 func TestDetectAwaitsReports(t *testing.T) {
 	history, entries := NewCrashHistory(), NewEntries()
 	now := simStart.Add(10 * time.Second)
@@ -148,8 +148,8 @@
 	assert.Assert(t, !released)
 }
 
-// TestMergeInAnyOrder guards against hosts that disagree for good: those that received the same
-// entries, in any order and any number of times, have the same list.
+// TestMergeInAnyOrder guards against hosts whose entries never become equal. Hosts that received
+// the same entries, in any order and any number of times, must have the same list.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		reported := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) vetchtrail.QuarantineEntry {
@@ -160,11 +160,11 @@
 			}
 		}), 1, 12).Draw(rt, "reported")
 		a, b := NewEntries(), NewEntries()
-		for _, h := range reported {
-			a.Merge(h, simStart)
+		for _, entry := range reported {
+			a.Merge(entry, simStart)
 		}
-		for _, h := range rapid.Permutation(append(reported, reported...)).Draw(rt, "again") {
-			b.Merge(h, simStart)
+		for _, entry := range rapid.Permutation(append(reported, reported...)).Draw(rt, "again") {
+			b.Merge(entry, simStart)
 		}
 		assert.DeepEqual(rt, a.All(simStart), b.All(simStart))
 		assert.Equal(rt, a.Version(simStart), b.Version(simStart))
@@ -180,7 +180,7 @@
 	}
 	assert.Equal(t, len(entries.All(now)), maxEntries)
 	_, active := entries.Lookup(hashOf(3*maxEntries), fixedClock(now))
-	assert.Assert(t, active, "the newest entry should be remembered")
+	assert.Assert(t, active, "the newest entry was removed")
 	for n := range uint64(3 * maxCrashes) {
 		c := Crash{Endpoint: fmt.Sprint(n), At: now}
 		for k := range uint64(2 * maxRequestsPerCrash) {
@@ -217,10 +217,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var k PersistedEntries
-			k.Update(c.persisted, nil)
-			k.Update(c.put, c.drop)
-			text, err := k.Encode()
+			var persisted PersistedEntries
+			persisted.Update(c.persisted, nil)
+			persisted.Update(c.put, c.drop)
+			text, err := persisted.Encode()
 			assert.NilError(t, err)
 			read, err := ParsePersistedEntries(text)
 			assert.NilError(t, err)
@@ -230,16 +230,16 @@
 	}
 }
 
-// FuzzParseKept checks that any stored bytes yield only valid entries, none of them longer than the
-// maximum.
-func FuzzParseKept(f *testing.F) {
+// FuzzParsePersistedEntries checks that any stored bytes yield only valid entries, none of which is
+// in force for longer than the maximum.
+func FuzzParsePersistedEntries(f *testing.F) {
 	for _, seed := range []string{"", "{}", `{"holds":[{"digest":"00000000000000010000000000000000","strike":1,"ends":3}]}`, `{"holds":[{"digest":"zz","strike":1}]}`, `{"holds":7}`, `[]`} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		k, err := ParsePersistedEntries(text)
-		for _, h := range k.EntriesAt(simStart) {
-			assert.Assert(t, h.Count > 0 && h.Until.After(simStart) && h.Until.Sub(simStart) <= maxDuration, "%v %v", h, err)
+		persisted, err := ParsePersistedEntries(text)
+		for _, entry := range persisted.EntriesAt(simStart) {
+			assert.Assert(t, entry.Count > 0 && entry.Until.After(simStart) && entry.Until.Sub(simStart) <= maxDuration, "%v %v", entry, err)
 		}
 	})
 }
--- a/request/quarantine/simulation_test.go
+++ b/request/quarantine/simulation_test.go
@@ -34,12 +34,12 @@
 	poisonDelay       time.Duration // mean time from a poison request's first byte to the crash
 	unrelatedInterval time.Duration // mean time between unrelated crashes; 0: none
 
-	poisonCrashes     map[vetchtrail.ContentHash]int // crashes by poison request
-	unrelatedCrashes  int                            // number of unrelated crashes
-	quarantinedPoison map[vetchtrail.ContentHash]time.Time
-	crashesNeeded     []int // crashes by each poison request until it was quarantined
-	falsePositives    map[vetchtrail.ContentHash]bool
-	falselyRefused    int // harmless requests refused as quarantined
+	poisonCrashes     map[vetchtrail.ContentHash]int       // crashes by poison request
+	unrelatedCrashes  int                                  // number of unrelated crashes
+	quarantinedPoison map[vetchtrail.ContentHash]time.Time // when each poison request was first quarantined
+	crashesNeeded     []int                                // crashes by each poison request until it was quarantined
+	falsePositives    map[vetchtrail.ContentHash]bool      // harmless requests that were quarantined
+	falselyRefused    int                                  // refusals of harmless requests, as quarantined
 	served            int
 	lost              int
 }
@@ -179,12 +179,12 @@
 	})
 }
 
-// crash crashes an endpoint with all its requests, and has its hosts report it.
+// crash crashes an endpoint with all its requests, and has the hosts that sent them report it.
 func (sim *simulation) crash(e *simEndpoint) {
 	e.down = true
 	e.instance++
 	report := Crash{Endpoint: e.name, StartedAt: simStart.Add(time.Duration(e.instance)), At: sim.now}
-	reports := [8]Crash{} // one of each host, with its own requests
+	reports := [8]Crash{} // one report for each host, with the requests that it sent
 	for i := range reports {
 		reports[i] = report
 	}
@@ -211,8 +211,8 @@
 	sim.callerRetry(r)
 }
 
-// callerRetry sends a failed request again as its caller may: always if it is poison, else half of
-// the time and up to the fourth attempt.
+// callerRetry sends a failed request again for its caller: always if it is a poison request,
+// otherwise in half of the cases and only until its fourth attempt.
 func (sim *simulation) callerRetry(r *simRequest) {
 	switch {
 	case r.poison:
@@ -235,7 +235,7 @@
 	sim.after(sim.random(2*sim.unrelatedInterval), sim.crashUnrelated)
 }
 
-// detect quarantines the requests that are found, as a crash aggregator does, every 100 ms.
+// detect quarantines the requests that Detect returns, every 100 ms.
 func (sim *simulation) detect() {
 	for _, s := range sim.history.Detect(sim.strategy, sim.entries, sim.now) {
 		sim.entries.Add(s.ContentHash, s.Crashes, sim.now)
