--- a/request/quota/assigned_share.go
+++ b/request/quota/assigned_share.go
@@ -61,41 +61,41 @@
 	started       bool      // the bucket has its initial level
 }
 
-// RequestDue reports whether to request the rate now. If so, the caller must request it, as
-// the next request is then due after shareInterval.
-func (t *AssignedShare) RequestDue(now time.Time) bool {
-	if now.Before(t.nextRequestAt) {
+// RequestDue reports whether the host should request its rate now. If it returns true, the next
+// request is due only after shareInterval, so the caller must make this one.
+func (a *AssignedShare) RequestDue(now time.Time) bool {
+	if now.Before(a.nextRequestAt) {
 		return false
 	}
-	t.nextRequestAt = now.Add(shareInterval)
+	a.nextRequestAt = now.Add(shareInterval)
 	return true
 }
 
 // ApplyReply stores the rate from the owner's reply.
-func (t *AssignedShare) ApplyReply(rate float64, now time.Time) {
-	t.rate, t.expiresAt = rate, now.Add(shareTTL)
+func (a *AssignedShare) ApplyReply(rate float64, now time.Time) {
+	a.rate, a.expiresAt = rate, now.Add(shareTTL)
 }
 
 // Take deducts units if the host's share has any left. A request may cost more than is left,
 // and the share then owes the difference. If it is refused, retryAt is when units will be
 // available.
-func (t *AssignedShare) Take(units float64, q vetchtrail.Quota, tolerance Tolerance, hosts int, now time.Time) (ok bool, retryAt time.Time) {
+func (a *AssignedShare) Take(units float64, q vetchtrail.Quota, t Tolerance, hosts int, now time.Time) (ok bool, retryAt time.Time) {
 	rate := q.Rate / float64(max(1, hosts))
-	if now.Before(t.expiresAt) {
-		rate = t.rate
+	if now.Before(a.expiresAt) {
+		rate = a.rate
 	}
-	capacity := tolerance.capacity(q) * rate / q.Rate
-	if !t.started {
-		t.started = true
-		t.bucket = bucket{level: initialFill * capacity, updatedAt: now}
+	capacity := t.capacity(q) * rate / q.Rate
+	if !a.started {
+		a.started = true
+		a.bucket = bucket{level: initialFill * capacity, updatedAt: now}
 	}
-	t.bucket.fill(rate, capacity, now)
-	if t.bucket.level <= 0 {
-		return false, now.Add(t.bucket.wait(1, rate))
+	a.bucket.fill(rate, capacity, now)
+	if a.bucket.level <= 0 {
+		return false, now.Add(a.bucket.wait(1, rate))
 	}
-	t.bucket.spend(units)
+	a.bucket.spend(units)
 	return true, time.Time{}
 }
 
 // Return gives back units that were not used.
-func (t *AssignedShare) Return(units float64) { t.bucket.level += units }
+func (a *AssignedShare) Return(units float64) { a.bucket.level += units }
--- a/request/quota/demand.go
+++ b/request/quota/demand.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// demandTimeConstant is the time constant of the average. It spans enough requests for a mean,
-// and is short compared with the one or two seconds in which a region's traffic grows to its
-// peak.
+// demandTimeConstant is the time constant of the average. It is long enough to average over
+// several requests, and short compared with the one or two seconds in which a region's traffic
+// grows to its peak.
 const demandTimeConstant = 500 * time.Millisecond
 
 // Demand is an exponentially decaying average of the units requested per second.
--- a/request/quota/lease_holder.go
+++ b/request/quota/lease_holder.go
@@ -15,14 +15,14 @@
 
 // LeaseHolder is the state of one workspace's quota at a host that runs its requests.
 type LeaseHolder struct {
-	units         float64   // leased and not yet used
+	units         float64   // units leased and not yet used
 	expiresAt     time.Time // until when the units may be used
 	blockedUntil  time.Time // until when no lease is requested, after a refusal
 	retryAt       time.Time // when units will be available, by the last refusal
-	demandedUnits float64   // requested by callers since the last lease request
-	unleasedUnits float64   // used without a lease since the last lease request
-	unitDemand    Demand    // average of the units that callers request
-	requestDemand Demand    // average number of requests
+	demandedUnits float64   // units requested by callers since the last lease request
+	unleasedUnits float64   // units used without a lease since the last lease request
+	unitDemand    Demand    // units that callers request per second
+	requestDemand Demand    // requests per second
 	lastReply     LeaseReply
 	// prefetchedAt is when a lease was last requested in advance.
 	prefetchedAt time.Time
@@ -49,8 +49,8 @@
 }
 
 // expectedUnits returns how many units callers are likely to request within prefetchTime. It
-// is 0 at a host that expects less than one request, which leases nothing in advance: units
-// idle at some sixty hosts would be the whole quota of a small workspace.
+// is 0 at a host that expects less than one request, which therefore leases nothing in advance:
+// idle leases at some sixty hosts would use up the whole quota of a small workspace.
 func (h *LeaseHolder) expectedUnits(now time.Time) float64 {
 	if h.requestDemand.Rate(now)*prefetchTime.Seconds() < 1 {
 		return 0
@@ -89,8 +89,8 @@
 	return r
 }
 
-// RestoreRequest takes back a lease request that got no reply. The next one reports its units
-// again.
+// RestoreRequest is called for a lease request without a reply. It makes the next lease request
+// report the same units again.
 func (h *LeaseHolder) RestoreRequest(r LeaseRequest) {
 	h.demandedUnits += r.DemandedUnits
 	h.unleasedUnits += r.UnleasedUnits
--- a/request/quota/owner.go
+++ b/request/quota/owner.go
@@ -16,7 +16,7 @@
 	UnleasedUnits float64 // units that the host used without a lease since then, as it reached no owner
 }
 
-// LeaseReply is the answer to a LeaseRequest.
+// LeaseReply is the reply to a LeaseRequest.
 type LeaseReply struct {
 	Units       float64       // units leased; 0: refused
 	ExpiresAt   time.Time     // until when the units may be used
@@ -28,7 +28,9 @@
 }
 
 // leaseTime is how long leased units may be used. Units leased to a host that crashes stay
-// unused for that long, and units used in a window may have been leased that long before it.
+// unused for that long, and units used in a window may have been leased that long before the
+// window began. A further lease extends the time for units that are still unused
+// (LeaseHolder.ApplyReply).
 const leaseTime = 500 * time.Millisecond
 
 // Owner is the state of one workspace's quota at the host that owns it for a region.
@@ -48,11 +50,11 @@
 // Demand returns the units per second that the region's callers request.
 func (o *Owner) Demand(now time.Time) float64 { return o.demand.Rate(now) }
 
-// Grant answers a lease request under the quota in force. A request for more units than the
+// Grant replies to a lease request under the quota in force. A request for more units than the
 // bucket can hold is granted when the bucket is full, and the bucket then owes the difference.
-// heardShare is the fraction of the region's hosts that this host receives heartbeats from.
-// The other hosts may be partitioned from it and use their fraction of the quota without an
-// owner or with another one, so the region's rate is reduced by it.
+// seenShare is the fraction of the region's hosts that this host receives heartbeats from, by
+// which the region's rate is multiplied: the other hosts may be partitioned from this one and
+// use their fraction of the quota without an owner or with another one.
 func (o *Owner) Grant(r LeaseRequest, q vetchtrail.Quota, t Tolerance, seenShare float64, now time.Time) LeaseReply {
 	o.demand.Add(r.DemandedUnits, now)
 	regionRate := seenShare * o.RegionSplit.RegionRate(q.Rate, o.demand.Rate(now))
--- a/request/quota/quota_test.go
+++ b/request/quota/quota_test.go
@@ -44,17 +44,17 @@
 		messages    float64 // maximum per second and host
 		withinLimit bool    // the limit holds at seven times the usual demand
 	}{
-		// This workspace makes some thirty requests in five seconds. A request that coincides with
+		// This workspace makes about thirty requests in five seconds. A request that coincides with
 		// others is occasionally refused: 3 of 1,264.
-		"leased, smallest": {strategyLeased, 36_000, 0.004, 5, true},
-		"leased, middle":   {strategyLeased, 450_000, 0.001, 10, true},
-		"leased, largest":  {strategyLeased, 3_900_000, 0.001, 25, true},
-		"equal, smallest":  {strategyEqual, 36_000, 0.35, 1, true},
-		"equal, middle":    {strategyEqual, 450_000, 0.35, 1, true},
-		"equal, largest":   {strategyEqual, 3_900_000, 0.20, 1, true},
-		"told, smallest":   {strategyAssigned, 36_000, 0.30, 2, false},
-		"told, middle":     {strategyAssigned, 450_000, 0.06, 3, false},
-		"told, largest":    {strategyAssigned, 3_900_000, 0.01, 6, false},
+		"leased, smallest":   {strategyLeased, 36_000, 0.004, 5, true},
+		"leased, middle":     {strategyLeased, 450_000, 0.001, 10, true},
+		"leased, largest":    {strategyLeased, 3_900_000, 0.001, 25, true},
+		"equal, smallest":    {strategyEqual, 36_000, 0.35, 1, true},
+		"equal, middle":      {strategyEqual, 450_000, 0.35, 1, true},
+		"equal, largest":     {strategyEqual, 3_900_000, 0.20, 1, true},
+		"assigned, smallest": {strategyAssigned, 36_000, 0.30, 2, false},
+		"assigned, middle":   {strategyAssigned, 450_000, 0.06, 3, false},
+		"assigned, largest":  {strategyAssigned, 3_900_000, 0.01, 6, false},
 	}
 	const hosts, usual, seconds, seeds = 66, 1 / 1.8, 36, 8
 	for name, c := range cases {
@@ -162,15 +162,15 @@
 
 // TestWindowLimitRegressions repeats the runs in testdata/rapid that once exceeded the limit.
 //
-// In the first, hosts and a region were partitioned in turn, a third of the messages was lost,
-// the quota was lowered to a tenth, and callers requested seven times as much. Hosts used
-// leases and their equal shares in turn, and each spent lease cleared the debt of the equal
-// share.
+// In the first, hosts and a region were partitioned, a host crashed, a third of the messages
+// was lost for a time, the quota was lowered to a tenth, and callers requested seven times the
+// earlier quota. Hosts used leases and their equal shares in turn, and each spent lease cleared
+// the debt of the equal share.
 //
-// In the second, only messages were lost, and callers requested twice the quota. Hosts without
-// an owner used an equal share of the whole quota, also in regions whose share was smaller
-// because others requested more. The owners in those other regions leased the same units
-// again.
+// In the second, messages were lost as well, a host was partitioned for three seconds, the quota
+// was lowered to a tenth, and callers requested twice the earlier quota. Hosts without an owner
+// used an equal share of the whole quota, also in regions whose share was smaller because other
+// regions requested more. The owners in those other regions leased the same units again.
 func TestWindowLimitRegressions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkWindowLimit(t, "") })
 }
--- a/request/quota/region_split.go
+++ b/request/quota/region_split.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// RegionSplit divides the rate of one workspace's quota among the regions by their demand, as
-// the owner in one region knows it.
+// RegionSplit is the division of one workspace's quota rate among the regions by their demand,
+// as the owner in one region calculates it.
 //
 // Each region's rate is its demand plus an equal share of what no region demands. When a
 // region's demand grows, the region itself counts the increase only after all other regions
 // have confirmed it; when its demand falls, it counts the decrease at once. The other regions
-// count either when the report reaches them. When the regions demand more than the quota, each
-// gets a share in proportion to its demand. So the rates that the regions use never add up to
-// more than the quota, whatever is delayed, lost or partitioned.
+// count either change when they receive the report. When the regions demand more than the
+// quota, each has a share in proportion to its demand. So the rates that the regions use never
+// add up to more than the quota, whichever messages are delayed or lost and whichever regions
+// are partitioned.
 type RegionSplit struct {
 	regions int                     // number of regions in the deployment, this one included
 	others  map[string]*otherRegion // by region
 }
 
-// otherRegion is what is known of another region.
+// otherRegion is the state of the exchange with another region.
 type otherRegion struct {
 	reports       map[string]demandReport // latest demand report of each of the region's owners, by host
 	receivedAt    time.Time               // when the last report was received
-	confirmedRate float64                 // demand of this region that the other region counts at least
+	confirmedRate float64                 // the other region counts at least this demand of this region
 	confirmed     bool                    // the other region has confirmed at least one report
 }
 
@@ -50,15 +51,16 @@
 	return o
 }
 
-// MarkSent notes that a report of this region's demand was sent to another region, which may
-// count it from now on. A lower demand therefore binds this region at once.
+// MarkSent records that a report of this region's demand was sent to another region, which may
+// count the reported demand from now on. If it is lower than the confirmed demand, this region
+// is limited to it at once.
 func (s *RegionSplit) MarkSent(region string, rate float64) {
 	if o := s.otherRegion(region); o.confirmed {
 		o.confirmedRate = min(o.confirmedRate, rate)
 	}
 }
 
-// MarkConfirmed notes that another region has confirmed a report of this region's demand.
+// MarkConfirmed records that another region has confirmed a report of this region's demand.
 func (s *RegionSplit) MarkConfirmed(region string, rate float64) {
 	o := s.otherRegion(region)
 	o.confirmedRate, o.confirmed = rate, true
--- a/request/quota/simulation_test.go
+++ b/request/quota/simulation_test.go
@@ -43,7 +43,7 @@
 	startedAt      time.Time
 }
 
-// sim is one run of the simulation.
+// sim is one run of the simulation, in which all hosts use the same strategy.
 type sim struct {
 	strategy    strategy
 	quota       vetchtrail.Quota
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// seenShare returns the fraction of a region's hosts that its owner counts as alive. It notices
-// a partitioned host after two seconds.
+// seenShare returns the fraction of a region's hosts that its owner counts as alive. The owner
+// stops counting a partitioned host after two seconds. It keeps counting hosts that are down.
 func (s *sim) seenShare(region int) float64 {
 	all, seen := 0, 0
 	for _, h := range s.hosts {
@@ -222,7 +222,8 @@
 	s.attempt(h, units, idealAccepts, 3)
 }
 
-// attempt runs a request, or tries again after the host's lease request.
+// attempt runs a request if the quota allows it. While the host's lease request is under way, it
+// tries again every 20 ms, up to attemptsLeft times.
 func (s *sim) attempt(h *simHost, units float64, idealAccepts bool, attemptsLeft int) {
 	ok, wait := s.take(h, units)
 	switch {
@@ -241,7 +242,7 @@
 }
 
 // take spends the units of a request by the strategy of the simulation. If wait is true, a
-// lease request is under way, and the request may be tried again after it.
+// lease request is under way, and take may be called again after its reply.
 func (s *sim) take(h *simHost, units float64) (ok, wait bool) {
 	switch s.strategy {
 	case strategyEqual:
@@ -276,7 +277,8 @@
 	return false, true
 }
 
-// exchangeRound exchanges demand between all regions, and waits 200 ms.
+// exchangeRound exchanges demand reports between the owners of all regions, and then advances
+// the simulation by 200 ms.
 func (s *sim) exchangeRound() {
 	for from := range 3 {
 		ownerHost := s.ownerOf(from)
