--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -52,8 +52,9 @@
 const maxCachedCosts = 320
 
 // Decide implements vetchtrail.Policy. It runs the request here unless a remote data
-// centre is clearly cheaper. If no local endpoint is available, it forwards the request,
-// lets it wait, or refuses it.
+// centre is clearly cheaper. If no local endpoint is available, it forwards the request
+// if that costs less than to wait here or if the request can't wait here. Otherwise it
+// lets the request wait, or refuses it if the wait would be too long or would not help.
 func (w Weighted) Decide(now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
 	var d vetchtrail.Decision
 	ev := evaluation{off: w.Disabled}
