--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -19,7 +19,8 @@
 
 // availabilityBySource is what is known of whether an endpoint accepts requests, separately for each source. No
 // source withdraws or shortens what another reported. For example, a listing that was read while the platform's
-// store was unavailable, or after it lost its data, may have a leaving endpoint as ready.
+// store was unavailable, or after it lost its data, may have a leaving endpoint as ready. The only exception is a
+// load report of a later process instance, which withdraws the announcements of the earlier one.
 type availabilityBySource struct {
 	reportUntil       time.Time // leaving until then, by its newest load report
 	platformUntil     time.Time // leaving until then, by the platform's list of hosts
@@ -97,11 +98,11 @@
 	return ""
 }
 
-// AnnouncementNews is the part of an announcement that this host didn't know.
+// AnnouncementNews is the part of an announcement that this host had not recorded before.
 type AnnouncementNews struct {
 	Endpoint string // empty: it is not listed
 	Leaving  bool   // it is leaving
-	Paused   bool   // it is paused, or for longer than known
+	Paused   bool   // it is paused, or for longer than was recorded
 }
 
 // RecordAnnouncement records an announcement that an endpoint's answer contained, and returns the part that is
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -35,11 +35,11 @@
 // list configures the table with an instance of the endpoint, or without the endpoint.
 func (m *availabilityModel) list(instance int) {
 	m.listed = instance
-	var placed []EndpointInRegion
+	var endpoints []EndpointInRegion
 	if instance >= 0 {
-		placed = []EndpointInRegion{{Endpoint: m.endpoint(instance)}}
+		endpoints = []EndpointInRegion{{Endpoint: m.endpoint(instance)}}
 	}
-	m.table.Configure(placed)
+	m.table.Configure(endpoints)
 }
 
 // start starts the next instance, which is listed later.
@@ -152,10 +152,10 @@
 		assert.Equal(t, why, vetchtrail.ReasonPaused, "instance %d is paused", m.listed)
 		assert.Equal(t, until, m.pausedUntil[m.listed])
 	case !m.now.Before(m.othersUntil):
-		assert.Equal(t, why, vetchtrail.Reason(""), "instance %d wants requests", m.listed)
+		assert.Equal(t, why, vetchtrail.Reason(""), "instance %d accepts requests", m.listed)
 	}
 	if leaving || paused {
-		assert.Assert(t, why != "", "instance %d wants no requests", m.listed)
+		assert.Assert(t, why != "", "instance %d accepts no requests", m.listed)
 		assert.Assert(t, viewOf(m.table, m.now).Unavailable)
 		assert.Assert(t, !m.table.Acquire("e000", &vetchtrail.Request{ID: "a", Service: "s"}, m.now))
 	}
@@ -307,7 +307,7 @@
 			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(2 * time.Minute), StartedAt: c.started}, time.Time{}))
 			why, _ := tab.Blocked("e000", now.Add(2*time.Minute))
 			assert.Equal(t, why, c.want)
-			assert.Assert(t, allReports(tab)[0].Announced, "other hosts don't learn of its start")
+			assert.Assert(t, allReports(tab)[0].Announced, "other hosts don't receive its start time")
 		})
 	}
 }
--- a/process/load/event_interval.go
+++ b/process/load/event_interval.go
@@ -52,14 +52,14 @@
 	minSilence      = 700 * time.Millisecond
 )
 
-// silent reports whether the endpoint runs streams of this host and nothing has arrived on any of them for long.
-// A new request there would wait too. The caller holds the lock.
+// silent reports whether the endpoint runs streams of this host and nothing has arrived on any of them for longer
+// than silentIntervals and minSilence allow. A new request there would wait too. The caller holds the lock.
 func (t *Table) silent(s *endpointState, now time.Time) bool {
 	if len(s.startedStreams) == 0 || t.switchedOff.Has(vetchtrail.MechanismSilence) {
 		return false
 	}
-	patience := max(minSilence, time.Duration(silentIntervals*s.eventInterval.mean*float64(time.Second)))
-	return now.Sub(s.lastSeen) > patience
+	threshold := max(minSilence, time.Duration(silentIntervals*s.eventInterval.mean*float64(time.Second)))
+	return now.Sub(s.lastSeen) > threshold
 }
 
 // Silent implements vetchtrail.Observer.
@@ -71,8 +71,8 @@
 }
 
 // expectedEventInterval is the probable time between two events of a new stream, in seconds; 0: not known. It
-// follows the mean of this host's streams at the endpoint. The longer that has no new observation, the more it
-// follows the fit over the service's endpoints, at the number of running requests that this one last reported.
+// follows the mean of this host's streams at the endpoint. The older the last observation of that mean is, the more
+// it follows the fit over the service's endpoints, at the number of running requests that this one last reported.
 func (s *endpointState) expectedEventInterval(svc *serviceStats, now time.Time) float64 {
 	if !svc.eventIntervalFit.known() || !s.hasReport || now.Sub(s.report.ReceivedAt) > maxIntervalReportAge {
 		return s.eventInterval.decayedMean(now)
@@ -82,8 +82,8 @@
 	if s.eventInterval.observedAt.IsZero() {
 		return usual
 	}
-	trust := math.Exp(-max(0, now.Sub(s.eventInterval.observedAt).Seconds()) / eventIntervalDecay.Seconds())
-	return trust*s.eventInterval.mean + (1-trust)*usual
+	weight := math.Exp(-max(0, now.Sub(s.eventInterval.observedAt).Seconds()) / eventIntervalDecay.Seconds())
+	return weight*s.eventInterval.mean + (1-weight)*usual
 }
 
 // EventReceived implements vetchtrail.Observer.
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -1,6 +1,6 @@
-// Package load holds what this host knows about the load and the availability of its data centre's endpoints:
-// their load reports, this host's requests in flight, observed speeds and failures, rate limits, and whether
-// they are leaving. The policy chooses endpoints by this state, and the outcome of each request updates it.
+// Package load holds the load and the availability of the endpoints of this host's data centre: their load
+// reports, this host's requests in flight, observed speeds and failures, rate limits, and whether the endpoints are
+// leaving. The policy chooses endpoints by this state, and the outcome of each request updates it.
 //
 // The package neither chooses endpoints nor sends requests or fetches reports. Its state is held in memory only
 // and ends with the process.
@@ -96,12 +96,12 @@
 	nameHash             uint64
 	report               vetchtrail.LoadReport // the newest
 	hasReport            bool
-	fetchedHere          bool                    // this host fetched the report itself
+	fetchedHere          bool                    // this host received the report from the endpoint
 	reportNumber         uint64                  // Table.reportNumber when the report was accepted
 	inFlight             int                     // this host's requests in flight
 	inFlightHistory      []inFlightChange        // a ring once it is full
 	inFlightChanges      int                     // recorded so far
-	limit                float64                 // of inFlight, before the warm-up share
+	limit                float64                 // upper bound of inFlight, before the warm-up share is applied
 	serviceTime          average                 // seconds that a request occupies a slot
 	tokenSlowdown        average                 // seconds to the first byte for each prompt token, as a multiple of the service's
 	observedAt           time.Time               // when serviceTime and tokenSlowdown were last observed
@@ -300,12 +300,12 @@
 // view returns what a decision sees of the endpoint. The caller holds the lock.
 func (s *endpointState) view(t *Table, now time.Time) vetchtrail.EndpointView {
 	svc := t.serviceStats[s.Service]
-	trust := math.Exp(-now.Sub(s.observedAt).Seconds() / observationDecay.Seconds())
+	weight := math.Exp(-now.Sub(s.observedAt).Seconds() / observationDecay.Seconds())
 	v := vetchtrail.EndpointView{
 		Name: s.Name, Region: s.region, Slots: s.Slots, InFlightLimit: t.currentLimit(s), InFlight: s.inFlight,
 		Running: s.report.Running, Queued: s.report.Queued, ReportAge: -1,
-		Prefill:     svc.tokenTime.value * significantSlowdown(1+trust*(s.tokenSlowdown.value-1), s.tokenSlowdown.count),
-		ServiceTime: svc.serviceTime.value * significantSlowdown(1+trust*(s.serviceTime.value/svc.serviceTime.value-1), s.serviceTime.count),
+		Prefill:     svc.tokenTime.value * significantSlowdown(1+weight*(s.tokenSlowdown.value-1), s.tokenSlowdown.count),
+		ServiceTime: svc.serviceTime.value * significantSlowdown(1+weight*(s.serviceTime.value/svc.serviceTime.value-1), s.serviceTime.count),
 		WarmUpShare: s.warmUp, ExcessFailureRate: s.excessErrorShare(svc, now), EventInterval: s.expectedEventInterval(svc, now), RateLimited: s.rateLimit.Advertised, Rate: s.rateLimit.Rate, RateLeft: s.rateLeft,
 	}
 	if svc.prefillFit.known() {
--- a/process/load/load_test.go
+++ b/process/load/load_test.go
@@ -16,11 +16,11 @@
 // table has n endpoints of one service: e000, e001, ...
 func table(n int) *Table {
 	t := New()
-	var placed []EndpointInRegion
+	var endpoints []EndpointInRegion
 	for i := range n {
-		placed = append(placed, EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("e%03d", i), Service: "s", Slots: 4}})
+		endpoints = append(endpoints, EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprintf("e%03d", i), Service: "s", Slots: 4}})
 	}
-	t.Configure(placed)
+	t.Configure(endpoints)
 	return t
 }
 
@@ -36,12 +36,12 @@
 	return vetchtrail.EndpointView{}
 }
 
-// failure observes a request that failed at a step for a reason, and may be retried a second later.
+// failure is the observation of a request that failed at a step for a reason, and may be retried a second later.
 func failure(kind vetchtrail.OutcomeKind, step vetchtrail.Step, why vetchtrail.Reason) vetchtrail.Observation {
 	return vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: kind, Step: step, Reason: why, RetryAt: now.Add(time.Second)}}
 }
 
-// answered observes a request that was sent at a time and answered well.
+// answered is the observation of a request that was sent at a time and answered without an error.
 func answered(at time.Time) vetchtrail.Observation {
 	return vetchtrail.Observation{
 		Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered},
@@ -78,29 +78,29 @@
 func TestOutOfUse(t *testing.T) {
 	lost := failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost)
 	cases := map[string]struct {
-		do   func(t *Table)
-		at   time.Duration
-		away bool
-		why  vetchtrail.Reason
+		do          func(t *Table)
+		after       time.Duration
+		unavailable bool
+		why         vetchtrail.Reason
 	}{
 		"never used":                 {func(*Table) {}, 0, false, ""},
 		"two failures in a row":      {func(t *Table) { release(t, lost, 2) }, 0, false, ""},
 		"three failures in a row":    {func(t *Table) { release(t, lost, 3) }, 0, true, vetchtrail.ReasonEjected},
 		"ejection over":              {func(t *Table) { release(t, lost, 3) }, minEjection, false, ""},
 		"an answer between failures": {func(t *Table) { release(t, lost, 2); release(t, answered(now), 1); release(t, lost, 2) }, 0, false, ""},
-		"its refusal": {func(t *Table) {
+		"refuses a request": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), 1)
 		}, 0, true, vetchtrail.ReasonEndpointRefused},
-		"the time after its refusal over": {func(t *Table) {
+		"back-off after its refusal over": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), 1)
 		}, time.Second, false, ""},
 		"refuses connections": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), 1)
 		}, 0, true, vetchtrail.ReasonUnreachable},
-		"reachable again by its report":       {func(t *Table) { t.MarkUnreachable("e000", now); report(t, false) }, 0, false, ""},
-		"report says it is leaving":           {func(t *Table) { report(t, true) }, 0, true, vetchtrail.ReasonDraining},
-		"later report says it is not leaving": {func(t *Table) { report(t, true); reportAt(t, now.Add(2), false) }, 0, false, ""},
-		"platform says it is leaving":         {func(t *Table) { t.MarkLeaving("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
+		"reachable again by its report":   {func(t *Table) { t.MarkUnreachable("e000", now); report(t, false) }, 0, false, ""},
+		"leaving by its report":           {func(t *Table) { report(t, true) }, 0, true, vetchtrail.ReasonDraining},
+		"not leaving by its later report": {func(t *Table) { report(t, true); reportAt(t, now.Add(2), false) }, 0, false, ""},
+		"leaving by the platform's list":  {func(t *Table) { t.MarkLeaving("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
 		"not sent by this host": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResidency, vetchtrail.ReasonResidency), 5)
 		}, 0, false, ""},
@@ -109,15 +109,15 @@
 		t.Run(name, func(t *testing.T) {
 			tab := table(12)
 			c.do(tab)
-			v := viewOf(tab, now.Add(c.at))
-			assert.Equal(t, v.Unavailable, c.away)
+			v := viewOf(tab, now.Add(c.after))
+			assert.Equal(t, v.Unavailable, c.unavailable)
 			assert.Equal(t, v.UnavailableReason, c.why)
-			assert.Equal(t, tab.Acquire("e000", &vetchtrail.Request{}, now.Add(c.at)), !c.away)
+			assert.Equal(t, tab.Acquire("e000", &vetchtrail.Request{}, now.Add(c.after)), !c.unavailable)
 		})
 	}
 }
 
-// release has an outcome observed at e000 several times.
+// release sends e000 several requests, one after the other, which all have the same outcome.
 func release(t *Table, o vetchtrail.Observation, times int) {
 	for range times {
 		t.Acquire("e000", &vetchtrail.Request{}, now)
@@ -125,7 +125,7 @@
 	}
 }
 
-// report reports whether e000 is leaving, just after now.
+// report records a load report of e000 that was received just after now.
 func report(t *Table, leaving bool) { reportAt(t, now.Add(1), leaving) }
 
 func reportAt(t *Table, at time.Time, leaving bool) {
@@ -202,8 +202,9 @@
 	}
 }
 
-// TestLimitStable guards against a limit that closes under answers that are read whole. Their first byte comes
-// with their last, so that half of them take longer to it than the mean answer takes as a whole.
+// TestLimitStable guards against a limit that falls although the endpoint isn't overloaded. The first byte of an
+// answer that isn't streamed arrives with its last one, so that half of these answers take longer to their first
+// byte than the mean answer takes as a whole.
 func TestLimitStable(t *testing.T) {
 	tab := table(1)
 	for i := range 300 {
@@ -223,7 +224,7 @@
 	failed := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 500}}
 	answer := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200}}
 	cases := map[string]struct {
-		usual   float64                  // error share of the others
+		usual   float64                  // error share of the other endpoints
 		row     int                      // error answers
 		between []vetchtrail.Observation // before the last of them
 		ejected bool
--- a/process/load/mechanisms_test.go
+++ b/process/load/mechanisms_test.go
@@ -9,13 +9,13 @@
 	"vetchtrail"
 )
 
-// TestSwitchedOff guards against a switch that does nothing: the effect of each mechanism shows while it is on,
-// and doesn't while it is switched off.
+// TestSwitchedOff guards against a switch that does nothing: each mechanism has its effect while it is on, and none
+// while it is switched off.
 func TestSwitchedOff(t *testing.T) {
 	const session = 5
-	at := homeName(twoRegions(1e-7), session)
-	other := map[string]string{"a": "b", "b": "c", "c": "a"}[at]
-	third := map[string]string{"a": "c", "b": "a", "c": "b"}[at]
+	home := homeName(twoRegions(1e-7), session)
+	other := map[string]string{"a": "b", "b": "c", "c": "a"}[home]
+	third := map[string]string{"a": "c", "b": "a", "c": "b"}[home]
 	// source is the last byte of the address from which target is to transfer the prompt; 0: none.
 	source := func(tab *Table, target string) byte {
 		r := request("r", session, 0)
@@ -27,12 +27,12 @@
 	}
 	lost := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseLost}}
 	cases := map[string]struct {
-		off   vetchtrail.Mechanism
-		shows func(tab *Table) bool // its effect
+		off       vetchtrail.Mechanism
+		hasEffect func(tab *Table) bool
 	}{
-		"affinity":     {vetchtrail.MechanismAffinity, func(tab *Table) bool { return views(tab, request("x", session, 0))[at].CachedTokens > 0 }},
+		"affinity":     {vetchtrail.MechanismAffinity, func(tab *Table) bool { return views(tab, request("x", session, 0))[home].CachedTokens > 0 }},
 		"prompt moves": {vetchtrail.MechanismCacheTransfer, func(tab *Table) bool { return source(tab, other) > 0 }},
-		"far moves":    {vetchtrail.MechanismRemoteCacheTransfer, func(tab *Table) bool { return source(tab, at) == 9 }},
+		"far moves":    {vetchtrail.MechanismRemoteCacheTransfer, func(tab *Table) bool { return source(tab, home) == 9 }},
 		"last sent": {vetchtrail.MechanismTransferFromLastSent, func(tab *Table) bool {
 			tab.Acquire(third, request("before", session, 0), now)
 			return source(tab, other) == third[0]-'a'+1
@@ -76,8 +76,8 @@
 					tab.serviceStats["s"].prefillFit.observe(float64(1000*(i+1)), 0.01*float64(i+1))
 				}
 			}
-			assert.Assert(t, c.shows(on), "no effect while on")
-			assert.Assert(t, !c.shows(off), "an effect while off")
+			assert.Assert(t, c.hasEffect(on), "no effect while on")
+			assert.Assert(t, !c.hasEffect(off), "an effect while off")
 		})
 	}
 }
--- a/process/load/prediction_ratio.go
+++ b/process/load/prediction_ratio.go
@@ -11,8 +11,8 @@
 
 // predictionRatio is the median ratio of observed to predicted times to a stream's first byte. It corrects
 // predictions, which are too long for most streams: a prediction is a mean, and a few long waits make up most of
-// it. Each host also adds an estimate of the other hosts' requests that it doesn't know. With hundreds of hosts
-// streams begin several times sooner than predicted.
+// it. Each host also adds an estimate for the requests of other hosts. With hundreds of hosts streams begin several
+// times sooner than predicted.
 type predictionRatio struct{ median float64 }
 
 // observe learns from a stream that began, with both times in seconds. It estimates the median by stochastic
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -24,8 +24,8 @@
 	queuedDecay = time.Second
 	// maxQueuedReportAge is the age up to which a report counts for the mean queue.
 	maxQueuedReportAge = 3 * time.Second
-	// minTokenSeconds and maxTokenSeconds bound the fitted time for a prompt token, a factor of 200 apart, so
-	// that a fit through few points stays possible.
+	// minTokenSeconds and maxTokenSeconds bound the fitted time for a prompt token, so that a fit through few
+	// points stays plausible. They are a factor of 200 apart.
 	minTokenSeconds = 5e-6
 	maxTokenSeconds = 1e-3
 	// initialGuessTokens is the prompt length at the second point of the initial guess, see newPrefillFit.
@@ -41,8 +41,8 @@
 	return ok && now.Sub(at) < promptCachedFor
 }
 
-// record stores that the session's prompt is sent now. When full, it first drops old sessions; if none is old
-// enough, the session isn't stored.
+// record stores that the session's prompt is sent now. If there are maxSessionUses sessions, it first drops those
+// that were last sent more than half of promptCachedFor ago; if there are none, the session isn't stored.
 func (u sessionUses) record(id uint64, now time.Time) {
 	if len(u) >= maxSessionUses {
 		for old, at := range u {
@@ -196,9 +196,9 @@
 	return tokens, all
 }
 
-// backlog estimates the tokens that the endpoint reads before a request of a priority, in this host's and in
-// other hosts' prompts. The priorities of other hosts' prompts aren't known, so the share of them that is read
-// before the request is assumed to be that of this host's prompts.
+// backlog estimates the tokens of this host's and other hosts' prompts that the endpoint reads before a request of
+// a priority. The priorities of other hosts' prompts aren't known. The share of them that is read before the request
+// is assumed to be the same as for this host's prompts.
 func (s *endpointState) backlog(priority int8, svc *serviceStats, now time.Time) float64 {
 	unreadAhead, all := s.unreadAhead(priority)
 	share := 1.0
@@ -213,8 +213,8 @@
 func (s *endpointState) othersUnreadTokens(svc *serviceStats, now time.Time) float64 {
 	othersQueued := svc.othersQueued
 	if s.hasReport {
-		trust := math.Exp(-now.Sub(s.report.ReceivedAt).Seconds() / queuedDecay.Seconds())
-		othersQueued += trust * (float64(s.reportedOthersQueued()) - svc.othersQueued)
+		weight := math.Exp(-now.Sub(s.report.ReceivedAt).Seconds() / queuedDecay.Seconds())
+		othersQueued += weight * (float64(s.reportedOthersQueued()) - svc.othersQueued)
 	}
 	return othersQueued * svc.unreadTokens.value
 }
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -11,7 +11,7 @@
 	"vetchtrail"
 )
 
-// addrOf is an address that ends in a byte.
+// addrOf is an address whose last byte is given.
 func addrOf(last byte) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, last}), 80)
 }
@@ -64,12 +64,12 @@
 // from a region that isn't allowed, or at an endpoint that has the prompt or can't transfer it.
 func TestTransferFrom(t *testing.T) {
 	const session = 5
-	at := homeName(twoRegions(1e-7), session)
+	home := homeName(twoRegions(1e-7), session)
 	other := "a"
-	if at == "a" {
+	if home == "a" {
 		other = "b"
 	}
-	third := string(rune('a' + 'b' + 'c' - int(at[0]) - int(other[0])))
+	third := string(rune('a' + 'b' + 'c' - int(home[0]) - int(other[0])))
 	cases := map[string]struct {
 		moveToken float64
 		target    string // endpoint that gets the request
@@ -77,12 +77,12 @@
 		lastSent  string // endpoint to which the session was sent just before; empty: none
 		want      netip.AddrPort
 	}{
-		"not at the home: from the home":               {1e-7, other, vetchtrail.AllRegions, "", addrOf(at[0] - 'a' + 1)},
-		"at the home: from the remote endpoint":        {1e-7, at, vetchtrail.AllRegions, "", addrOf(9)},
+		"not at the home: from the home":               {1e-7, other, vetchtrail.AllRegions, "", addrOf(home[0] - 'a' + 1)},
+		"at the home: from the remote endpoint":        {1e-7, home, vetchtrail.AllRegions, "", addrOf(9)},
 		"last sent elsewhere: from there":              {1e-7, other, vetchtrail.AllRegions, third, addrOf(third[0] - 'a' + 1)},
-		"at the home, last sent elsewhere: from there": {1e-7, at, vetchtrail.AllRegions, third, addrOf(third[0] - 'a' + 1)},
-		"remote region not allowed: none":              {1e-7, at, vetchtrail.RegionsOf(0), "", netip.AddrPort{}},
-		"last sent here: none":                         {1e-7, at, vetchtrail.AllRegions, at, netip.AddrPort{}},
+		"at the home, last sent elsewhere: from there": {1e-7, home, vetchtrail.AllRegions, third, addrOf(third[0] - 'a' + 1)},
+		"remote region not allowed: none":              {1e-7, home, vetchtrail.RegionsOf(0), "", netip.AddrPort{}},
+		"last sent here: none":                         {1e-7, home, vetchtrail.AllRegions, home, netip.AddrPort{}},
 		"transfer not possible: none":                  {0, other, vetchtrail.AllRegions, "", netip.AddrPort{}},
 	}
 	for name, c := range cases {
@@ -104,9 +104,9 @@
 func TestSessionHomes(t *testing.T) {
 	sessions := map[string]int{} // by home
 	for session := range uint64(300) {
-		at := homeName(twoRegions(1e-7), session+10)
-		assert.Equal(t, at, homeName(twoRegions(1e-7), session+10))
-		sessions[at]++
+		home := homeName(twoRegions(1e-7), session+10)
+		assert.Equal(t, home, homeName(twoRegions(1e-7), session+10))
+		sessions[home]++
 	}
 	for name, n := range sessions {
 		assert.Assert(t, n > 60, "%s is home to %d of 300", name, n)
@@ -114,9 +114,9 @@
 	assert.Equal(t, len(sessions), 3)
 }
 
-// TestBacklog guards against a backlog that leaves out prompts that the endpoint reads before a request, or
-// counts less urgent ones, read ones and those of requests that have ended. Other hosts' prompts count by the
-// reports.
+// TestBacklog guards against a backlog that leaves out prompts that the endpoint reads before a request, or that
+// includes prompts that are less urgent, already read, or of requests that have ended. Other hosts' prompts are
+// estimated from the load reports.
 func TestBacklog(t *testing.T) {
 	e := vetchtrail.Endpoint{Name: "a"}
 	cases := map[string]struct {
@@ -124,20 +124,20 @@
 		priority int8
 		waits    bool // the request has a backlog
 	}{
-		"idle":                {func(*Table) {}, 0, false},
-		"one of its priority": {func(t *Table) { t.Acquire("a", request("x", 3, 0), now) }, 0, true},
-		"one more urgent":     {func(t *Table) { t.Acquire("a", request("x", 3, 1), now) }, 0, true},
-		"one less urgent":     {func(t *Table) { t.Acquire("a", request("x", 3, -1), now) }, 0, false},
-		"its answer began":    {func(t *Table) { t.Acquire("a", request("x", 3, 0), now); t.ResponseStarted(e, request("x", 3, 0), now) }, 0, false},
+		"idle":             {func(*Table) {}, 0, false},
+		"one as urgent":    {func(t *Table) { t.Acquire("a", request("x", 3, 0), now) }, 0, true},
+		"one more urgent":  {func(t *Table) { t.Acquire("a", request("x", 3, 1), now) }, 0, true},
+		"one less urgent":  {func(t *Table) { t.Acquire("a", request("x", 3, -1), now) }, 0, false},
+		"its answer began": {func(t *Table) { t.Acquire("a", request("x", 3, 0), now); t.ResponseStarted(e, request("x", 3, 0), now) }, 0, false},
 		"it has ended": {func(t *Table) {
 			t.Acquire("a", request("x", 3, 0), now)
 			t.Release("a", vetchtrail.Observation{Request: "x"}, now)
 		}, 0, false},
-		"others' by its report": {func(t *Table) { t.LoadReported(e, vetchtrail.LoadReport{ReceivedAt: now, Queued: 4}) }, 0, true},
-		"others' by the mean, without a report": {func(t *Table) {
+		"other hosts' prompts, by its report": {func(t *Table) { t.LoadReported(e, vetchtrail.LoadReport{ReceivedAt: now, Queued: 4}) }, 0, true},
+		"other hosts' prompts, by the mean without a report": {func(t *Table) {
 			t.LoadReported(vetchtrail.Endpoint{Name: "b"}, vetchtrail.LoadReport{ReceivedAt: now, Queued: 4})
 		}, 0, true},
-		"others' by an old report": {func(t *Table) {
+		"other hosts' prompts, by an old report": {func(t *Table) {
 			t.LoadReported(e, vetchtrail.LoadReport{ReceivedAt: now.Add(-time.Minute), Queued: 4})
 		}, 0, false},
 	}
@@ -244,8 +244,8 @@
 	}
 }
 
-// TestExpectedEventInterval guards against an interval of 0 for an endpoint without recent streams of this
-// host: it's estimated from other endpoints with as many running requests, if the endpoint has a recent report.
+// TestExpectedEventInterval guards against an interval of 0 for an endpoint without recent streams of this host. If
+// the endpoint has a recent report, the interval is estimated from other endpoints with as many running requests.
 func TestExpectedEventInterval(t *testing.T) {
 	const perRequest = 0.003
 	tab := twoRegions(0)
@@ -298,8 +298,8 @@
 			t.ResponseStarted(e, stream, now)
 			t.Release("a", vetchtrail.Observation{Request: "x"}, now)
 		}, false},
-		"it is fetched again": {func(t *Table) { t.ResponseStarted(e, stream, now) }, false},
-		"no first byte yet":   {func(t *Table) { t.Acquire("a", stream, now) }, false},
+		"a resumed stream":  {func(t *Table) { t.ResponseStarted(e, stream, now) }, false},
+		"no first byte yet": {func(t *Table) { t.Acquire("a", stream, now) }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/load/prompt_stats.go
+++ b/process/load/prompt_stats.go
@@ -3,10 +3,10 @@
 const (
 	// idleQuantile is the share of the observed reading times that is assumed to be below an idle endpoint's.
 	// Longer times include waits for other prompts and events. Shorter ones occur because more of the prompt was
-	// cached than this host knew.
+	// cached than this host assumed.
 	idleQuantile = 0.1
-	// idleStep is the relative change of the estimate by one observation. Some hundred observations, which a
-	// busy host has in a few seconds, correct an initial value that is wrong by a factor of 3.
+	// idleStep scales the relative change of the estimate by one observation, see observe. Some hundred
+	// observations, which a busy host has in a few seconds, correct an initial value that is wrong by a factor of 3.
 	idleStep = 0.1
 	// minObservedTokens is the shortest prompt that shows how long a token takes. The times of shorter ones are
 	// mostly round trips.
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -10,14 +10,14 @@
 // RecordRateLimit records the rate limit that an endpoint advertised, unless a later one is known. It returns the
 // limit that was known before, and the one that is known now. ok is false if the endpoint or the process instance
 // isn't known.
-func (t *Table) RecordRateLimit(name string, startedAt time.Time, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+func (t *Table) RecordRateLimit(name string, startedAt time.Time, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.instance(name, startedAt)
 	if !ok {
 		return was, is, false
 	}
-	return s.recordRateLimit(t, news)
+	return s.recordRateLimit(t, report)
 }
 
 // AdvertisedRateLimit is the rate limit that a process instance of an endpoint advertised.
@@ -28,7 +28,7 @@
 }
 
 // RateLimits returns the rate limits of the endpoints that ever advertised one in their present process instance.
-// Those that have withdrawn it are included, so that other hosts learn of that.
+// Those that have withdrawn it are included, so that the withdrawal is sent to other hosts.
 func (t *Table) RateLimits() []AdvertisedRateLimit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,11 +42,11 @@
 }
 
 // recordRateLimit implements Table.RecordRateLimit for one endpoint. The caller holds the lock.
-func (s *endpointState) recordRateLimit(t *Table, news vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
+func (s *endpointState) recordRateLimit(t *Table, report vetchtrail.RateLimit) (was, is vetchtrail.RateLimit, ok bool) {
 	was = s.rateLimit
-	s.rateLimit = was.Update(news)
+	s.rateLimit = was.Update(report)
 	if s.rateLimit.Advertised && !was.Advertised {
-		s.rateLimitedSince = news.ReceivedAt
+		s.rateLimitedSince = report.ReceivedAt
 	}
 	if was.Advertised && !s.rateLimit.Advertised {
 		// The endpoint was overloaded until now. As after an ejection, its warm-up share grows with its answers.
@@ -57,9 +57,9 @@
 }
 
 // carryOver copies to a new process instance what its answers advertised before it was listed. Its answers may
-// reach a host before the listing has it, and are then recorded in the state of the earlier instance. Nothing
-// that the earlier instance itself advertised is copied, and nothing at all if the listing is an older copy and
-// goes back to an earlier instance.
+// reach a host before the listing has it, and are then recorded in the state of the earlier instance. The rate limit
+// and the announcements are each copied only if their last request was sent after the new instance started. Nothing
+// is copied if the listing is an older copy and goes back to an earlier instance.
 func (s *endpointState) carryOver(old *endpointState, startedAt time.Time) {
 	if startedAt.IsZero() || !old.Born.Before(startedAt) {
 		return
@@ -73,9 +73,9 @@
 }
 
 // RateLimitReported implements vetchtrail.Observer.
-func (t *Table) RateLimitReported(e vetchtrail.Endpoint, news vetchtrail.RateLimit, err error) {
+func (t *Table) RateLimitReported(e vetchtrail.Endpoint, report vetchtrail.RateLimit, err error) {
 	if err == nil {
-		t.RecordRateLimit(e.Name, e.Born, news)
+		t.RecordRateLimit(e.Name, e.Born, report)
 	}
 }
 
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -59,7 +59,7 @@
 		first      vetchtrail.RateLimit // received while the first instance is listed
 		instance   time.Time            // start of the instance that advertises last
 		last       vetchtrail.RateLimit // received once the second instance is listed
-		advertises bool                 // a limit counts in the end
+		advertises bool                 // a limit is recorded in the end
 	}{
 		"ends with the first instance":         {advertised(2, 3, 4), now, advertised(-1, 11, 12), false},
 		"late answer of the first instance":    {advertised(2, 3, 4), now, advertised(2, 5, 20), false},
@@ -93,13 +93,13 @@
 	assert.Equal(t, tab.Summaries(now)[0].Slots, 8)
 }
 
-// TestRateLimits guards against hosts that keep to a rate limit after the endpoint has withdrawn it: the
-// withdrawal is reported to other hosts like a limit.
+// TestRateLimits guards against hosts that enforce a rate limit after the endpoint has withdrawn it: the withdrawal
+// is sent to other hosts like a limit.
 func TestRateLimits(t *testing.T) {
 	tab := rateLimitedTable(t, now)
 	assert.Equal(t, len(tab.RateLimits()), 1)
 	tab.RecordRateLimit("e000", now, advertised(-1, 3, 4))
-	assert.Equal(t, len(tab.RateLimits()), 1, "hosts that know the limit must learn that it is withdrawn")
+	assert.Equal(t, len(tab.RateLimits()), 1, "hosts that have the limit must receive its withdrawal")
 	assert.Equal(t, len(New().RateLimits()), 0)
 }
 
@@ -108,19 +108,19 @@
 // from its home.
 func TestRateLimitAtHome(t *testing.T) {
 	tab := twoRegions(1e-6)
-	at := homeName(tab, 7)
-	tab.RecordRateLimit(at, time.Time{}, advertised(2, 0, 0))
-	tab.SetRateLeft(at, 0, now.Add(time.Second))
+	home := homeName(tab, 7)
+	tab.RecordRateLimit(home, time.Time{}, advertised(2, 0, 0))
+	tab.SetRateLeft(home, 0, now.Add(time.Second))
 	v := views(tab, request("x", 7, 0))
-	assert.Assert(t, v[at].Unavailable && v[at].UnavailableReason == vetchtrail.ReasonRateLimited)
+	assert.Assert(t, v[home].Unavailable && v[home].UnavailableReason == vetchtrail.ReasonRateLimited)
 	for name, e := range v {
-		if name == at {
+		if name == home {
 			continue
 		}
 		assert.Assert(t, !e.Unavailable && e.CachedTokens > 0, "%s: %+v", name, e)
 		r := request("at "+name, 7, 0)
 		assert.Assert(t, tab.Acquire(name, r, now))
-		assert.Equal(t, r.TransferFrom, tab.endpoints[at].Addr)
+		assert.Equal(t, r.TransferFrom, tab.endpoints[home].Addr)
 		break
 	}
 }
--- a/process/load/release.go
+++ b/process/load/release.go
@@ -124,8 +124,8 @@
 	if s.errorShare.count < minObservations {
 		return 0
 	}
-	trust := math.Exp(-now.Sub(s.errorShareAt).Seconds() / observationDecay.Seconds())
-	return trust * math.Max(0, s.errorShare.value-svc.errorShare.value)
+	weight := math.Exp(-now.Sub(s.errorShareAt).Seconds() / observationDecay.Seconds())
+	return weight * math.Max(0, s.errorShare.value-svc.errorShare.value)
 }
 
 // observeTokenTime learns from the seconds that a prompt token took on a free slot.
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -36,7 +36,7 @@
 	Endpoint    string
 	NameHash    uint32 // hash of its name, see the function NameHash
 	Report      vetchtrail.LoadReport
-	FetchedHere bool // this host fetched it itself
+	FetchedHere bool // this host received it from the endpoint: fetched, or with an answer
 	Announced   bool // an answer of the endpoint once announced that it is leaving or paused
 }
 
--- a/process/load/report_log_test.go
+++ b/process/load/report_log_test.go
@@ -43,8 +43,8 @@
 	}
 	names := func(in []ReportEntry) []string {
 		var out []string
-		for _, h := range in {
-			out = append(out, h.Endpoint)
+		for _, r := range in {
+			out = append(out, r.Endpoint)
 		}
 		return out
 	}
--- a/process/load/stream_stats.go
+++ b/process/load/stream_stats.go
@@ -15,7 +15,7 @@
 type streamStats struct {
 	events              average // of a whole answer
 	priority            int8
-	firstAttemptSeconds float64   // time left until the deadline at the last first attempt
+	firstAttemptSeconds float64   // time until the deadline at the last request with CallerCanRetry, mostly a first attempt
 	lastRequested       time.Time // when a stream of the route was last requested
 }
 
--- a/process/load/stream_stats_test.go
+++ b/process/load/stream_stats_test.go
@@ -9,8 +9,8 @@
 	"vetchtrail"
 )
 
-// TestUrgentEventInterval guards against a decision that ignores the event interval that more urgent streams
-// need, or that heeds one of streams that are less urgent, not requested lately, or of unknown length.
+// TestUrgentEventInterval guards against a decision that ignores the event interval that more urgent streams need,
+// or that respects one of streams that are less urgent, not requested lately, or of unknown length.
 func TestUrgentEventInterval(t *testing.T) {
 	stream := func(route string, priority int8, left time.Duration) *vetchtrail.Request {
 		r := request(route, 3, priority)
@@ -18,11 +18,11 @@
 		return r
 	}
 	cases := map[string]struct {
-		before []*vetchtrail.Request
-		events map[string]int      // of the answers, by route
-		placed *vetchtrail.Request // for which the interval is estimated
-		after  time.Duration       // the last of before
-		want   float64
+		before  []*vetchtrail.Request
+		events  map[string]int      // of the answers, by route
+		request *vetchtrail.Request // for which the interval is estimated
+		after   time.Duration       // time from the requests before to this one
+		want    float64
 	}{
 		"nothing was requested": {nil, nil, stream("low", -2, 10*time.Second), 0, 0},
 		"a more urgent stream":  {[]*vetchtrail.Request{stream("high", 0, 10*time.Second)}, map[string]int{"high": 40}, stream("low", -2, 10*time.Second), 0, 0.25},
@@ -41,7 +41,7 @@
 					tab.serviceStats["s"].observeEvents(r.Route, c.events[r.Route])
 				}
 			}
-			tab.Fill(&v, c.placed, now.Add(c.after))
+			tab.Fill(&v, c.request, now.Add(c.after))
 			assert.Equal(t, v.UrgentInterval, c.want)
 		})
 	}
