--- a/process/quotas/exchange.go
+++ b/process/quotas/exchange.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// exchangeInterval is how often an owner exchanges demand with another region. A region whose
-	// demand rises uses what its bucket holds until the other regions have confirmed the increase,
-	// which takes a round trip between regions more.
+	// exchangeInterval is the interval at which an owner exchanges demand with another region. A
+	// region whose demand rises uses only what its bucket holds until the other regions have
+	// confirmed the increase, which takes one more round trip between regions.
 	exchangeInterval = 200 * time.Millisecond
 	// exchangeTimeout bounds an exchange. It allows for several round trips between regions.
 	exchangeTimeout = time.Second
@@ -19,9 +19,9 @@
 	// reported.
 	demandIdleTime = 10 * time.Second
 	// ownedIdleTime is how long an owner keeps the state of a workspace without lease requests.
-	// forgetInterval is how often a host drops the state of idle workspaces.
-	ownedIdleTime  = 5 * time.Minute
-	forgetInterval = 10 * time.Second
+	// dropIdleInterval is how often a host drops the state of idle workspaces.
+	ownedIdleTime    = 5 * time.Minute
+	dropIdleInterval = 10 * time.Second
 )
 
 // Run exchanges demand with the other regions for the shards that this host owns, and drops
@@ -29,7 +29,7 @@
 func (q *Quotas) Run(ctx context.Context) {
 	t := time.NewTicker(exchangeInterval)
 	defer t.Stop()
-	var forget time.Time // when to drop idle state next
+	var dropIdleAt time.Time // when to drop idle state next
 	for {
 		select {
 		case <-ctx.Done():
@@ -40,16 +40,17 @@
 		if len(q.cfg.QuotaSource().RegionNames()) > 1 {
 			q.exchange(ctx, now)
 		}
-		if !now.Before(forget) {
-			q.forget(now, q.cfg.Clock())
-			forget = now.Add(forgetInterval)
+		if !now.Before(dropIdleAt) {
+			q.dropIdle(now, q.cfg.Clock())
+			dropIdleAt = now.Add(dropIdleInterval)
 		}
 	}
 }
 
-// forget drops the state of workspaces without requests. now is the time of the owned state,
-// and leaseNow the same moment by Config.Clock, which local state uses.
-func (q *Quotas) forget(now, leaseNow time.Time) {
+// dropIdle drops the state of workspaces without requests, and of hosts that are no longer marked as
+// unreachable. now is the current time by the system clock, which owned state uses, and leaseNow by
+// Config.Clock, which local state uses.
+func (q *Quotas) dropIdle(now, leaseNow time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for name, l := range q.localQuota {
@@ -72,7 +73,8 @@
 	}
 }
 
-// exchange reports this region's demand to the owners in the other regions.
+// exchange exchanges demand with the owners in the other regions, for the shards that this host owns
+// and that have demand.
 func (q *Quotas) exchange(ctx context.Context, now time.Time) {
 	for shard, demands := range q.demands(now) {
 		if !q.ownsShard(shard, now) || len(demands) == 0 {
@@ -89,7 +91,7 @@
 	}
 }
 
-// ownsShard reports whether this host is its region's owner of a shard, and notes since when.
+// ownsShard reports whether this host is its region's owner of a shard, and records since when.
 func (q *Quotas) ownsShard(shard int, now time.Time) bool {
 	first := q.cfg.Hosts.FirstInRegion(q.cfg.Self.Region, q.shardTask(shard), 1, now)
 	owns := len(first) > 0 && first[0].Name == q.cfg.Self.Name
@@ -119,7 +121,7 @@
 }
 
 // exchangeWith reports this region's demand for a shard to the owner in another region, and
-// stores the demand that it returns.
+// stores that region's demand from the reply.
 func (q *Quotas) exchangeWith(ctx context.Context, region string, h vetchtrail.Host, shard int, demands []*schema.Claim) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -137,7 +139,7 @@
 	q.receive(reply, time.Now())
 }
 
-// markSent notes that a demand report is being sent to a region, and returns its number.
+// markSent records that a demand report is being sent to a region, and returns its number.
 func (q *Quotas) markSent(region string, demands []*schema.Claim) uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -162,7 +164,7 @@
 }
 
 // HandleDemand handles the demand report of the owner in another region. It returns this region's
-// demand for the same workspaces, which is 0 where nobody here makes requests.
+// demand for the same workspaces, which is 0 for a workspace without requests here.
 func (q *Quotas) HandleDemand(m *schema.Claims) *schema.Claims {
 	now := time.Now()
 	q.receive(m, now)
--- a/process/quotas/lease.go
+++ b/process/quotas/lease.go
@@ -17,7 +17,9 @@
 	// owner of its own in a region, so that no host with little bandwidth serves all lease
 	// requests.
 	defaultShards = 4
-	defaultTask   = "keep quotas"
+	// defaultTask is the task to own a quota. All hosts hash this text to agree on the owners, so it
+	// has to stay the same.
+	defaultTask = "keep quotas"
 	// maxOwnersTried is how many hosts a lease request is sent to in turn, because the first may
 	// just have crashed.
 	maxOwnersTried = 2
@@ -26,14 +28,14 @@
 	// bandwidth takes some hundred milliseconds.
 	requestTimeout = 300 * time.Millisecond
 	// unreachableTime is how long an owner that did not reply gets no requests. By then the
-	// other hosts know whether it is alive.
+	// membership has detected whether it is alive.
 	unreachableTime = 2 * time.Second
 	// strictUnreachableTime replaces unreachableTime with Config.Strict. It is shorter because no
 	// other owner is queried meanwhile: after each lost lease request the host runs nothing for
 	// that long.
 	strictUnreachableTime = 500 * time.Millisecond
-	// ownerRetryDelay is how long a host that reached no owner waits until it tries again.
-	// Meanwhile it uses its equal share, or nothing with Config.Strict.
+	// ownerRetryDelay is the delay until a host that reached no owner tries again. Meanwhile it
+	// uses its equal share, or nothing with Config.Strict.
 	ownerRetryDelay = 200 * time.Millisecond
 )
 
@@ -67,8 +69,8 @@
 }
 
 // ownersToTry returns how many hosts a lease request is sent to in turn. With Config.Strict it
-// is one. With two, when messages are late or lost, some host would always use the
-// second while the others use the first, and both would lease out the whole quota.
+// is one. With two, when messages are late or lost, some hosts would use the second host while
+// the others use the first, and both would lease out the whole quota.
 func (q *Quotas) ownersToTry() int {
 	if q.cfg.Strict {
 		return 1
@@ -85,7 +87,7 @@
 }
 
 // convertClock converts the times of a reply from one clock to another. from and to are the
-// same moment on the two clocks.
+// current times of the two clocks.
 func convertClock(reply quota.LeaseReply, from, to time.Time) quota.LeaseReply {
 	for _, at := range []*time.Time{&reply.ExpiresAt, &reply.RetryAt} {
 		if !at.IsZero() {
@@ -169,8 +171,9 @@
 	return o
 }
 
-// ownershipStart returns when this host became the owner of a shard in its region, or now if
-// it is not the owner. It must be called with q.mu locked.
+// ownershipStart returns when this host became the owner of a shard in its region. It returns now
+// if that isn't recorded: this host is not the owner, or no demand is exchanged because there is
+// only one region. It must be called with q.mu locked.
 func (q *Quotas) ownershipStart(shard int, now time.Time) time.Time {
 	if ownedSince := q.ownedSince[shard]; !ownedSince.IsZero() {
 		return ownedSince
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -35,11 +35,12 @@
 type Peers interface {
 	// Grant sends a lease request to an owner.
 	Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error)
-	// Claim sends this region's demand to the owner in another region and returns that region's.
+	// Claim sends this region's demand to the owner in another region and returns that region's
+	// demand.
 	Claim(ctx context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error)
 }
 
-// Hosts is the view of the other hosts, from the membership.
+// Hosts provides this host's view of the other hosts, from the membership.
 type Hosts interface {
 	// FirstInRegion returns the n live hosts of a region that rank first for a task. The first of
 	// them is the owner.
@@ -51,7 +52,7 @@
 	Count() int
 }
 
-// QuotaSource is the configuration of the quotas.
+// QuotaSource provides the configured quotas.
 type QuotaSource interface {
 	// Quota returns the quota of a workspace or endpoint by its name. One without a limit needs no
 	// enforcement.
@@ -68,8 +69,8 @@
 	Peers       Peers
 	Tolerance   quota.Tolerance
 	Strategy    string
-	// Task is the name of the task to own quotas, which is divided into Shards. Hosts rank
-	// themselves for each shard by hashing this name and the shard number.
+	// Task is the name of the task to own quotas, which is divided into Shards. Hosts are ranked for
+	// each shard by a hash of this name and the shard number.
 	Task   string
 	Shards int
 	// Strict lets a host that reaches no owner run nothing, instead of an equal share. An equal
@@ -77,7 +78,7 @@
 	// can take within seconds.
 	Strict bool
 	// Clock continues while the host is suspended, so that its leases expire meanwhile. The
-	// buckets that this host owns do not use it: nobody leases from them during the suspension.
+	// buckets that this host owns do not use it: no host leases from them during the suspension.
 	// The default is time.Now.
 	Clock func() time.Time
 	Log   *slog.Logger
@@ -93,7 +94,7 @@
 	localQuota  map[string]*localQuota // by workspace, as a host that runs requests
 	ownedQuotas map[string]*ownedQuota // by workspace, as the owner in this region
 	unreachable map[string]time.Time   // by host, until when no lease is requested from it
-	ownedSince  []time.Time            // by shard, when this host became the owner in its region; zero: it is not
+	ownedSince  []time.Time            // by shard, when this host became the owner in its region; zero: it is not, or not recorded
 }
 
 // localQuota is the state of a workspace's quota at a host that runs its requests.
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -120,7 +120,7 @@
 		reachable   bool
 	}{
 		"leased":                       {StrategyLeased, nil, 20, 150, true},
-		"told":                         {StrategyAssigned, nil, 10, 150, true},
+		"assigned":                     {StrategyAssigned, nil, 10, 150, true},
 		"equal":                        {StrategyEqual, nil, 10, 150, true},
 		"leased, one host partitioned": {StrategyLeased, []string{"a3"}, 20, 150, true},
 		"leased, all partitioned":      {StrategyLeased, []string{"a0", "b1", "c2", "a3", "b4", "c5"}, 5, 150, true},
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestUnbounded guards against messages between hosts for a workspace without a quota.
-func TestUnbounded(t *testing.T) {
+// TestWithoutQuota guards against messages between hosts for a workspace without a quota.
+func TestWithoutQuota(t *testing.T) {
 	n, hosts := newNetwork(t, StrategyLeased, vetchtrail.Quota{}, 2)
 	for range 100 {
 		assert.Assert(t, hosts[3].Take(context.Background(), "w", 1e9).Granted)
@@ -189,15 +189,14 @@
 }
 
 // TestDemandExchange guards against a region that keeps its share although only the callers of
-// another one make requests, and against counting on the share of a region that cannot be
-// reached.
+// another one make requests, and against using the share of a region that cannot be reached.
 func TestDemandExchange(t *testing.T) {
 	cases := map[string]struct {
 		partitioned bool       // region c is partitioned from the start
 		share       [2]float64 // minimum and maximum fraction of the quota for region a
 	}{
-		"all connected":      {false, [2]float64{0.9, 1}},
-		"one never reported": {true, [2]float64{0.3, 0.45}},
+		"all connected":          {false, [2]float64{0.9, 1}},
+		"one region partitioned": {true, [2]float64{0.3, 0.45}},
 	}
 	for name, c := range cases {
 		onVirtualTime(t, name, func(t *testing.T) {
@@ -218,15 +217,14 @@
 	}
 }
 
-// TestIdleQuotasForgotten guards against keeping the state of workspaces without requests for
-// ever.
-func TestIdleQuotasForgotten(t *testing.T) {
-	onVirtualTime(t, "a minute later", func(t *testing.T) {
+// TestIdleQuotasDropped guards against keeping the state of workspaces without requests for ever.
+func TestIdleQuotasDropped(t *testing.T) {
+	onVirtualTime(t, "two minutes later", func(t *testing.T) {
 		_, hosts := newNetwork(t, StrategyLeased, vetchtrail.Quota{Rate: 100, Burst: 100}, 1)
 		hosts[0].Take(context.Background(), "w", 1)
-		hosts[0].forget(time.Now(), time.Now())
+		hosts[0].dropIdle(time.Now(), time.Now())
 		assert.Equal(t, len(hosts[0].localQuota), 1)
-		hosts[0].forget(time.Now().Add(2*time.Minute), time.Now().Add(2*time.Minute))
+		hosts[0].dropIdle(time.Now().Add(2*time.Minute), time.Now().Add(2*time.Minute))
 		assert.Equal(t, len(hosts[0].localQuota), 0)
 	})
 }
@@ -238,7 +236,7 @@
 		suspended time.Duration
 		canSpend  bool
 	}{
-		"awake":                {0, true},
+		"not suspended":        {0, true},
 		"suspended for 100 ms": {100 * time.Millisecond, true},
 		"suspended for 5 s":    {5 * time.Second, false},
 	}
