--- a/process/ratelimits/bench_test.go
+++ b/process/ratelimits/bench_test.go
@@ -13,10 +13,10 @@
 	"vetchtrail/standin/meter"
 )
 
-// BenchmarkTake measures the time that a request needs for an endpoint without a rate limit
-// (about 0.1 us, no allocation), and for one with a limit at the host that owns it (about 1
-// us, one allocation of some 60 bytes). It also measures the memory of the rate limits of a
-// region's endpoints at one host.
+// BenchmarkTake measures the time of a reservation: for an endpoint without a rate limit (about
+// 0.1 us, no allocation), and for one with a limit at the host that owns the limit (about 1 us, one
+// allocation of some 60 bytes). It also measures the memory that the rate limits of a region's
+// endpoints need at one host.
 func BenchmarkTake(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -56,13 +56,13 @@
 	b.Helper()
 	f := newFleet(1, 1, "")
 	table := load.New()
-	var placed []load.EndpointInRegion
+	var configured []load.EndpointInRegion
 	var all []vetchtrail.Endpoint
 	for i := range endpoints {
 		e := vetchtrail.Endpoint{Name: fmt.Sprint("i-", i), Service: "s", Slots: 8}
-		placed, all = append(placed, load.EndpointInRegion{Endpoint: e}), append(all, e)
+		configured, all = append(configured, load.EndpointInRegion{Endpoint: e}), append(all, e)
 	}
-	table.Configure(placed)
+	table.Configure(configured)
 	l := New(Config{Self: f.hosts[0].Host, Table: table, Hosts: hostView{f, f.hosts[0]}, Peers: hostView{f, f.hosts[0]}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	l.startedAt = time.Now().Add(-time.Minute)
 	at := time.Now()
--- a/process/ratelimits/faults_test.go
+++ b/process/ratelimits/faults_test.go
@@ -54,9 +54,8 @@
 var seedCount = flag.Uint64("seeds", 60, "number of simulations")
 
 // TestRateAcrossHosts guards against hosts that together exceed a rate limit, while hosts
-// restart or are partitioned, messages are lost and the endpoint restarts. In any 4 s the
-// endpoint may receive one and a half times its rate, and five requests, from hosts that know
-// the limit.
+// restart or are partitioned, messages are lost and the endpoint restarts. In any 4 s, the hosts
+// that have received the limit may together send one and a half times the rate, and five requests.
 func TestRateAcrossHosts(t *testing.T) {
 	worst, worstDescription := 0.0, ""
 	for seed := range *seedCount {
--- a/process/ratelimits/fleet_test.go
+++ b/process/ratelimits/fleet_test.go
@@ -19,9 +19,9 @@
 // The endpoint advertises rate limits, removes them and restarts.
 
 const (
-	fleetService = "s"
-	fleetName    = "e"
-	// livenessLag is how long the other hosts still count a host that crashed or is partitioned.
+	serviceName  = "s"
+	endpointName = "e"
+	// livenessLag is how long a host that crashed or is partitioned still counts as alive at others.
 	livenessLag = 2500 * time.Millisecond
 )
 
@@ -47,7 +47,7 @@
 	arrivals          []arrival
 	requests          int    // number of requests that callers made
 	sent              int    // number of lease requests between hosts
-	violation         string // a rule other than the limit that was broken; empty: none
+	violation         string // description of a broken rule other than the limit; empty: none
 }
 
 // advertisement is the rate limit that the endpoint advertises from a given time; negative:
@@ -96,8 +96,8 @@
 	}
 }
 
-// start starts a host without any state. startedAt is the start time that it takes as its own.
-// It must be called with f.mu locked, or before the simulation runs.
+// start starts a host without any state, as if it had started at startedAt. It must be called with
+// f.mu locked, or before the simulation runs.
 func (f *fleet) start(h *host, startedAt time.Time) {
 	h.table = load.New()
 	h.table.Configure([]load.EndpointInRegion{{Endpoint: f.endpoint()}})
@@ -115,7 +115,7 @@
 
 // endpoint returns the current instance of the endpoint.
 func (f *fleet) endpoint() vetchtrail.Endpoint {
-	return vetchtrail.Endpoint{Name: fleetName, Service: fleetService, Slots: 1000, Born: f.endpointStartedAt}
+	return vetchtrail.Endpoint{Name: endpointName, Service: serviceName, Slots: 1000, Born: f.endpointStartedAt}
 }
 
 // rateLimiter is a strategy to keep a rate limit.
@@ -168,7 +168,7 @@
 	callerLeaves := f.rnd.IntN(10) == 0
 	f.mu.Unlock()
 	var v vetchtrail.View
-	tab.Fill(&v, &vetchtrail.Request{Service: fleetService}, time.Now())
+	tab.Fill(&v, &vetchtrail.Request{Service: serviceName}, time.Now())
 	if v.Endpoints[0].Unavailable {
 		return
 	}
@@ -206,9 +206,9 @@
 // deliverLimit delivers a rate limit to a host. It records a violation if the limit is from an
 // earlier instance and the host applies it to a later one.
 func (f *fleet) deliverLimit(limits *RateLimits, tab *load.Table, e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
-	_, startedAt := tab.RateLimit(fleetName)
+	_, startedAt := tab.RateLimit(endpointName)
 	limits.RateLimitReported(e, report, nil)
-	if is, _ := tab.RateLimit(fleetName); !startedAt.Equal(e.Born) && is == report {
+	if is, _ := tab.RateLimit(endpointName); !startedAt.Equal(e.Born) && is == report {
 		f.mu.Lock()
 		f.violation = "a limit of an earlier instance was applied"
 		f.mu.Unlock()
@@ -276,8 +276,8 @@
 	f.start(f.hosts[i], time.Now())
 }
 
-// restartEndpoint starts a new instance of the endpoint. It advertises no rate limit at first,
-// and all hosts learn of it at once.
+// restartEndpoint starts a new instance of the endpoint, which advertises no rate limit at first. All
+// hosts have the new instance listed at once.
 func (f *fleet) restartEndpoint() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/process/ratelimits/metrics.go
+++ b/process/ratelimits/metrics.go
@@ -11,7 +11,7 @@
 // countUnreadable counts a response whose rate limit cannot be parsed.
 func countUnreadable() { metrics.GetOrCreateCounter(UnreadableRatesMetric).Inc() }
 
-// countReply counts a request for a reservation by its result, granted or refused.
-func countReply(answer string) {
-	metrics.GetOrCreateCounter(ReservationsMetric + `{answer="` + answer + `"}`).Inc()
+// countReservation counts a request for a reservation by its result, granted or refused.
+func countReservation(result string) {
+	metrics.GetOrCreateCounter(ReservationsMetric + `{answer="` + result + `"}`).Inc()
 }
--- a/process/ratelimits/network_test.go
+++ b/process/ratelimits/network_test.go
@@ -42,7 +42,8 @@
 	return reply, ctx.Err()
 }
 
-// delay returns the time of a message within the region. It must be called with f.mu locked.
+// delay returns a random transit time for a message within the region. It must be called with f.mu
+// locked.
 func (f *fleet) delay() time.Duration {
 	if f.rnd.IntN(50) == 0 {
 		return time.Duration(f.rnd.IntN(250)) * time.Millisecond
@@ -50,9 +51,9 @@
 	return time.Duration(1+f.rnd.IntN(8)) * time.Millisecond
 }
 
-// believesAlive reports whether host a counts host b as alive, which lags behind changes. It
-// must be called with f.mu locked.
-func (f *fleet) believesAlive(a, b *host, now time.Time) bool {
+// countsAsAlive reports whether host b counts as alive at host a, which lags behind changes. It must
+// be called with f.mu locked.
+func (f *fleet) countsAsAlive(a, b *host, now time.Time) bool {
 	if a == b {
 		return true
 	}
@@ -66,7 +67,7 @@
 	defer v.f.mu.Unlock()
 	var out []vetchtrail.Host
 	for _, h := range v.f.hosts {
-		if v.f.believesAlive(v.h, h, now) && (v.f.disabled != guardSharedOwner || h == v.h) {
+		if v.f.countsAsAlive(v.h, h, now) && (v.f.disabled != guardSharedOwner || h == v.h) {
 			out = append(out, h.Host)
 		}
 	}
@@ -96,7 +97,7 @@
 	}
 	seen := 0
 	for _, h := range v.f.hosts {
-		if v.f.believesAlive(v.h, h, now) {
+		if v.f.countsAsAlive(v.h, h, now) {
 			seen++
 		}
 	}
--- a/process/ratelimits/race_test.go
+++ b/process/ratelimits/race_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestFleetRaces guards against data races. It runs the simulation in real time under the race
-// detector. The tests on virtual time run without it, because the detector has crashed them
+// detector. The tests on virtual time are not built with the detector, which has crashed them
 // ("slot_locked") without reporting a race.
 func TestFleetRaces(t *testing.T) {
 	f := newFleet(1, 6, "")
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -19,7 +19,7 @@
 	"vetchtrail/schema"
 )
 
-// Table is what this host knows of its endpoints.
+// Table stores the state of this host's endpoints. *load.Table implements it.
 type Table interface {
 	vetchtrail.Observer
 	// RecordRateLimit applies a rate limit that an endpoint advertised, unless it is older than
@@ -53,8 +53,8 @@
 }
 
 // RateLimits enforces rate limits at one host, together with the RateLimits of the other
-// hosts. It is a vetchtrail.Observer that handles RateLimitReported and forwards all else to the
-// table. It is safe for concurrent use.
+// hosts. It is a vetchtrail.Observer that handles RateLimitReported and forwards all other calls to
+// the table. It is safe for concurrent use.
 type RateLimits struct {
 	vetchtrail.Observer
 	cfg        Config
@@ -64,7 +64,7 @@
 	logLimiter logs.Throttle // limits log lines, by endpoint
 
 	mu           sync.Mutex
-	reservations map[string]uint64 // number used, by endpoint
+	reservations map[string]uint64 // number made and not cancelled, by endpoint
 }
 
 // New returns RateLimits that hold no leases.
--- a/process/ratelimits/ratelimits_test.go
+++ b/process/ratelimits/ratelimits_test.go
@@ -55,15 +55,15 @@
 	assert.Equal(t, strings.Count(out.String(), `"endpoint names no rate any more"`), 1)
 }
 
-// TestReservationExpiry guards against requests without a valid reservation. It is valid for
-// one second, for one instance of the endpoint, and under the rate at which it was taken or a
-// higher one. Time also counts while the host is suspended.
+// TestReservationExpiry guards against requests without a valid reservation. A reservation is
+// valid for one second, for one instance of the endpoint, and under the rate limit at which it was
+// made or a higher one. It also expires while the host is suspended.
 func TestReservationExpiry(t *testing.T) {
 	cases := map[string]struct {
 		suspended time.Duration
 		rate      float64 // advertised after the reservation; negative: none
 		restarted bool    // the endpoint restarted
-		covered   bool
+		allowed   bool
 	}{
 		"at once":                {0, 40, false, true},
 		"0.9 s later":            {900 * time.Millisecond, 40, false, true},
@@ -97,12 +97,12 @@
 				table.Configure([]load.EndpointInRegion{{Endpoint: e}})
 				l.RateLimitReported(e, advertised(40, 3_600_001, 3_600_002), nil)
 			}
-			assert.Equal(t, l.Allows(p, e), c.covered)
+			assert.Equal(t, l.Allows(p, e), c.allowed)
 		})
 	}
 }
 
-// hostWithRate returns a host that started a given time ago and knows the endpoint's rate
+// hostWithRate returns a host that started a given time ago and has received the endpoint's rate
 // limit.
 func hostWithRate(t *testing.T, f *fleet, i int, rate float64, age time.Duration) (*RateLimits, vetchtrail.Endpoint) {
 	t.Helper()
@@ -114,8 +114,8 @@
 }
 
 // TestNoRequestsWithoutOwner guards against requests to a rate-limited endpoint from a host
-// that reaches no owner, or that has just started and knows no other host. Other hosts may be
-// using the rate.
+// that reaches no owner, or that has just started and has not discovered any other host. Other
+// hosts may be using the rate.
 func TestNoRequestsWithoutOwner(t *testing.T) {
 	cases := map[string]struct {
 		hosts     int
@@ -133,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(3, c.hosts, "")
-			task := fmt.Sprintf("keep rates %d", xxhash.Sum64String(fleetName)%shards)
+			task := fmt.Sprintf("keep rates %d", xxhash.Sum64String(endpointName)%shards)
 			requester := 0 // a host that is not the owner
 			for i, h := range f.hosts {
 				if (hostView{f, h}).FirstInRegion("r", task, 1, time.Now())[0].Name != h.Name || c.hosts == 1 {
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	// shards is among how many hosts of a region the endpoints are divided.
+	// shards is the number of shards among which the endpoints are divided. Each has one owner in
+	// a region.
 	shards = 64
 	// minRate is the rate, in requests per second, at which hosts use an endpoint that advertises
-	// less or 0. Without any requests, no host would learn that the limit was raised. It allows
-	// one request in any 4 s.
+	// less or 0. Without any requests, no host would receive a higher limit. It allows one request
+	// in any 4 s.
 	minRate = 0.2
 	// burstSeconds is the burst beyond one request, in seconds of the rate.
 	//
-	// In any 4 s, all hosts together must send at most 6 s worth of the rate and five requests:
-	// one and a half times what the endpoint takes in that time, and five, which it tolerates when
-	// overloaded. Hosts send in 4 s what was leased in these and up to 1.5 s before, as a lease
-	// lasts 0.5 s and a reservation 1 s. That is 5.5 s of the rate, burstSeconds and one request.
-	// It leaves a quarter of a second of the rate and four requests for owners that are replaced.
+	// In any 4 s, all hosts together may send at most 6 s worth of the rate and five requests:
+	// one and a half times what the endpoint accepts in that time, and five, which it tolerates
+	// when overloaded. In 4 s the hosts send what was leased in that time and in the 1.5 s before,
+	// as a lease lasts 0.5 s and a reservation 1 s: 5.5 s worth of the rate, burstSeconds of it and
+	// one request. This leaves a quarter of a second of the rate and four requests for the time in
+	// which one owner replaces another.
 	burstSeconds = 0.25
-	// reservationTime is how long a reservation is valid. A connection to the endpoint may have to
-	// be opened meanwhile, which may take 0.7 s.
+	// reservationTime is how long a reservation is valid. It includes the time to open a connection
+	// to the endpoint, which may take 0.7 s.
 	reservationTime = time.Second
-	// settleTime is how long after its start a host that knows no other host owns no rate limit.
-	// Other hosts may be using the rate and not be known yet.
+	// settleTime is how long after its start a host that has discovered no other host owns no rate
+	// limit. Other hosts may be using the rate already.
 	settleTime = 4 * time.Second
-	// maxCountedEndpoints bounds the endpoints whose reservations are counted.
+	// maxCountedEndpoints bounds the endpoints whose reservations are counted. When it is reached,
+	// all counts restart at 0.
 	maxCountedEndpoints = 1 << 14
 	// minRetryDelay is the shortest time until an endpoint is tried again after its rate
 	// limit allowed no request.
@@ -53,11 +56,11 @@
 	return vetchtrail.Quota{Rate: rate, Burst: 1 + burstSeconds*rate, Unit: vetchtrail.UnitRequests}
 }
 
-// RegionNames implements quotas.QuotaSource. Only hosts in its own region call an endpoint.
+// RegionNames implements quotas.QuotaSource. Only hosts in an endpoint's own region call it.
 func (q rateQuotas) RegionNames() []string { return []string{q.l.cfg.Self.Region} }
 
-// settledHosts returns no hosts for a task while this host has just started and knows no other
-// host, so that it does not act as the owner.
+// settledHosts returns no hosts for a task while this host has just started and has not discovered
+// any other host, so that it does not act as the owner.
 type settledHosts struct {
 	quotas.Hosts
 	limits *RateLimits
@@ -74,21 +77,21 @@
 
 // Reserve implements vetchtrail.RateLimiter.
 func (l *RateLimits) Reserve(ctx context.Context, e vetchtrail.Endpoint) (p vetchtrail.Reservation, retryAt time.Time, ok bool) {
-	limit, binds := l.limit(e.Name)
-	if !binds {
+	limit, enforced := l.limit(e.Name)
+	if !enforced {
 		return p, retryAt, true
 	}
 	v := l.rateQuotas.Take(ctx, e.Name, 1)
 	if v.Granted {
 		l.addReservation(e.Name)
-		countReply("granted")
+		countReservation("granted")
 		l.cfg.Table.SetRateLeft(e.Name, max(0, v.RegionLeft), time.Time{})
 		return vetchtrail.Reservation{Endpoint: e.Name, StartedAt: e.Born, Rate: limit.Rate, ValidUntil: l.cfg.Clock().Add(reservationTime)}, retryAt, true
 	}
-	if _, binds := l.limit(e.Name); !binds { // the owner reported that the limit was removed
+	if _, enforced := l.limit(e.Name); !enforced { // the owner reported that the limit was removed
 		return p, retryAt, true
 	}
-	countReply("refused")
+	countReservation("refused")
 	if earliest := time.Now().Add(minRetryDelay); v.RetryAt.Before(earliest) {
 		v.RetryAt = earliest
 	}
@@ -97,7 +100,7 @@
 }
 
 // limit returns the rate limit that an endpoint advertised, and whether it is enforced.
-func (l *RateLimits) limit(name string) (limit vetchtrail.RateLimit, binds bool) {
+func (l *RateLimits) limit(name string) (limit vetchtrail.RateLimit, enforced bool) {
 	limit, _ = l.cfg.Table.RateLimit(name)
 	return limit, limit.Advertised && !l.cfg.Disabled
 }
@@ -116,22 +119,22 @@
 // before the endpoint advertised its limit, or its reservation was made under a higher limit
 // or before this host was suspended.
 func (l *RateLimits) Allows(p vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
-	limit, binds := l.limit(e.Name)
-	if !binds {
+	limit, enforced := l.limit(e.Name)
+	if !enforced {
 		return true
 	}
 	return p.Endpoint == e.Name && p.StartedAt.Equal(e.Born) && p.Rate <= limit.Rate && l.cfg.Clock().Before(p.ValidUntil)
 }
 
-// leaseTransport sends lease requests to the owner of a rate limit and adds what this host
-// knows of the limit; the reply has what the owner knows. So an owner that has received no
-// limit from the endpoint learns it from the hosts that send it requests, and they learn of
-// newer limits. It implements quotas.Peers.
+// leaseTransport sends lease requests to the owner of a rate limit. Each request has the rate limit
+// that this host has stored, and each reply the one that the owner has stored. So an owner that has
+// received no limit from the endpoint receives it with the lease requests, and the other hosts
+// receive newer limits with the replies. It implements quotas.Peers.
 type leaseTransport struct{ l *RateLimits }
 
 // Grant implements quotas.Peers.
 func (t leaseTransport) Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
-	reply, err := t.l.cfg.Peers.Permit(ctx, addr, &schema.PermitRequest{Ask: m, Known: t.l.knownRate(m.GetWorkspace())})
+	reply, err := t.l.cfg.Peers.Permit(ctx, addr, &schema.PermitRequest{Ask: m, Known: t.l.storedLimit(m.GetWorkspace())})
 	if err != nil {
 		return nil, err
 	}
@@ -149,11 +152,12 @@
 func (l *RateLimits) HandleLeaseRequest(m *schema.PermitRequest) *schema.PermitReply {
 	l.Learn(m.GetKnown())
 	name := m.GetAsk().GetWorkspace()
-	return &schema.PermitReply{Grant: l.rateQuotas.HandleLeaseRequest(m.GetAsk()), Known: l.knownRate(name)}
+	return &schema.PermitReply{Grant: l.rateQuotas.HandleLeaseRequest(m.GetAsk()), Known: l.storedLimit(name)}
 }
 
-// knownRate returns what this host knows of an endpoint's rate limit, or nil if nothing.
-func (l *RateLimits) knownRate(name string) *schema.EndpointRate {
+// storedLimit returns the message for the rate limit that this host has stored for an endpoint, or
+// nil if no response of the endpoint was received.
+func (l *RateLimits) storedLimit(name string) *schema.EndpointRate {
 	limit, startedAt := l.cfg.Table.RateLimit(name)
 	if limit.ReceivedAt.IsZero() {
 		return nil
@@ -161,7 +165,7 @@
 	return schema.FromRateLimit(name, startedAt, limit, time.Now())
 }
 
-// Learn applies what another host knows of a rate limit.
+// Learn applies a rate limit that another host has sent; nil: it has none stored.
 func (l *RateLimits) Learn(m *schema.EndpointRate) {
 	if m == nil {
 		return
@@ -178,7 +182,7 @@
 	l.applyLimit(vetchtrail.Endpoint{Name: m.GetEndpoint(), Born: startedAt}, report)
 }
 
-// addReservation counts a reservation that is used.
+// addReservation counts a reservation that was made.
 func (l *RateLimits) addReservation(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,7 +192,7 @@
 	l.reservations[name]++
 }
 
-// removeReservation uncounts a reservation that was given back.
+// removeReservation subtracts a cancelled reservation from the count.
 func (l *RateLimits) removeReservation(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,7 +201,8 @@
 	}
 }
 
-// ReservationsUsed returns how many reservations this host has used for an endpoint.
+// ReservationsUsed returns how many reservations this host has made and not cancelled for an
+// endpoint.
 func (l *RateLimits) ReservationsUsed(name string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/process/ratelimits/strategies_test.go
+++ b/process/ratelimits/strategies_test.go
@@ -25,7 +25,8 @@
 	users func(live, hosts int) int // how many of the live hosts use the endpoint
 	mu    sync.Mutex
 	level float64
-	at    time.Time
+	// updatedAt is when level was last updated.
+	updatedAt time.Time
 }
 
 // Reserve implements vetchtrail.RateLimiter.
@@ -44,8 +45,8 @@
 	rate := max(limit.Rate, minRate) / float64(users)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.level = min(1+burstSeconds*rate, p.level+rate*now.Sub(p.at).Seconds())
-	p.at = now
+	p.level = min(1+burstSeconds*rate, p.level+rate*now.Sub(p.updatedAt).Seconds())
+	p.updatedAt = now
 	if p.level < 1 {
 		return vetchtrail.Reservation{}, time.Time{}, false
 	}
@@ -62,8 +63,8 @@
 	return !limit.Advertised || reservation.Endpoint != ""
 }
 
-// strategies are the strategies to compare, by how many of the live hosts use the endpoint.
-// Nil is the one of RateLimits: leases from one owner.
+// strategies are the strategies to compare, each with the function for equalPart.users. nil is the
+// strategy of RateLimits: leases from one owner.
 var strategies = map[string]func(live, hosts int) int{
 	"leases":      nil,
 	"equal parts": func(live, _ int) int { return live },
@@ -99,7 +100,7 @@
 		f := &fleet{rnd: rand.New(rand.NewPCG(9, 9)), endpointStartedAt: time.Now(), advertised: []advertisement{{time.Now(), -1}}}
 		if users != nil {
 			f.newLimiter = func(f *fleet, h *host) rateLimiter {
-				return &equalPart{f: f, h: h, users: users, at: time.Now()}
+				return &equalPart{f: f, h: h, users: users, updatedAt: time.Now()}
 			}
 		}
 		f.populate(hosts)
