--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -1,7 +1,6 @@
 // Package poll fetches the load reports of this data centre's endpoints and the platform's list of hosts, which
-// has the endpoints that are leaving, and records both in a load.Table. The data centre's hosts share the
-// endpoints between them, so that each is polled by one host. The package doesn't pass reports on to other
-// hosts.
+// has the endpoints that are leaving, and records both in a load.Table. Each endpoint is assigned to one of the data
+// centre's hosts, which polls it. The package doesn't send reports to other hosts.
 package poll
 
 import (
@@ -23,15 +22,14 @@
 
 const (
 	// standbyIntervals is the number of polling intervals without a report after which an endpoint's standby
-	// host polls it too: the assigned host may be slow, or cut off from the endpoint.
+	// host polls it too: the assigned host may be slow, or unable to reach the endpoint.
 	standbyIntervals = 3
 	requestTimeout   = time.Second
 	maxResponseBytes = 1 << 20
 	listInterval     = time.Second
 	// reportLeavingValidFor is how long a report that an endpoint is leaving is valid.
 	reportLeavingValidFor = 10 * time.Minute
-	// maxUptime bounds the time since an endpoint's start. A report with a longer one is taken for wrong and
-	// dropped.
+	// maxUptime bounds the time since an endpoint's start. A report with a longer one is rejected.
 	maxUptime = 100 * 365 * 24 * time.Hour
 )
 
@@ -109,7 +107,7 @@
 	return now.Sub(reportedAt) > standbyIntervals*p.cfg.Interval && p.cfg.Assignments.IsAssigned(task, 2, now)
 }
 
-// begin marks a poll of an endpoint as in progress; false: one is already.
+// begin marks a poll of an endpoint as in progress. It returns false if one already is.
 func (p *Poller) begin(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +136,7 @@
 		return
 	}
 	if r.Running < 0 || r.Queued < 0 || r.Up < 0 || r.Up > maxUptime.Milliseconds() {
-		p.cfg.Log.Warn("load report out of range", "endpoint", e.Name)
+		p.cfg.Log.Warn("load report out of range", "endpoint", e.Name, "running", r.Running, "queued", r.Queued, "up", r.Up)
 		return
 	}
 	at := time.UnixMilli(r.At)
@@ -161,8 +159,8 @@
 }
 
 // RunList polls the platform's list of hosts until ctx ends. The list lags behind the endpoints, so it only
-// takes endpoints out of use. They return when the list no longer has them as leaving, nor does any other
-// source.
+// takes endpoints out of use. An endpoint is used again when neither the list nor any other source reports it as
+// leaving.
 func (p *Poller) RunList(ctx context.Context) {
 	if !p.cfg.ListAddr.IsValid() {
 		return
--- a/process/poll/poll_test.go
+++ b/process/poll/poll_test.go
@@ -31,11 +31,11 @@
 			go func() { _ = engine.New(engine.Config{Slots: 8}).Serve(ctx, l) }()
 			addr := netip.MustParseAddrPort(inner.Addr().String())
 			t := load.New()
-			var placed []load.EndpointInRegion
+			var endpoints []load.EndpointInRegion
 			for i := range n {
-				placed = append(placed, load.EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprint(i), Service: "s", Slots: 8, Addr: addr}})
+				endpoints = append(endpoints, load.EndpointInRegion{Endpoint: vetchtrail.Endpoint{Name: fmt.Sprint(i), Service: "s", Slots: 8, Addr: addr}})
 			}
-			t.Configure(placed)
+			t.Configure(endpoints)
 			p := New(Config{Table: t, Interval: time.Second, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			polls := 0
 			cpu := meter.CPU()
