--- a/process/availability/availability.go
+++ b/process/availability/availability.go
@@ -16,22 +16,22 @@
 
 // Table records announcements of endpoints. *load.Table implements it.
 type Table interface {
-	// RecordAnnouncement records the announcement of an endpoint's answer, and returns what of it is new.
+	// RecordAnnouncement records the announcement in an endpoint's answer, and returns the part of it that is new.
 	RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) load.AnnouncementNews
-	// RecordAnnouncementByHash does the same for an announcement that another host received. It names the
-	// endpoint by load.NameHash.
+	// RecordAnnouncementByHash does the same for an announcement that another host received. The endpoint is given
+	// by load.NameHash of its name.
 	RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) load.AnnouncementNews
 }
 
 // Config configures Notices.
 type Config struct {
-	Observer vetchtrail.Observer // gets all other observations
+	Observer vetchtrail.Observer // receives all other observations
 	Table    Table
 	Log      *slog.Logger
 }
 
-// Notices is a vetchtrail.Observer that logs and counts announcements and unknown fields, and leaves all other
-// observations to the observer of its configuration. It is safe for concurrent use.
+// Notices is a vetchtrail.Observer that logs and counts announcements and unknown fields, and forwards all other
+// observations to Config.Observer. It is safe for concurrent use.
 type Notices struct {
 	vetchtrail.Observer
 	cfg        Config
@@ -88,7 +88,8 @@
 	maxFieldNameBytes = 64
 )
 
-// UnknownField implements vetchtrail.Observer. It logs each unknown field once, and counts it by its name.
+// UnknownField implements vetchtrail.Observer. It logs each unknown field once and counts it by its name. Fields
+// beyond maxUnknownFields are only counted, together.
 func (n *Notices) UnknownField(e vetchtrail.Endpoint, field string) {
 	field = field[:min(len(field), maxFieldNameBytes)]
 	n.mu.Lock()
--- a/process/availability/metrics.go
+++ b/process/availability/metrics.go
@@ -6,19 +6,19 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Names of the metrics that count announcements of endpoints and fields of answers that no code reads.
+// Names of the metrics that count announcements of endpoints and unknown fields of answers.
 const (
 	NoticesMetric       = "vetchtrail_endpoint_notices_total"
 	UnknownFieldsMetric = "vetchtrail_endpoint_fields_unknown_total"
 )
 
 // countAnnouncement counts an announcement by its content.
-func countAnnouncement(says string) {
-	metrics.GetOrCreateCounter(NoticesMetric + `{says="` + says + `"}`).Inc()
+func countAnnouncement(content string) {
+	metrics.GetOrCreateCounter(NoticesMetric + `{says="` + content + `"}`).Inc()
 }
 
 // countUnknownField counts an unknown field by its name, without the characters that a metric's label can't
-// hold.
+// contain.
 func countUnknownField(field string) {
 	label := strings.Map(func(r rune) rune {
 		if r < ' ' || r == '"' || r == '\\' || r > '~' {
