--- a/availability.go
+++ b/availability.go
@@ -9,7 +9,7 @@
 )
 
 // Availability is what an endpoint announced in a response head about whether it accepts
-// requests. The endpoint wrote it at an unknown time between RequestedAt and ReceivedAt.
+// requests. The endpoint wrote the head at an unknown time between RequestedAt and ReceivedAt.
 type Availability struct {
 	Leaving     bool      // it will stop soon and accepts no new requests from any host
 	PausedUntil time.Time // it is paused until then, and accepts no requests from this host; zero: not paused
@@ -21,7 +21,7 @@
 type ParsedAvailability struct {
 	Leaving bool
 	Pause   time.Duration // for how long it accepts no requests from this host; 0: not paused
-	Err     error         // a field can't be parsed, and was ignored
+	Err     error         // the error of a field that can't be parsed and was ignored; nil: none
 }
 
 // Errors of the header fields that announce availability.
@@ -39,8 +39,9 @@
 	maxPause = time.Hour
 )
 
-// ParseAvailability parses the fields leaving and pause of a response head. The pause is parsed
-// only if the response's status is 503 (service unavailable).
+// ParseAvailability parses the values of the fields by which a response head announces that the
+// endpoint is leaving or paused. The pause is parsed only if unavailable is set: the response
+// has status 503 (service unavailable).
 func ParseAvailability(leaving, pause string, unavailable bool) ParsedAvailability {
 	var out ParsedAvailability
 	var errPause error
@@ -88,7 +89,7 @@
 	longest := 0.0
 	for part := range strings.SplitSeq(text, ",") {
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
-		if err != nil || !(seconds >= 0) || seconds > maxReadableSeconds {
+		if err != nil || !(seconds >= 0) || seconds > maxPlausibleSeconds {
 			return 0, errors.Wrapf(ErrPause, "%q", text)
 		}
 		longest = max(longest, seconds)
@@ -96,6 +97,6 @@
 	return time.Duration(min(longest, maxPause.Seconds()) * float64(time.Second)), nil
 }
 
-// maxReadableSeconds is the largest pause that is accepted as a number of seconds: a century.
-// Larger values, also infinity, are errors.
-const maxReadableSeconds = 100 * 365 * 24 * 3600
+// maxPlausibleSeconds is a century. A pause above it, also an infinite one, is an error; one
+// between maxPause and it is shortened to maxPause.
+const maxPlausibleSeconds = 100 * 365 * 24 * 3600
--- a/availability_test.go
+++ b/availability_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// FuzzReadNotice checks that for any text from an endpoint the pause is bounded, and that a
-// text with an error announces neither leaving nor a pause.
-func FuzzReadNotice(f *testing.F) {
+// FuzzParseAvailability checks that for any text from an endpoint the pause is bounded, and
+// that a text with an error announces neither leaving nor a pause.
+func FuzzParseAvailability(f *testing.F) {
 	for _, text := range []string{"", "1", "0", "1, 0", "0.5", "-1", "NaN", "+Inf", "1e9", "Wed, 21 Oct 2026 07:28:00 GMT", "1,,", "\x00"} {
 		f.Add(text)
 	}
--- a/change.go
+++ b/change.go
@@ -5,7 +5,7 @@
 // Change is an operator's change to the configuration. Each accepted change is one entry of
 // the configuration log.
 type Change struct {
-	ID       string // chosen by the writer; a recent change that is written again is recognised by it
+	ID       string // chosen by the proposer; a change is not accepted again if a recent one has its ID
 	Revision uint64 // position in the log; 0 until the change is accepted
 	Author   string
 	Reason   string
--- a/contenthash.go
+++ b/contenthash.go
@@ -10,8 +10,8 @@
 )
 
 // ContentHash is the content hash of a request. Requests with the same hash are retries of
-// one request. It is the first half of a SHA-256 sum, so that nobody can construct a request
-// with the hash of another caller's request and have that one quarantined in its place.
+// one request. It is the first half of a SHA-256 sum, so that nobody can get another caller's
+// request quarantined by sending a different request with the same hash.
 type ContentHash [sha256.Size / 2]byte
 
 // ContentHash returns the content hash of the request: of its workspace, method, Host field,
@@ -57,12 +57,12 @@
 
 // ParseContentHash parses the output of ContentHash.String.
 func ParseContentHash(s string) (ContentHash, error) {
-	var d ContentHash
-	if hex.DecodedLen(len(s)) != len(d) || len(s)%2 != 0 {
-		return d, errors.Errorf("vetchtrail.ParseDigest: %q is not %d hexadecimal digits", s, hex.EncodedLen(len(d)))
+	var h ContentHash
+	if hex.DecodedLen(len(s)) != len(h) || len(s)%2 != 0 {
+		return h, errors.Errorf("vetchtrail.ParseDigest: %q is not %d hexadecimal digits", s, hex.EncodedLen(len(h)))
 	}
-	if _, err := hex.Decode(d[:], []byte(s)); err != nil {
-		return d, errors.Wrap(err, "vetchtrail.ParseDigest")
+	if _, err := hex.Decode(h[:], []byte(s)); err != nil {
+		return h, errors.Wrap(err, "vetchtrail.ParseDigest")
 	}
-	return d, nil
+	return h, nil
 }
--- a/contenthash_test.go
+++ b/contenthash_test.go
@@ -57,10 +57,10 @@
 	}
 }
 
-// BenchmarkDigest measures the content hash, which is computed only for requests that were
-// lost with an endpoint, and for all requests while some are quarantined. It takes about
+// BenchmarkContentHash measures the content hash, which is computed only for requests that
+// were lost with an endpoint, and for all requests while some are quarantined. It takes about
 // 1.4 us for a body of 1 KiB, 56 us for 64 KiB and 0.9 ms for 1 MiB.
-func BenchmarkDigest(b *testing.B) {
+func BenchmarkContentHash(b *testing.B) {
 	for name, size := range map[string]int{"1KiB": 1 << 10, "64KiB": 64 << 10, "1MiB": 1 << 20} {
 		b.Run(name, func(b *testing.B) {
 			body := make([]byte, size)
--- a/endpoint.go
+++ b/endpoint.go
@@ -14,7 +14,7 @@
 	Addr       netip.AddrPort
 	Slots      int  // number of requests that it runs at once
 	Draining   bool // operators or the platform are taking it out of use
-	Fenced     bool // it checks the fencing tokens of orders; nothing here depends on it
+	Fenced     bool // it checks fencing tokens; nothing in this module depends on it
 
 	// Instance is the id of the endpoint's process instance. Requests name it, and the
 	// endpoint refuses those that name another; empty: it doesn't check.
--- a/feed.go
+++ b/feed.go
@@ -67,11 +67,11 @@
 
 // Endpoint returns the endpoint with a name; nil: it is not listed.
 func (l *Listing) Endpoint(name string) *Endpoint {
-	at, ok := slices.BinarySearchFunc(l.Endpoints, name, func(e *Endpoint, name string) int { return strings.Compare(e.Name, name) })
+	i, ok := slices.BinarySearchFunc(l.Endpoints, name, func(e *Endpoint, name string) int { return strings.Compare(e.Name, name) })
 	if !ok {
 		return nil
 	}
-	return l.Endpoints[at]
+	return l.Endpoints[i]
 }
 
 // SortEndpoints sorts endpoints by name, as a Listing needs them.
--- a/observation.go
+++ b/observation.go
@@ -29,9 +29,9 @@
 	Release(name string, o Observation, now time.Time)
 	// Find returns a listed endpoint by its name, whether or not it can be used now.
 	Find(name string) (Endpoint, bool)
-	// Blocked returns why no new request may be sent to an endpoint, as it is leaving, paused
-	// or not listed any more, and until when if that is known; an empty reason: it may be
-	// sent.
+	// Blocked returns the reason why no new request may be sent to an endpoint (it is leaving,
+	// paused or no longer listed), and until when if that is known. The reason is empty if a
+	// request may be sent.
 	Blocked(name string, now time.Time) (why Reason, until time.Time)
 	// CapacityFreed returns a channel that is closed when an endpoint of a service may have
 	// capacity again.
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -10,8 +10,8 @@
 )
 
 // RateLimit is what an endpoint advertised about its rate limit, which holds for the requests
-// of all hosts together. The endpoint wrote it at an unknown time between
-// RequestedAt and ReceivedAt.
+// of all hosts together. The endpoint wrote it at an unknown time between RequestedAt and
+// ReceivedAt.
 type RateLimit struct {
 	Advertised  bool      // it advertised a rate limit; false: it has none
 	Rate        float64   // in requests per second
@@ -48,7 +48,7 @@
 	Reported   bool    // the response is known to be the endpoint's: without a rate, the endpoint has no limit
 	Advertised bool    // the response advertises a rate limit
 	Rate       float64 // in requests per second
-	Err        error   // the field can't be parsed, and was ignored
+	Err        error   // the error of a field that can't be parsed and was ignored; nil: none
 }
 
 // ErrRateLimit is the error of a rate limit that can't be parsed.
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -14,10 +14,10 @@
 // limit, or for none, would stop or overload an endpoint.
 func TestParseRateLimit(t *testing.T) {
 	cases := map[string]struct {
-		text  string
-		named bool
-		rate  float64
-		bad   bool
+		text       string
+		advertised bool
+		rate       float64
+		malformed  bool
 	}{
 		"empty":                    {"", false, 0, false},
 		"number":                   {"1.9", true, 1.9, false},
@@ -37,18 +37,18 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			got := ParseRateLimit(c.text)
-			assert.Equal(t, got.Err != nil, c.bad, "%v", got)
-			assert.Equal(t, got.Reported, !c.bad)
-			assert.Equal(t, got.Advertised, c.named)
+			assert.Equal(t, got.Err != nil, c.malformed, "%v", got)
+			assert.Equal(t, got.Reported, !c.malformed)
+			assert.Equal(t, got.Advertised, c.advertised)
 			assert.Equal(t, got.Rate, c.rate)
-			assert.Assert(t, !c.bad || errors.Is(got.Err, ErrRateLimit))
+			assert.Assert(t, !c.malformed || errors.Is(got.Err, ErrRateLimit))
 		})
 	}
 }
 
-// FuzzReadRate checks that for any text from an endpoint the result is either a finite rate,
-// no limit, or an error.
-func FuzzReadRate(f *testing.F) {
+// FuzzParseRateLimit checks that for any text from an endpoint the result is either a finite
+// rate, no limit, or an error.
+func FuzzParseRateLimit(f *testing.F) {
 	for _, seed := range []string{"", "1.9", "0", "-0", "-1", "NaN", "+Inf", "1e400", "0x1p-3", "1,2", ",", "1 2", strings.Repeat("9", 300)} {
 		f.Add(seed)
 	}
--- a/reservation.go
+++ b/reservation.go
@@ -20,11 +20,11 @@
 	// reservation is empty. Reserve waits at most some milliseconds for other hosts. It
 	// returns ok false if the rate limit allows no request now; retryAt is when it may allow
 	// one.
-	Reserve(ctx context.Context, e Endpoint) (p Reservation, retryAt time.Time, ok bool)
+	Reserve(ctx context.Context, e Endpoint) (r Reservation, retryAt time.Time, ok bool)
 	// Cancel gives back a reservation whose request did not reach the endpoint.
-	Cancel(p Reservation)
+	Cancel(r Reservation)
 	// Allows returns whether a request with a reservation may be sent to an endpoint now. The
 	// endpoint may have started to advertise a rate limit, or a lower one, since the
 	// reservation was made.
-	Allows(p Reservation, e Endpoint) bool
+	Allows(r Reservation, e Endpoint) bool
 }
--- a/route.go
+++ b/route.go
@@ -18,7 +18,7 @@
 	Goal      time.Duration
 	Rank      int8     // 0 is the most urgent
 	Homes     []string // regions that may process its requests; empty: all
-	Sticky    bool     // its requests state the parts of their prompts; nothing here depends on it
+	Sticky    bool     // its requests state the parts of their prompts; nothing in this module depends on it
 	Resumable bool     // a stream may be resumed at another endpoint
 	// Pause is the longest interval between two events of a stream that is still in time; 0:
 	// not specified.
--- a/store.go
+++ b/store.go
@@ -9,7 +9,7 @@
 type StoreEntry struct {
 	Key         string
 	Value       []byte
-	ModifyIndex uint64 // modify index: it changes with every write of the key
+	ModifyIndex uint64 // changes with every write of the key
 }
 
 // Store is a client of the platform's key-value service. The service limits the rate of
@@ -21,8 +21,8 @@
 	// CompareAndSwap writes the value if the key still has the modify index, or with index 0 if
 	// the key does not exist. Otherwise it returns ErrConflict.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) error
-	// Wait returns the entry once its modify index differs from index, or at the deadline as it
-	// is. It returns ErrNotFound if the key still does not exist.
+	// Wait returns the entry once its modify index differs from index, or unchanged at the
+	// deadline. It returns ErrNotFound if the key does not exist by then.
 	Wait(ctx context.Context, key string, index uint64, deadline time.Time) (StoreEntry, error)
 	// Delete removes a key.
 	Delete(ctx context.Context, key string) error
--- a/workspace.go
+++ b/workspace.go
@@ -29,10 +29,10 @@
 // find another key with the same hash.
 type KeyHash [sha256.Size / 2]byte
 
-// HashKey returns the hash of a caller's key. Only the first MaxKeyBytes bytes count;
-// CheckKey rejects longer keys before.
+// HashKey returns the hash of a caller's key. It hashes only the first MaxKeyBytes bytes, as
+// CheckKey rejects longer keys.
 func HashKey(key string) KeyHash {
-	var text [MaxKeyBytes]byte // on the stack, so that a look-up allocates nothing
+	var text [MaxKeyBytes]byte // on the stack, so that hashing allocates nothing
 	n := copy(text[:], key)
 	sum := sha256.Sum256(text[:n])
 	return KeyHash(sum[:len(KeyHash{})])
@@ -72,10 +72,10 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) || len(text)%2 != 0 {
-		return errors.Errorf("the hash of a key must have %d hexadecimal digits", hex.EncodedLen(len(h)))
+		return errors.Errorf("key hash has %d characters instead of %d hexadecimal digits", len(text), hex.EncodedLen(len(h)))
 	}
 	if _, err := hex.Decode(h[:], text); err != nil {
-		return errors.Wrap(err, "the hash of a key")
+		return errors.Wrap(err, "key hash")
 	}
 	return nil
 }
--- a/workspace_test.go
+++ b/workspace_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestCheckKey checks which texts can be a key, and the error of each other one. Two values
-// of one header field arrive joined by a comma, and must not pass for one key.
+// of one header field arrive joined by a comma, and must not be accepted as one key.
 func TestCheckKey(t *testing.T) {
 	cases := map[string]struct {
 		key  string
