--- a/schema/convert.go
+++ b/schema/convert.go
@@ -152,7 +152,7 @@
 	}
 	for _, k := range m.GetKeyHashes() {
 		if len(k) != len(vetchtrail.KeyHash{}) {
-			return w, errors.Errorf("workspace %s: a key hash has %d bytes", m.GetName(), len(k))
+			return w, errors.Errorf("workspace %s: a key hash has %d bytes instead of %d", m.GetName(), len(k), len(vetchtrail.KeyHash{}))
 		}
 		w.Keys = append(w.Keys, vetchtrail.KeyHash(k))
 	}
@@ -199,7 +199,8 @@
 
 // FromRequest returns the message that forwards a request to another host.
 // Deadlines are sent as the time that remains at now, since hosts' clocks differ.
-// The caller's credential is not sent: the receiver relies on the workspace.
+// The hash of the caller's key is not sent: the receiver relies on the sender for
+// the workspace.
 func FromRequest(r *vetchtrail.Request, now time.Time) *ForwardRequest {
 	return &ForwardRequest{
 		Id: r.ID, Service: r.Service, Kind: uint32(r.Kind), Workspace: r.Workspace,
@@ -241,7 +242,7 @@
 	return out
 }
 
-// remaining returns the nanoseconds from now to a moment, or 0 for the zero time.
+// remaining returns the nanoseconds from now to t, or 0 for the zero time.
 func remaining(t, now time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -249,8 +250,8 @@
 	return int64(t.Sub(now))
 }
 
-// timeAfter reverses remaining: it returns the moment some nanoseconds after now,
-// or the zero time for 0.
+// timeAfter reverses remaining: it returns the time some nanoseconds after now, or
+// the zero time for 0.
 func timeAfter(nanos int64, now time.Time) time.Time {
 	if nanos == 0 {
 		return time.Time{}
@@ -262,9 +263,9 @@
 // the wrong length is ignored, and is then computed again when it is needed.
 func ToRequest(m *ForwardRequest, now time.Time) (*vetchtrail.Request, error) {
 	if m.GetHome() >= vetchtrail.MaxRegions || m.GetEntry() >= vetchtrail.MaxRegions {
-		return nil, errors.New("schema.ToRequest: region id out of range")
+		return nil, errors.Errorf("schema.ToRequest: region ids %d (home) and %d (entry) must be below %d", m.GetHome(), m.GetEntry(), vetchtrail.MaxRegions)
 	}
-	position := m.GetResume()
+	resume := m.GetResume()
 	r := &vetchtrail.Request{
 		ID: m.GetId(), Service: m.GetService(), Kind: vetchtrail.ServiceKind(m.GetKind()), Workspace: m.GetWorkspace(),
 		HomeRegion: vetchtrail.RegionID(m.GetHome()), EntryRegion: vetchtrail.RegionID(m.GetEntry()),
@@ -272,7 +273,7 @@
 		Deadline: now.Add(time.Duration(m.GetRemaining())), Hops: int(m.GetHops()), Revision: m.GetRevision(),
 		Method: m.GetMethod(), Path: m.GetPath(), Header: ToHeader(m.GetHeader()), Body: m.GetBody(),
 		Stream: m.GetStream(), EstimatedTokens: int(m.GetTokens()), IdempotencyKey: m.GetKey(), Repeatable: m.GetRepeats(),
-		ResumeAt: vetchtrail.StreamPosition{Endpoint: position.GetEndpoint(), Stream: position.GetStream(), Offset: int(position.GetOffset())},
+		ResumeAt: vetchtrail.StreamPosition{Endpoint: resume.GetEndpoint(), Stream: resume.GetStream(), Offset: int(resume.GetOffset())},
 		Route:    m.GetRoute(), Goal: timeAfter(m.GetGoalRemaining(), now), Prompt: toPrompt(m.GetPrompt()),
 		Resumable: m.GetResumable(), LastEventID: m.GetLastEvent(),
 		ResponseStarted: m.GetBegun(), QueueUntil: timeAfter(m.GetPatienceRemaining(), now),
@@ -327,8 +328,8 @@
 	return o
 }
 
-// FromTime returns a moment as messages contain it: Unix nanoseconds, or 0 for
-// the zero time.
+// FromTime returns a time as messages contain it: Unix nanoseconds, or 0 for the
+// zero time.
 func FromTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
--- a/schema/listing.go
+++ b/schema/listing.go
@@ -9,10 +9,10 @@
 	"vetchtrail"
 )
 
-// FromListing returns the message for a listing, the platform's service
-// discovery snapshot. Moments are sent as their distance from now, and those of
-// quarantine entries as their distance from bootNow: the same moment on the
-// clock that also runs while the machine is suspended.
+// FromListing returns the message for a listing, the platform's service discovery
+// snapshot. Times are sent as their difference from now, and those of quarantine
+// entries as their difference from bootNow: now by the boot-time clock
+// (process/clock), which also runs while the machine is suspended.
 func FromListing(l *vetchtrail.Listing, now, bootNow time.Time) *Listing {
 	m := &Listing{Revision: l.Revision, Seen: l.ConfirmedRevision, Age: int64(now.Sub(l.ReadAt))}
 	m.setEndpoints(l.Endpoints, now)
@@ -23,17 +23,17 @@
 	return m
 }
 
-// listedKind is the part of an endpoint that many endpoints have in common: the
-// comparable form of a ListedKind.
+// listedKind is a ListedKind in a form that can be a map key: the properties that
+// many endpoints have in common.
 type listedKind struct {
 	service, region, dataCentre string
 	slots                       int
 	coldRate, moveToken         float64
 }
 
-// setEndpoints fills the endpoints and kinds of a message that has none. What
-// many endpoints have in common is sent once, as a kind, which makes the listing
-// of 10,000 endpoints about a third as long.
+// setEndpoints sets the endpoints and kinds of a message that has none. The
+// properties that many endpoints have in common are sent once, as a kind, which
+// makes the listing of 10,000 endpoints about a third as long.
 func (x *Listing) setEndpoints(endpoints []*vetchtrail.Endpoint, now time.Time) {
 	indexes := map[listedKind]uint32{}
 	x.Endpoints = make([]*Listed, 0, len(endpoints))
@@ -60,12 +60,12 @@
 	}
 }
 
-// ErrInvalidListing means that an endpoint of a listing message can't be read.
+// ErrInvalidListing means that an endpoint of a listing message is malformed.
 var ErrInvalidListing = errors.New("schema: invalid listing")
 
-// ToListing returns the listing of a message that arrived now. If the message
-// has Since, its endpoints are only those that differ from the listing of that
-// revision.
+// ToListing returns the listing of a message that arrived now. If the message is a
+// diff (Since is not 0), its endpoints are only those that differ from the listing
+// of that revision.
 func ToListing(m *Listing, now, bootNow time.Time) (vetchtrail.Listing, error) {
 	l := vetchtrail.Listing{Revision: m.GetRevision(), ConfirmedRevision: m.GetSeen(), ReadAt: now.Add(-time.Duration(m.GetAge()))}
 	l.Endpoints = make([]*vetchtrail.Endpoint, 0, len(m.GetEndpoints()))
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -17,25 +17,25 @@
 	maxTimesQuarantined = 1 << 16
 )
 
-// ErrContentHash means that a content hash doesn't have the right length.
+// ErrContentHash means that a content hash has the wrong length.
 var ErrContentHash = errors.Errorf("a content hash must have %d bytes", contentHashBytes)
 
-// FromHolds returns the messages for quarantine entries. Moments are sent as
-// their distance from now, which is on the clock that also runs while the
-// machine is suspended, as the entries are.
+// FromHolds returns the messages for quarantine entries. Their times are sent as
+// the difference from now, a time of the boot-time clock (process/clock), as the
+// times of the entries are.
 func FromHolds(entries []vetchtrail.QuarantineEntry, now time.Time) []*Hold {
 	out := make([]*Hold, 0, len(entries))
-	for _, h := range entries {
-		out = append(out, FromHold(h, now))
+	for _, e := range entries {
+		out = append(out, FromHold(e, now))
 	}
 	return out
 }
 
 // FromHold returns the message for a quarantine entry, as FromHolds does.
-func FromHold(h vetchtrail.QuarantineEntry, now time.Time) *Hold {
+func FromHold(e vetchtrail.QuarantineEntry, now time.Time) *Hold {
 	return &Hold{
-		Digest: h.ContentHash[:], Strike: h.Count, Ends: uint32(h.Crashes), Age: int64(now.Sub(h.Since)),
-		Remaining: int64(h.Until.Sub(now)), Released: h.Released,
+		Digest: e.ContentHash[:], Strike: e.Count, Ends: uint32(e.Crashes), Age: int64(now.Sub(e.Since)),
+		Remaining: int64(e.Until.Sub(now)), Released: e.Released,
 	}
 }
 
@@ -44,11 +44,11 @@
 func ToHolds(in []*Hold, now time.Time) ([]vetchtrail.QuarantineEntry, error) {
 	out := make([]vetchtrail.QuarantineEntry, 0, len(in))
 	for _, m := range in {
-		h, err := ToHold(m, now)
+		e, err := ToHold(m, now)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, h)
+		out = append(out, e)
 	}
 	return out, nil
 }
@@ -60,7 +60,7 @@
 		return vetchtrail.QuarantineEntry{}, errors.Wrap(err, "schema.ToHold")
 	}
 	if m.GetStrike() == 0 || m.GetStrike() > maxTimesQuarantined {
-		return vetchtrail.QuarantineEntry{}, errors.Errorf("schema.ToHold: strike %d is out of range", m.GetStrike())
+		return vetchtrail.QuarantineEntry{}, errors.Errorf("schema.ToHold: strike %d is not from 1 to %d", m.GetStrike(), maxTimesQuarantined)
 	}
 	return vetchtrail.QuarantineEntry{
 		ContentHash: hash, Count: m.GetStrike(), Crashes: int(m.GetEnds()), Since: now.Add(-time.Duration(max(0, m.GetAge()))),
--- a/schema/rate.go
+++ b/schema/rate.go
@@ -14,8 +14,8 @@
 const maxRateAge = 365 * 24 * time.Hour
 
 // FromRateLimit returns the message for the rate limit that a process instance of
-// an endpoint advertised in an answer. The moments of the request and of the
-// answer are sent as their ages at now.
+// an endpoint advertised in a response. The times of the request and of the
+// response are sent as their ages at now.
 func FromRateLimit(name string, startedAt time.Time, l vetchtrail.RateLimit, now time.Time) *EndpointRate {
 	m := &EndpointRate{Endpoint: name, Named: l.Advertised, Rate: l.Rate, AskedAge: int64(now.Sub(l.RequestedAt)), HeardAge: int64(now.Sub(l.ReceivedAt))}
 	if !startedAt.IsZero() {
@@ -27,12 +27,12 @@
 // ToRateLimit returns the rate limit of a message that arrived now, and the start
 // time of the process instance that advertised it; zero: not known.
 func ToRateLimit(m *EndpointRate, now time.Time) (l vetchtrail.RateLimit, startedAt time.Time, err error) {
-	requestAge, answerAge := time.Duration(m.GetAskedAge()), time.Duration(m.GetHeardAge())
-	if !(m.GetRate() >= 0) || math.IsInf(m.GetRate(), 0) || answerAge < 0 || requestAge < answerAge || requestAge > maxRateAge {
-		return l, startedAt, errors.Errorf("schema.ToRateLimit: invalid rate %g, or invalid ages of request (%s) and answer (%s)", m.GetRate(), requestAge, answerAge)
+	requestAge, responseAge := time.Duration(m.GetAskedAge()), time.Duration(m.GetHeardAge())
+	if !(m.GetRate() >= 0) || math.IsInf(m.GetRate(), 0) || responseAge < 0 || requestAge < responseAge || requestAge > maxRateAge {
+		return l, startedAt, errors.Errorf("schema.ToRateLimit: invalid rate %g, or invalid ages of request (%s) and response (%s)", m.GetRate(), requestAge, responseAge)
 	}
 	if m.GetBorn() != 0 {
 		startedAt = time.Unix(0, m.GetBorn())
 	}
-	return vetchtrail.RateLimit{Advertised: m.GetNamed(), Rate: m.GetRate(), RequestedAt: now.Add(-requestAge), ReceivedAt: now.Add(-answerAge)}, startedAt, nil
+	return vetchtrail.RateLimit{Advertised: m.GetNamed(), Rate: m.GetRate(), RequestedAt: now.Add(-requestAge), ReceivedAt: now.Add(-responseAge)}, startedAt, nil
 }
--- a/schema/rate_test.go
+++ b/schema/rate_test.go
@@ -10,9 +10,9 @@
 	"vetchtrail"
 )
 
-// TestRateLimit checks that a rate limit arrives at another host with the same
-// age, although that host's clock differs, and that a message with an impossible
-// rate or age is an error. A wrong age would let an old limit replace a newer one.
+// TestRateLimit checks that a rate limit has the same age after it was sent to a
+// host whose clock differs, and that a message with an impossible rate or age is
+// an error. A wrong age would let an old limit replace a newer one.
 func TestRateLimit(t *testing.T) {
 	sent := time.Unix(1_800_000_000, 0)
 	arrived := sent.Add(time.Hour) // on the receiver's clock
