--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -28,7 +28,7 @@
 	return o, ok
 }
 
-// findWorkspace is authenticate without the record of the rejection.
+// findWorkspace does what authenticate does, except that it doesn't record a rejection.
 func (s *Server) findWorkspace(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	r.Workspace = ""
 	key, err := s.cfg.Dialect.ParseKey(joinedHeaderFields(c))
@@ -54,8 +54,9 @@
 	return o, false
 }
 
-// authenticateUnrouted is authenticate for requests that belong to no route. They need no
-// key, except to name a workspace that requires one.
+// authenticateUnrouted is authenticate for requests that belong to no route. They need a
+// key only if they name a workspace that is locked. If any workspace is locked, a key that
+// the caller sends is checked and determines the workspace.
 func (s *Server) authenticateUnrouted(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	current := s.cfg.Rules()
 	if current.AnyLocked() && c.Get(dialect.HeaderAuthorization) != "" {
--- a/connection/caller/pipe.go
+++ b/connection/caller/pipe.go
@@ -19,8 +19,9 @@
 var errCallerGone = errors.New("caller closed the connection")
 
 // pipe carries a response from the goroutine that runs the request to the one that serves
-// the connection. Read fails unless the response is complete, and the library then breaks
-// the connection, so that a caller never takes a partial response for a complete one.
+// the connection. If the response is incomplete, Read returns an error at its end, and the
+// HTTP library then breaks the connection, so that the caller can't take a partial response
+// for a complete one.
 type pipe struct {
 	conn      net.Conn
 	ctx       context.Context
--- a/connection/caller/responses.go
+++ b/connection/caller/responses.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// hostListTTL is how long a caller may use a list of hosts before it fetches it again.
+	// hostListTTL is how long a caller may use a list of hosts before fetching it again.
 	hostListTTL = 10 * time.Second
-	// Weights in the list of hosts, of those in this data centre and of those elsewhere.
+	// Weights of hosts in the list: of those in this data centre, and of those in others.
 	weightLocal       = 100
 	weightRemote      = 1
 	maxKeysPerRequest = 100
--- a/connection/caller/route_counter.go
+++ b/connection/caller/route_counter.go
@@ -11,14 +11,14 @@
 	counts map[string]int
 }
 
-func (t *routeCounter) count(route string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.counts == nil {
-		t.counts = map[string]int{}
+func (c *routeCounter) count(route string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	if _, known := t.counts[route]; known || len(t.counts) < maxCountedRoutes {
-		t.counts[route]++
+	if _, known := c.counts[route]; known || len(c.counts) < maxCountedRoutes {
+		c.counts[route]++
 	}
 }
 
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -21,14 +21,14 @@
 	startingRetryAfter = 300 * time.Millisecond
 	// minRetryAfter is the shortest Retry-After of a refusal.
 	minRetryAfter = 50 * time.Millisecond
-	// patienceDivisor limits how long a request may wait for capacity: its route's latency
+	// queueTimeDivisor limits how long a request may wait for capacity: its route's latency
 	// objective divided by this. A caller that is refused by then can still be served in time
 	// elsewhere.
-	patienceDivisor = 4
-	// retryDeadlineTenths is how many tenths of the route's time limit must be left for a
-	// request to count as the caller's first attempt. A caller that retries after a refusal
-	// has already spent a quarter of it.
-	retryDeadlineTenths = 9
+	queueTimeDivisor = 4
+	// canRetryTenths is how many tenths of the route's time limit must be left for a request
+	// to count as the caller's first attempt, after which the caller can still retry. A caller
+	// that retries after a refusal has already spent a quarter of the time limit.
+	canRetryTenths = 9
 	// Callers give up on a stream without a first event after the longest of these three: a
 	// fixed time, a multiple of the route's latency objective and a multiple of its pause. The
 	// platform documents this behaviour of its callers.
@@ -116,9 +116,9 @@
 	if bound := now.Add(m.AnswerWithin); bound.Before(r.Deadline) {
 		r.Deadline = bound
 	}
-	r.CallerCanRetry = r.Deadline.Sub(now) >= m.AnswerWithin*retryDeadlineTenths/10
+	r.CallerCanRetry = r.Deadline.Sub(now) >= m.AnswerWithin*canRetryTenths/10
 	r.Goal = now.Add(m.Goal)
-	r.QueueUntil = now.Add(m.Goal / patienceDivisor)
+	r.QueueUntil = now.Add(m.Goal / queueTimeDivisor)
 	if r.Stream && m.Pause > 0 {
 		r.FirstEventBy = now.Add(max(minFirstEventWait, firstEventGoals*m.Goal, firstEventPauses*m.Pause))
 	}
--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// idleTimeout is how long an idle connection stays open. It is longer than operators let
-	// callers keep one, so that the caller closes it first: a request that is sent while the
-	// server closes its connection is lost.
+	// idleTimeout is how long an idle connection stays open. Operators configure callers to
+	// close their connections earlier: a request that is sent while the server closes its
+	// connection is lost.
 	idleTimeout    = 2 * time.Minute
 	readTimeout    = 30 * time.Second // for a whole request, from its first byte
 	maxHeaderBytes = 32 << 10
@@ -36,7 +36,7 @@
 
 // Runner runs requests. The dispatcher implements it.
 type Runner interface {
-	// Run runs r, writes the response to a and returns when the request has ended.
+	// Run runs r, writes the response to w and returns when the request has ended.
 	Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 	// StartingOutcome returns the outcome of a request that arrived before this host had a
 	// configuration.
--- a/connection/caller/unrouted.go
+++ b/connection/caller/unrouted.go
@@ -118,13 +118,13 @@
 	if len(r.Workspace) > maxWorkspaceBytes {
 		return nil, fmt.Errorf("%s is over %d bytes", headerWorkspace, maxWorkspaceBytes)
 	}
-	settings, known := current.Service(service)
-	if known && settings.Kind != kind {
-		return nil, fmt.Errorf("service %s is of kind %s, which this path does not serve", service, settings.Kind)
+	configured, known := current.Service(service)
+	if known && configured.Kind != kind {
+		return nil, fmt.Errorf("service %s is of kind %s, which this path does not serve", service, configured.Kind)
 	}
 	timeout, err := dialect.ParseTimeout(c.Get(dialect.HeaderTimeout))
 	if timeout == 0 {
-		timeout = settings.AnswerWithin
+		timeout = configured.AnswerWithin
 	}
 	r.Deadline = time.Now().Add(timeout)
 	return r, err
