--- a/connection/dial/dial.go
+++ b/connection/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial makes TCP connections that fail within seconds when the other side falls
-// silent.
+// Package dial makes TCP connections that fail within seconds when the other side stops
+// responding.
 package dial
 
 import (
@@ -11,18 +11,19 @@
 )
 
 const (
-	// Keep-alive settings by which a connection that waits for a silent host fails within
-	// three seconds. A response that has not begun by then is late, and callers give up on
-	// a response that pauses for so long.
+	// With these keep-alive settings, a connection whose other side does not respond fails
+	// within three seconds. A response that has not begun by then is late, and callers give
+	// up on a response that pauses for so long.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 	// unackedTimeout is how long sent bytes may stay unacknowledged. Keep-alive probes are not
-	// sent while there are such bytes. On a lossy link some ten retransmissions fit into it.
+	// sent while there are such bytes. On a lossy link there is time for about ten
+	// retransmissions.
 	unackedTimeout = 3 * time.Second
 )
 
-// Dialer returns a dialer of connections that fail when the other side falls silent.
+// Dialer returns a dialer of connections that fail when the other side stops responding.
 // timeout bounds the time to connect.
 func Dialer(timeout time.Duration) net.Dialer {
 	return net.Dialer{
--- a/connection/dial/dial_test.go
+++ b/connection/dial/dial_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestDialerSocketOptions checks that a connection has the socket options by which the
-// kernel closes it when the other side falls silent. It does not test that the kernel does
-// so.
+// kernel closes it when the other side stops responding. It does not test that the kernel
+// does so.
 func TestDialerSocketOptions(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
