--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -22,7 +22,7 @@
 	// Status 429 (RFC 6585) needs no such mark.
 	HeaderNotStarted = "X-Not-Started"
 	headerLastEvent  = "Last-Event-Id"
-	// HeaderRateLimit is an endpoint's rate limit in requests a second, for all hosts
+	// HeaderRateLimit is an endpoint's rate limit in requests per second, for all hosts
 	// together. It holds as long as the endpoint's responses have the field.
 	HeaderRateLimit = "X-Rate-Limit"
 	// HeaderLeaving is 1 in the responses of an endpoint that will stop soon and accepts no
@@ -50,7 +50,7 @@
 // Default is the project's own vetchtrail.Dialect.
 type Default struct{}
 
-// ParseRequest implements vetchtrail.Dialect. It makes an id for a request that has none.
+// ParseRequest implements vetchtrail.Dialect. It generates an id for a request without one.
 func (Default) ParseRequest(get vetchtrail.HeaderGetter, r *vetchtrail.Request, now time.Time) error {
 	r.ID = get(HeaderRequestID)
 	if r.ID == "" {
@@ -120,8 +120,8 @@
 	return out
 }
 
-// knownFields has the response header fields that some code reads, or that contain nothing
-// about the endpoint. Names are spelled as fasthttp normalizes them.
+// knownFields contains the response header fields that some code reads, and those that
+// contain nothing about the endpoint. Names are in the canonical form of fasthttp.
 var knownFields = map[string]bool{
 	HeaderRequestID: true, HeaderNotStarted: true, HeaderRateLimit: true, HeaderLeaving: true, headerRetryAfter: true, "Content-Type": true, "Cache-Control": true,
 	"Content-Encoding": true,
