--- a/connection/endpoint/body.go
+++ b/connection/endpoint/body.go
@@ -15,9 +15,9 @@
 	lengthUntilClose = -2 // the body ends when the connection is closed
 )
 
-// body reads a response body by its framing. It returns io.EOF only if the body is
-// complete. A body without framing is complete when the endpoint closes the connection in
-// order.
+// body reads a response body by its framing. Its Read returns io.EOF only if the body is
+// complete. A body without framing is complete when the endpoint closes the connection
+// without a reset.
 type body struct {
 	reader    *bufio.Reader
 	unsized   io.Reader // reads a body of unknown length; nil if the length is known
--- a/connection/endpoint/deliver.go
+++ b/connection/endpoint/deliver.go
@@ -12,7 +12,7 @@
 	"vetchtrail"
 )
 
-// deliver passes the response on to the caller, or stores it as a deferred failure.
+// deliver writes the response to the caller, or stores it as a deferred failure.
 func (t *attempt) deliver() error {
 	switch {
 	case t.req.ResponseStarted && (t.resp.StatusCode() != fasthttp.StatusOK || !t.isEventStream()):
@@ -24,13 +24,14 @@
 	case t.body.size() >= 0 && t.body.size() <= maxBufferedResponse, t.req.Route != "":
 		return t.deliverWhole()
 	case !t.body.framed():
-		return errors.New("response has neither a length nor chunks: its end can't be told from a broken connection")
+		return errors.New("response has neither a length nor chunks: its end can't be distinguished from a broken connection")
 	}
 	return t.deliverChunks()
 }
 
-// defersFailure reports whether the response is a failure that is held back, as another
-// attempt may succeed. Only failures of routed requests that may run twice are.
+// defersFailure reports whether the response is a failure that is not written to the caller
+// yet, as another attempt may succeed. This applies only to routed requests that may run
+// twice.
 func (t *attempt) defersFailure() bool {
 	return t.req.Route != "" && t.req.Repeatable && t.resp.StatusCode() >= minFailureStatus
 }
@@ -60,8 +61,8 @@
 	return wholeBody, err
 }
 
-// deliverWhole delivers a response once it is read whole and, for an unrouted request to a
-// model, found to be JSON.
+// deliverWhole delivers a response after reading it completely. It rejects a response to an
+// unrouted request to a model that is not JSON.
 func (t *attempt) deliverWhole() error {
 	wholeBody, err := t.wholeBody()
 	if err != nil {
@@ -93,8 +94,9 @@
 	}
 }
 
-// writeChunk begins the caller's response before its first chunk: a response that breaks
-// earlier leaves the caller's unbegun.
+// writeChunk writes a chunk of the body to the caller, and the head before the first chunk.
+// If the endpoint's response breaks before its first chunk, the caller's response has not
+// begun, and the request can still be retried or refused.
 func (t *attempt) writeChunk(chunk []byte) error {
 	if err := t.begin(); err != nil {
 		return err
@@ -105,7 +107,7 @@
 	return t.writer.Write(chunk)
 }
 
-// begin begins the caller's response, once.
+// begin writes the head of the response to the caller, once.
 func (t *attempt) begin() error {
 	if t.begun {
 		return nil
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -30,9 +30,9 @@
 
 const (
 	// maxBufferedResponse is the size in bytes up to which a response of known length is read
-	// whole before its first byte goes to the caller, so that a broken one can still be
-	// retried or refused. Responses to routed requests, except streams, are always read whole,
-	// and fail if they are larger.
+	// whole before its first byte is sent to the caller, so that the request can still be
+	// retried or refused if the response breaks. Responses to routed requests, except streams,
+	// are always read whole, and fail if they are larger.
 	maxBufferedResponse = 4 << 20
 	stallTimeout        = 30 * time.Second // between two parts of a response
 	unroutedRetryAfter  = time.Second      // Retry-After of unrouted requests if the endpoint sends none
@@ -88,7 +88,7 @@
 	timing          vetchtrail.Timing
 	begun           bool
 	eventsSent      int                          // of the stream, to the caller
-	deferredFailure *vetchtrail.BufferedResponse // set if the response is a failure that another attempt may improve on
+	deferredFailure *vetchtrail.BufferedResponse // set if the response is a failure and another attempt may succeed
 }
 
 // Call implements vetchtrail.EndpointCaller.
@@ -124,7 +124,7 @@
 }
 
 // run sends the request and delivers the response. reusable reports whether the connection
-// may take another request.
+// can be used for another request.
 func (t *attempt) run(ctx context.Context) (o vetchtrail.Outcome, reusable bool) {
 	_ = t.conn.SetDeadline(t.req.Deadline)
 	t.conn.silenceCheck = t.silenceCheck()
@@ -169,9 +169,9 @@
 	}, t.reusable()
 }
 
-// silenceCheck returns the function that a waiting read polls to learn whether the
-// endpoint has fallen silent. Only routed requests that may run twice have one, as another
-// attempt can replace them. Others wait until their deadline.
+// silenceCheck returns the function that a waiting read polls to detect a silent endpoint,
+// or nil for a request that waits until its deadline. Only attempts of routed requests that
+// may run twice have such a function, as another attempt can replace them.
 func (t *attempt) silenceCheck() func() bool {
 	if !t.req.Repeatable || t.req.Route == "" || t.client.cfg.Observer == nil {
 		return nil
@@ -220,8 +220,8 @@
 }
 
 // readResponseHead reads the head of the response to the request and reports to the
-// observer what it contains about the endpoint. An endpoint may send responses to other
-// requests first; their bodies are discarded.
+// observer what the head contains about the endpoint. An endpoint may send responses to
+// other requests first; their bodies are discarded.
 func (t *attempt) readResponseHead() (vetchtrail.ResponseHead, error) {
 	for range maxForeignResponses + 1 {
 		if err := t.readFinalHead(); err != nil {
@@ -261,25 +261,25 @@
 	if t.client.cfg.Observer == nil || r == (vetchtrail.ParsedAvailability{}) {
 		return
 	}
-	n := vetchtrail.Availability{Leaving: r.Leaving, RequestedAt: t.timing.Sent, ReceivedAt: time.Now()}
+	a := vetchtrail.Availability{Leaving: r.Leaving, RequestedAt: t.timing.Sent, ReceivedAt: time.Now()}
 	if r.Pause > 0 {
-		n.PausedUntil = n.ReceivedAt.Add(r.Pause)
+		a.PausedUntil = a.ReceivedAt.Add(r.Pause)
 	}
-	t.client.cfg.Observer.AvailabilityReported(t.endpoint, n, r.Err)
+	t.client.cfg.Observer.AvailabilityReported(t.endpoint, a, r.Err)
 }
 
-// reportUnknownFields reports header fields that no code reads, so that operators notice a
-// new field of the endpoints on the first day.
+// reportUnknownFields reports header fields that the dialect doesn't know, so that operators
+// notice a new field as soon as endpoints send it.
 func (t *attempt) reportUnknownFields() {
 	if t.client.cfg.Observer == nil {
 		return
 	}
-	knows := t.client.cfg.Dialect.IsKnown
+	isKnown := t.client.cfg.Dialect.IsKnown
 	if t.req.Route == "" {
-		knows = dialect.Default{}.IsKnown
+		isKnown = dialect.Default{}.IsKnown
 	}
 	for name := range t.resp.Header.All() {
-		if !hopByHop[string(name)] && !knows(string(name)) {
+		if !hopByHop[string(name)] && !isKnown(string(name)) {
 			t.client.cfg.Observer.UnknownField(t.endpoint, string(name))
 		}
 	}
@@ -298,7 +298,7 @@
 	}
 }
 
-// interpretHead reads the head by the dialect of the request: the deployment's for a
+// interpretHead parses the head by the dialect of the request: the deployment's for a
 // routed one, dialect.Default for others.
 func (t *attempt) interpretHead() vetchtrail.ResponseHead {
 	if t.req.Route == "" {
@@ -318,7 +318,7 @@
 }
 
 // discardBody reads the rest of a response that is not delivered. It reports whether the
-// connection may take another request.
+// connection can be used for another request.
 func (t *attempt) discardBody() bool {
 	_, err := io.Copy(io.Discard, t.body)
 	return err == nil && t.reusable()
@@ -330,16 +330,16 @@
 }
 
 // retryAt is when a refused request may be sent again: after the endpoint's Retry-After,
-// or fallbackRetryAfter if it has none that can be read.
+// or after fallbackRetryAfter if that is missing or malformed.
 func (t *attempt) retryAt() time.Time {
 	after, text := t.fallbackRetryAfter(), t.headerField(fasthttp.HeaderRetryAfter)
-	if named, err := vetchtrail.ParsePause(text); err == nil && text != "" {
-		after = min(named, maxRetryAfter)
+	if stated, err := vetchtrail.ParsePause(text); err == nil && text != "" {
+		after = min(stated, maxRetryAfter)
 	}
 	return time.Now().Add(after)
 }
 
-// fallbackRetryAfter is how long to wait before the next request if the endpoint names no
+// fallbackRetryAfter is how long to wait before the next request if the endpoint states no
 // time.
 func (t *attempt) fallbackRetryAfter() time.Duration {
 	if t.req.Route != "" {
@@ -348,16 +348,16 @@
 	return unroutedRetryAfter
 }
 
-// hopByHop has the header fields that concern one connection only (RFC 9110, 7.6.1), and
-// those that each server sets itself.
+// hopByHop contains the header fields that concern one connection only (RFC 9110, 7.6.1),
+// and those that each server sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Content-Length": true, "Date": true, "Server": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Expect": true,
 }
 
-// HopByHop reports whether a header field concerns one connection only and must not be
-// forwarded.
+// HopByHop reports whether a header field must not be forwarded, as it concerns one
+// connection only or as each server sets it itself.
 func HopByHop(name string) bool { return hopByHop[name] }
 
 // responseHeader returns the header fields to forward to the caller.
--- a/connection/endpoint/events.go
+++ b/connection/endpoint/events.go
@@ -22,8 +22,8 @@
 // positionSeparator separates the parts of an event id that callers see.
 const positionSeparator = "~"
 
-// FormatPosition returns the event id that callers see. It has the endpoint, the stream
-// and the event's number, so that any host can resume the stream.
+// FormatPosition returns the event id that callers see. It contains the endpoint, the
+// stream and the event's number, so that any host can resume the stream.
 func FormatPosition(p vetchtrail.StreamPosition) string {
 	return p.Endpoint + positionSeparator + p.Stream + positionSeparator + strconv.Itoa(p.Offset)
 }
@@ -42,7 +42,7 @@
 }
 
 // deliverEvents delivers a stream event by event. For an unrouted request it qualifies the
-// event ids, and the stream fails if it ends without its last event.
+// event ids, and returns an error if the stream ends without its last event.
 func (t *attempt) deliverEvents() error {
 	if t.req.Route != "" {
 		return t.deliverRoutedEvents()
--- a/connection/endpoint/pool.go
+++ b/connection/endpoint/pool.go
@@ -25,12 +25,12 @@
 	// idleMargin is how long before its announced idle timeout a connection is no longer used:
 	// the endpoint may close it while a request is in transit.
 	idleMargin = 500 * time.Millisecond
-	// unrepeatableMaxIdle is the idle time up to which a connection may take a request that
-	// may not run twice. Endpoints may drop idle connections without notice, and such a
+	// unrepeatableMaxIdle is the idle time up to which a connection may be used for a request
+	// that may not run twice. Endpoints may drop idle connections without notice, and such a
 	// request would then be lost.
 	unrepeatableMaxIdle = 3 * time.Second
-	// silenceCheckInterval is how often a waiting attempt checks whether its endpoint has
-	// fallen silent.
+	// silenceCheckInterval is how often a waiting attempt checks whether its endpoint is
+	// silent.
 	silenceCheckInterval = 200 * time.Millisecond
 )
 
@@ -42,11 +42,11 @@
 }
 
 func poolKeyOf(e vetchtrail.Endpoint) poolKey {
-	p := poolKey{addr: e.Addr, instance: e.Instance}
+	k := poolKey{addr: e.Addr, instance: e.Instance}
 	if !e.Born.IsZero() {
-		p.startedAt = e.Born.UnixNano()
+		k.startedAt = e.Born.UnixNano()
 	}
-	return p
+	return k
 }
 
 // conn is a connection to an endpoint. It counts the bytes written for the current
@@ -62,7 +62,8 @@
 	silenceCheck func() bool // polled by waiting reads; nil: they wait until their deadline
 }
 
-// errSilent ends a read when the endpoint has fallen silent on all its connections.
+// errSilent is the error of a read that ended because the endpoint is silent: it runs
+// streams of this host but has sent nothing on any of them for too long.
 var errSilent = errors.New("the endpoint has gone silent")
 
 // SetDeadline implements net.Conn.
@@ -96,7 +97,7 @@
 	return n, err
 }
 
-// readKeepAlive takes the idle timeout from the endpoint's Keep-Alive field.
+// readKeepAlive reads the idle timeout from the endpoint's Keep-Alive field.
 func (c *conn) readKeepAlive(field string) {
 	_, after, ok := strings.Cut(field, "timeout=")
 	if !ok {
@@ -108,16 +109,16 @@
 	}
 }
 
-// usable reports whether an idle connection may take a request now.
-func (c *conn) usable(repeats bool, now time.Time) bool {
+// usable reports whether an idle connection may be used for a request now.
+func (c *conn) usable(repeatable bool, now time.Time) bool {
 	idle := now.Sub(c.lastUsed)
-	if idle > c.idleTimeout-idleMargin || (!repeats && idle > unrepeatableMaxIdle) {
+	if idle > c.idleTimeout-idleMargin || (!repeatable && idle > unrepeatableMaxIdle) {
 		return false
 	}
 	return probe.Idle(c.Conn)
 }
 
-// pool has the idle connections to all endpoints.
+// pool holds the idle connections to all endpoints.
 type pool struct {
 	dialer net.Dialer
 	mu     sync.Mutex
@@ -125,15 +126,15 @@
 }
 
 // get returns an idle connection that is still usable, or a new one. A request that may
-// not run twice (repeats is false) gets an idle connection only if that was used shortly
+// not run twice (repeatable is false) gets an idle connection only if that was used shortly
 // before.
-func (p *pool) get(ctx context.Context, key poolKey, repeats bool) (*conn, error) {
+func (p *pool) get(ctx context.Context, key poolKey, repeatable bool) (*conn, error) {
 	for {
 		c := p.pop(key)
 		if c == nil {
 			break
 		}
-		if c.usable(repeats, time.Now()) {
+		if c.usable(repeatable, time.Now()) {
 			c.written = 0
 			return c, nil
 		}
--- a/connection/endpoint/pool_test.go
+++ b/connection/endpoint/pool_test.go
@@ -20,7 +20,7 @@
 		lastUsed     time.Duration
 		announced    string
 		serverAction func(server net.Conn)
-		repeats      bool
+		repeatable   bool
 		want         bool
 	}{
 		"just used":             {0, "", nil, false, true},
@@ -48,7 +48,7 @@
 				c.serverAction(accepted)
 				time.Sleep(50 * time.Millisecond) // until the kernel has received it
 			}
-			assert.Equal(t, k.usable(c.repeats, now), c.want)
+			assert.Equal(t, k.usable(c.repeatable, now), c.want)
 		})
 	}
 }
