--- a/connection/peer/client.go
+++ b/connection/peer/client.go
@@ -1,7 +1,7 @@
-// Package peer has the client and the server of the calls between hosts, over drpc: gossip
+// Package peer is the client and the server of the calls between hosts, over drpc: gossip
 // heartbeats and digests, configuration changes, listings, quotas, rate limits,
-// quarantines and forwarded requests. It only carries messages; the packages behind the
-// server's interfaces decide what to answer. The server also serves the operators' calls.
+// quarantines and forwarded requests. It only transports messages; the implementations of
+// the server's interfaces handle them. The server also serves the operators' calls.
 package peer
 
 import (
@@ -33,15 +33,15 @@
 	callTimeout    = 2 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxIdlePerHost = 16 // connections
-	// unrepeatableMaxIdle is the idle time up to which a connection may carry a request that
-	// may not run twice. A connection that is closed in order is noticed; a host that loses
-	// power sends nothing, and a request sent to it then is lost.
+	// unrepeatableMaxIdle is the idle time up to which a connection may be used for a request
+	// that may not run twice. A host that ends normally closes its connections, which is
+	// detected. One that loses power does not, and a request sent to it is lost.
 	unrepeatableMaxIdle = 3 * time.Second
 	// deadlineGrace is how long after its deadline a forwarded request without a response is
 	// cancelled.
 	deadlineGrace = 500 * time.Millisecond
-	// stallTimeout is the longest pause between two messages of a forwarded response that has
-	// begun.
+	// stallTimeout is the longest interval between two messages of a forwarded response that
+	// has begun.
 	stallTimeout = 30 * time.Second
 )
 
@@ -132,7 +132,7 @@
 	return schema.NewDRPCPeersClient(c.pool.Get(ctx, addr, c.dial))
 }
 
-// Exchange sends a heartbeat to a host of this data centre and returns its own.
+// Exchange sends a heartbeat to a host of this data centre and returns that host's.
 func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -140,8 +140,8 @@
 	return reply, wrapError("exchange", addr, err)
 }
 
-// Swap sends the digests of data centres to a host of a remote data centre and returns its
-// own.
+// Swap sends this data centre's digest to a host of a remote data centre and returns that
+// data centre's.
 func (c *Client) Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -157,7 +157,7 @@
 	return reply, wrapError("changes", addr, err)
 }
 
-// List requests a host's listing, or the differences from the one that this host has.
+// List requests a host's listing, or what changed in it since a revision.
 func (c *Client) List(ctx context.Context, addr netip.AddrPort, q *schema.ListRequest) (*schema.Listing, error) {
 	reply, err := c.peersClient(ctx, addr).List(ctx, q)
 	return reply, wrapError("list", addr, err)
@@ -169,8 +169,7 @@
 	return reply, wrapError("grant", addr, err)
 }
 
-// Permit requests reservations within an endpoint's rate limit from the owner of the
-// limit.
+// Permit requests a lease of part of an endpoint's rate limit from the owner of the limit.
 func (c *Client) Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
 	reply, err := c.peersClient(ctx, addr).Permit(ctx, m)
 	return reply, wrapError("permit", addr, err)
@@ -182,8 +181,8 @@
 	return reply, wrapError("claim", addr, err)
 }
 
-// Ended reports to the crash aggregator which requests were in flight at endpoints that
-// crashed, and returns those that it suspects or quarantines.
+// Ended reports to a crash aggregator which requests were in flight at endpoints that
+// crashed, and returns the requests that it suspects.
 func (c *Client) Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
 	reply, err := c.peersClient(ctx, addr).Ended(ctx, m)
 	return reply, wrapError("ended", addr, err)
@@ -214,7 +213,8 @@
 	return o
 }
 
-// forward is Forward without the check whether the caller disconnected.
+// forward does what Forward does, except that it doesn't check whether the caller
+// disconnected.
 func (c *Client) forward(ctx context.Context, h vetchtrail.Host, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -248,7 +248,7 @@
 	return failedOutcome(vetchtrail.OutcomeUnknown, vetchtrail.StepForward, vetchtrail.ReasonResponseLost, h, err)
 }
 
-// receiveResponse writes the forwarded response to a and returns the outcome. Each message
+// receiveResponse writes the forwarded response to w and returns the outcome. Each message
 // restarts the timer, which cancels the call when it fires.
 func receiveResponse(stream schema.DRPCPeers_ForwardClient, h vetchtrail.Host, w vetchtrail.ResponseWriter, deadlineTimer *time.Timer) vetchtrail.Outcome {
 	begun := false
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -65,18 +65,18 @@
 }
 
 // TestForwardOutcomes checks the outcome of a forwarded request for each way in which it
-// can end. NotRun must only be reported if the request did not run, and a host must not be
-// reported as lost because the caller disconnected.
+// can end. OutcomeNotRun must only be reported if the request did not run, and a host must
+// not be reported as lost because the caller disconnected.
 func TestForwardOutcomes(t *testing.T) {
 	ok := vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200}
 	cases := map[string]struct {
-		run          func(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
-		unreachable  bool
-		callerLeaves bool // the caller disconnects before a response
-		hostLost     bool // the outcome must report it
-		kind         vetchtrail.OutcomeKind
-		reason       vetchtrail.Reason
-		body         string
+		run               func(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
+		unreachable       bool
+		callerDisconnects bool // before a response
+		hostLost          bool // the outcome must report the host as lost
+		kind              vetchtrail.OutcomeKind
+		reason            vetchtrail.Reason
+		body              string
 	}{
 		"answered": {run: func(_ context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			_ = w.Begin(200, nil)
@@ -90,19 +90,19 @@
 			_ = w.Begin(200, nil)
 			return vetchtrail.Outcome{Kind: vetchtrail.OutcomeUnknown, Reason: vetchtrail.ReasonResponseBroken, Err: errors.New("connection broken")}
 		}, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonResponseBroken},
-		"never answers": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.ResponseWriter) vetchtrail.Outcome {
+		"no response": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			<-ctx.Done()
 			return ok
 		}, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonResponseLost, hostLost: true},
 		"caller disconnects": {run: func(ctx context.Context, _ *vetchtrail.Request, _ vetchtrail.ResponseWriter) vetchtrail.Outcome {
 			<-ctx.Done()
 			return ok
-		}, callerLeaves: true, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonCallerGone},
+		}, callerDisconnects: true, kind: vetchtrail.OutcomeUnknown, reason: vetchtrail.ReasonCallerGone},
 		"unreachable": {unreachable: true, kind: vetchtrail.OutcomeNotRun, reason: vetchtrail.ReasonUnreachable, hostLost: true},
 	}
 	for name, c := range cases {
-		for _, repeats := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, repeats %t", name, repeats), func(t *testing.T) {
+		for _, repeatable := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, repeatable %t", name, repeatable), func(t *testing.T) {
 				addr := netip.MustParseAddrPort("127.0.0.1:1")
 				if !c.unreachable {
 					addr, _ = serve(t, fakeHost{run: c.run})
@@ -110,10 +110,10 @@
 				client := New(Config{})
 				defer client.Close()
 				var got responseRecorder
-				r := &vetchtrail.Request{ID: "r", Deadline: time.Now().Add(200 * time.Millisecond), Repeatable: repeats}
+				r := &vetchtrail.Request{ID: "r", Deadline: time.Now().Add(200 * time.Millisecond), Repeatable: repeatable}
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if c.callerLeaves {
+				if c.callerDisconnects {
 					time.AfterFunc(20*time.Millisecond, cancel)
 				}
 				o := client.Forward(ctx, vetchtrail.Host{Name: "h", PeerAddr: addr}, r, &got)
--- a/connection/peer/server.go
+++ b/connection/peer/server.go
@@ -15,13 +15,14 @@
 	"vetchtrail/schema"
 )
 
-// Membership answers gossip.
+// Membership handles the gossip messages of other hosts.
 type Membership interface {
 	HandleHeartbeat(h *schema.Heartbeat) *schema.Heartbeat
 	HandleDigests(d *schema.Digests) *schema.Digests
 }
 
-// Changes returns configuration changes.
+// Changes returns the configuration changes after a revision, or a snapshot if not all of
+// them are held any more.
 type Changes interface {
 	Since(revision uint64) ([]vetchtrail.Change, *schema.Snapshot)
 }
@@ -36,18 +37,18 @@
 	Run(ctx context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 }
 
-// Quotas answers for the quota shards that this host owns.
+// Quotas handles lease requests and demand reports for the quotas that this host owns.
 type Quotas interface {
 	HandleLeaseRequest(m *schema.GrantRequest) *schema.GrantReply
 	HandleDemand(m *schema.Claims) *schema.Claims
 }
 
-// RateLimits answers for the rate limits that this host owns.
+// RateLimits handles lease requests for the rate limits that this host owns.
 type RateLimits interface {
 	HandleLeaseRequest(m *schema.PermitRequest) *schema.PermitReply
 }
 
-// Quarantines answers reports of crashes and exchanges of quarantine entries.
+// Quarantines handles reports of crashes and exchanges of quarantine entries.
 type Quarantines interface {
 	HandleCrashes(m *schema.Ends) (*schema.Holds, error)
 	HandleEntries(m *schema.Holds) (*schema.Holds, error)
