--- a/connection/probe/probe.go
+++ b/connection/probe/probe.go
@@ -8,9 +8,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Closed reports whether the other side has closed the connection, as far as the kernel
-// knows. A connection whose other side shut down only its sending half also counts as
-// closed.
+// Closed reports whether the other side has closed the connection, as far as this host's
+// kernel has received it. A connection whose other side shut down only its sending half
+// also counts as closed.
 func Closed(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
