--- a/connection/store/store.go
+++ b/connection/store/store.go
@@ -1,6 +1,6 @@
 // Package store is a client of the platform's key-value store over the HTTP interface of
 // Consul's KV store: compare-and-swap by modify index, and blocking queries to watch a
-// key. It knows nothing of what is stored.
+// key. It does not interpret the values.
 package store
 
 import (
@@ -22,7 +22,7 @@
 	kvPath                = "/v1/kv/"
 	maxResponseBytes      = 2 << 20 // a value is at most 1 MB, and base64 adds a third
 	callTimeout           = 2 * time.Second
-	waitMargin            = 2 * time.Second // for the response to a wait to arrive after its deadline
+	waitMargin            = 2 * time.Second // after the deadline of a wait, for its response to arrive
 	statusOK              = fasthttp.StatusOK
 	statusNotFound        = fasthttp.StatusNotFound
 	statusTooManyRequests = fasthttp.StatusTooManyRequests
--- a/connection/store/store_test.go
+++ b/connection/store/store_test.go
@@ -15,7 +15,7 @@
 	"vetchtrail/standin/kv"
 )
 
-// serve starts a stand-in of the store and returns a client of it.
+// serve starts a stand-in for the store and returns a client of it.
 func serve(t testing.TB) (*Client, *kv.Server) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
