--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -1,8 +1,8 @@
 // Package changelog replicates the configuration as a log of changes in the
 // platform's key-value service. The change that makes revision N is stored
 // under the key of N, written by compare-and-swap, so that each revision has
-// exactly one change. The configuration that a host holds only ever moves to a
-// newer revision, whether it learns of it from the store or from a peer.
+// exactly one change. A host replaces its configuration only by a newer revision,
+// which it receives from the store or from a peer.
 //
 // The package doesn't define what a valid configuration is (see package rules),
 // and doesn't send changes between hosts.
@@ -27,7 +27,7 @@
 const (
 	logPrefix   = "vetchtrail/log/"      // followed by the revision: one change
 	snapshotKey = "vetchtrail/snapshot"  // the newest snapshot's revision and number of parts
-	partPrefix  = "vetchtrail/snapshot/" // followed by revision and part number
+	partPrefix  = "vetchtrail/snapshot/" // followed by revision and part number: one part of a snapshot
 
 	partBytes = 900 << 10 // the store accepts values of up to 1 MB
 
@@ -44,7 +44,7 @@
 	// WatchTimeout is how long one call waits at the store for the next revision.
 	WatchTimeout = 20 * time.Second
 	// writeTimeout bounds the attempts to write one revision and to find out
-	// whether a write without an answer took effect.
+	// whether a write without a response took effect.
 	writeTimeout = 10 * time.Second
 )
 
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// update puts a newer configuration in force and wakes those who wait on
-// Updated. The caller holds the lock.
+// update puts a newer configuration in force and wakes the goroutines that wait
+// on Updated. The caller holds the lock.
 func (l *Log) update(next *rules.Rules) {
 	l.current.Store(next)
 	close(l.updated)
@@ -270,9 +270,9 @@
 }
 
 // Watch applies new revisions from the store until ctx ends. It calls the store
-// only while assigned reports that this host has the task of watching it, and
-// checks that again after each retry interval. A failed call is repeated after
-// the same interval.
+// only while assigned returns true: this host has the task of watching the store.
+// Otherwise it checks that again after the retry interval. A failed call is
+// repeated after the same interval.
 func (l *Log) Watch(ctx context.Context, assigned func() bool) {
 	for ctx.Err() == nil {
 		if !assigned() {
@@ -301,8 +301,8 @@
 	e, err := l.store.Wait(ctx, key, max(existing.ModifyIndex, 1), time.Now().Add(WatchTimeout))
 	if errors.Is(err, vetchtrail.ErrNotFound) {
 		l.lastAnswer.Store(time.Now().UnixNano())
-		// The key never appears if other hosts have moved on so far that its
-		// change was deleted: then only a snapshot leads on.
+		// The key never appears if its change was deleted, as other hosts are
+		// several snapshots ahead. Then only a snapshot has the configuration.
 		return l.readSnapshot(ctx)
 	}
 	if err != nil {
--- a/version/changelog/changelog_test.go
+++ b/version/changelog/changelog_test.go
@@ -20,12 +20,12 @@
 // fakeStore is an in-memory key-value service. Tests set how many of the next
 // calls fail.
 type fakeStore struct {
-	mu          sync.Mutex
-	entries     map[string]vetchtrail.StoreEntry
-	index       uint64
-	lostAnswers int // how many of the next writes take effect but return an error
-	failures    int // how many of the next calls fail without effect
-	writes      int // calls of CompareAndSwap that did not fail without effect
+	mu            sync.Mutex
+	entries       map[string]vetchtrail.StoreEntry
+	index         uint64
+	lostResponses int // how many of the next writes take effect but return an error
+	failures      int // how many of the next calls fail without effect
+	writes        int // calls of CompareAndSwap that did not fail without effect
 }
 
 // fails reports whether the current call is to fail without effect. The caller
@@ -63,9 +63,9 @@
 	}
 	s.index++
 	s.entries[key] = vetchtrail.StoreEntry{Key: key, Value: value, ModifyIndex: s.index}
-	if s.lostAnswers > 0 {
-		s.lostAnswers--
-		return errors.New("answer lost")
+	if s.lostResponses > 0 {
+		s.lostResponses--
+		return errors.New("response lost")
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 }
 
 // TestLogConsistency checks that hosts never disagree on the log while the
-// store fails calls and loses the answers to writes: an accepted change is only
+// store fails calls and loses the responses to writes: an accepted change is only
 // ever found at the revision that Propose returned, a conflicting one nowhere,
 // and no host returns to an older revision.
 func TestLogConsistency(t *testing.T) {
@@ -131,7 +131,7 @@
 					break
 				}
 			},
-			"lose":   func(rt *rapid.T) { store.lostAnswers = rapid.IntRange(1, 2).Draw(rt, "lost") },
+			"lose":   func(rt *rapid.T) { store.lostResponses = rapid.IntRange(1, 2).Draw(rt, "lost") },
 			"outage": func(rt *rapid.T) { store.failures = rapid.IntRange(1, 3).Draw(rt, "failed") },
 			"learn": func(rt *rapid.T) {
 				from, to := hosts[host()], hosts[host()]
@@ -152,7 +152,7 @@
 				}
 			},
 		})
-		store.failures, store.lostAnswers = 0, 0
+		store.failures, store.lostResponses = 0, 0
 		l := newLog(store)
 		assert.NilError(rt, l.CatchUp(ctx))
 		for id, revision := range accepted {
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -83,8 +83,8 @@
 }
 
 // write tries to store a change at its revision. It returns true if the store
-// holds the change there, and false if it holds another one. A write without
-// an answer is repeated: the repetition either succeeds or conflicts with an
+// holds the change there, and false if it holds another one. A write without a
+// response is repeated: the repetition either succeeds or conflicts with an
 // entry that can be read and compared.
 func (l *Log) write(ctx context.Context, c vetchtrail.Change) (bool, error) {
 	value, err := encode(c)
