--- a/version/document/document.go
+++ b/version/document/document.go
@@ -38,18 +38,18 @@
 	Kind         string        `yaml:"kind"`              // model or plain
 	Allowed      []string      `yaml:"allowed,omitempty"` // regions that may process its requests; empty: only the caller's home
 	Weights      Weights       `yaml:"weights"`
-	AnswerWithin time.Duration `yaml:"answer_within"`          // longest time of a request without a deadline
-	QueueLimit   int           `yaml:"queue_limit"`            // requests that one host lets wait for the service
-	EventTokens  int           `yaml:"event_tokens,omitempty"` // tokens per event of a streamed answer; 0: not known
+	AnswerWithin time.Duration `yaml:"answer_within"`          // time limit of a request whose caller sets no deadline
+	QueueLimit   int           `yaml:"queue_limit"`            // maximum number of requests that wait for the service on one host
+	EventTokens  int           `yaml:"event_tokens,omitempty"` // tokens per event of a streamed response; 0: not known
 }
 
 // Weights are the terms of the cost by which an endpoint is chosen for a
 // request. A weight of 0 switches its term off.
 type Weights struct {
 	Tail float64 `yaml:"tail"`           // factor on the predicted seconds to the first token
-	Away float64 `yaml:"away"`           // seconds added for leaving the caller's region
+	Away float64 `yaml:"away"`           // seconds added for leaving the region of the host that decides
 	Cost float64 `yaml:"cost"`           // factor on the seconds of engine time
-	Read float64 `yaml:"read,omitempty"` // factor on the seconds of reading prompt tokens that the endpoint has not cached
+	Read float64 `yaml:"read,omitempty"` // factor on the seconds of processing prompt tokens that the endpoint has not cached
 }
 
 // Endpoint is a back end of a service: a model engine or a plain HTTP server.
@@ -72,14 +72,14 @@
 	PathPrefix   string        `yaml:"path_prefix"` // begins and ends with a slash
 	Kind         string        `yaml:"kind"`        // unsafe, safe or stream
 	Targets      []Target      `yaml:"targets"`
-	Attempts     int           `yaml:"attempts"`            // endpoints that one request may be sent to
-	AnswerWithin time.Duration `yaml:"answer_within"`       // longest time until a request is answered
+	Attempts     int           `yaml:"attempts"`            // maximum number of endpoints that one request may be sent to
+	AnswerWithin time.Duration `yaml:"answer_within"`       // time limit of a request
 	Goal         time.Duration `yaml:"goal"`                // latency objective
 	Rank         int8          `yaml:"rank"`                // 0 is the most urgent
 	Homes        []string      `yaml:"homes,omitempty"`     // regions that may process its requests; empty: all
-	Sticky       bool          `yaml:"sticky,omitempty"`    // requests name the parts of their prompts
+	Sticky       bool          `yaml:"sticky,omitempty"`    // requests state the parts of their prompts
 	Resumable    bool          `yaml:"resumable,omitempty"` // a stream may continue at another endpoint
-	Keyed        bool          `yaml:"keyed,omitempty"`     // callers must present a workspace's key
+	Keyed        bool          `yaml:"keyed,omitempty"`     // callers must send a workspace's key
 	Pause        time.Duration `yaml:"pause,omitempty"`     // longest interval between two events of a stream that is in time
 }
 
@@ -119,8 +119,8 @@
 	return rules.Empty().Apply(vetchtrail.Change{Edits: d.edits()})
 }
 
-// edits returns the edits that make the document's configuration from an empty
-// one, in an order in which each refers to earlier ones only.
+// edits returns the edits that create the document's configuration from an empty
+// one. Each edit refers to items of earlier edits only.
 func (d *Document) edits() []vetchtrail.Edit {
 	var out []vetchtrail.Edit
 	for i, r := range d.Regions {
--- a/version/document/workspace.go
+++ b/version/document/workspace.go
@@ -9,9 +9,9 @@
 // Workspace is a customer's account.
 type Workspace struct {
 	Name     string               `yaml:"name"`
-	Home     string               `yaml:"home,omitempty"`       // its region; empty: where its request enters
+	Home     string               `yaml:"home,omitempty"`       // region that it belongs to; empty: the region where a request is received
 	Allowed  []string             `yaml:"allowed,omitempty"`    // the only regions that may process its requests; empty: no limit
-	Priority int8                 `yaml:"priority,omitempty"`   // higher goes first
+	Priority int8                 `yaml:"priority,omitempty"`   // higher is more urgent
 	Keys     []vetchtrail.KeyHash `yaml:"key_hashes,omitempty"` // as `vetchtrail workspace key` prints them
 	Locked   bool                 `yaml:"locked,omitempty"`     // its callers need a key, even if the workspace has none
 	Quota    *Quota               `yaml:"quota,omitempty"`      // absent: no limit
