--- a/version/rules/apply.go
+++ b/version/rules/apply.go
@@ -26,7 +26,7 @@
 	return next, nil
 }
 
-// Restore returns the configuration that the edits of a snapshot make, at the
+// Restore returns the configuration that the edits of a snapshot create, at the
 // snapshot's revision. It validates each edit but not the result, since every
 // change up to that revision was validated when it was accepted.
 func Restore(edits []vetchtrail.Edit, revision uint64) (*Rules, error) {
@@ -62,16 +62,16 @@
 	return &next
 }
 
-// builder makes a configuration from a copy of the one before. Its methods that
-// apply an edit return what is wrong with the edit, or "".
+// builder makes a configuration from a copy of the previous one. Its methods that
+// apply an edit return what is wrong with the edit, or "" if nothing is.
 type builder struct {
 	next             *Rules
 	copiedWorkspaces [shardCount]bool // shards of next.workspaces that are no longer shared
 	copiedKeys       [shardCount]bool // shards of next.keyOwners that are no longer shared
 }
 
-// applyEdit applies one edit. It returns the item that the edit is about, and
-// what is wrong with the edit, or "".
+// applyEdit applies one edit. It returns the item that the edit is about, and what
+// is wrong with the edit, or "" if nothing is.
 func (b *builder) applyEdit(e vetchtrail.Edit) (item, text string) {
 	switch e := e.(type) {
 	case vetchtrail.PutRegion:
@@ -92,7 +92,7 @@
 	return "edit", "is of an unknown kind"
 }
 
-// nameProblem returns what is wrong with the name of an item, or "".
+// nameProblem returns what is wrong with the name of an item, or "" if nothing is.
 func nameProblem(name string) string {
 	if name == "" {
 		return "has no name"
@@ -112,14 +112,14 @@
 	if g.ID >= vetchtrail.MaxRegions {
 		return fmt.Sprintf("its id is above %d", vetchtrail.MaxRegions-1)
 	}
-	if owner := b.next.names[g.ID]; owner != "" && owner != g.Name {
+	if owner := b.next.nameByID[g.ID]; owner != "" && owner != g.Name {
 		return fmt.Sprintf("its id %d belongs to region %s", g.ID, owner)
 	}
 	if old, ok := b.next.regions[g.Name]; ok && old.ID != g.ID {
 		return fmt.Sprintf("its id is %d and can't change to %d", old.ID, g.ID)
 	}
 	b.next.regions[g.Name] = g
-	b.next.names[g.ID] = g.Name
+	b.next.nameByID[g.ID] = g.Name
 	return ""
 }
 
@@ -236,7 +236,7 @@
 		}
 	}
 	delete(b.next.regions, name)
-	b.next.names[g.ID] = ""
+	b.next.nameByID[g.ID] = ""
 	return ""
 }
 
--- a/version/rules/route.go
+++ b/version/rules/route.go
@@ -62,29 +62,29 @@
 	if !ok || !slices.ContainsFunc(t.Targets, func(x vetchtrail.Target) bool { return x.Service == service }) {
 		return Constraints{}, vetchtrail.ReasonNoRoute
 	}
-	j := Constraints{Home: entry, Allowed: r.allowedRegions(&t), Priority: -t.Rank}
+	c := Constraints{Home: entry, Allowed: r.allowedRegions(&t), Priority: -t.Rank}
 	if workspaceName == "" && !t.Keyed {
-		return j, ""
+		return c, ""
 	}
 	w, ok := r.workspaces[workspaceShardOf(workspaceName)][workspaceName]
 	if !ok {
 		return Constraints{}, vetchtrail.ReasonUnknownWorkspace
 	}
 	if w.home != noHome {
-		j.Home = vetchtrail.RegionID(w.home)
+		c.Home = vetchtrail.RegionID(w.home)
 	}
-	if w.allowed != 0 && j.Allowed&w.allowed == 0 {
+	if w.allowed != 0 && c.Allowed&w.allowed == 0 {
 		return Constraints{}, vetchtrail.ReasonNoCommonHome
 	}
 	if w.allowed != 0 {
-		j.Allowed &= w.allowed
+		c.Allowed &= w.allowed
 	}
-	j.Priority = combinedPriority(w.priority, t.Rank)
-	return j, ""
+	c.Priority = combinedPriority(w.priority, t.Rank)
+	return c, ""
 }
 
-// ranksPerPriority is how many route ranks are distinguished within one
-// priority of a workspace. Lower ranks are treated as the last of them, since
+// ranksPerPriority is how many route ranks are distinguished within one priority
+// of a workspace. Less urgent ranks are treated as the last of them, since
 // endpoints distinguish only ten levels of urgency, for priority and rank
 // together.
 const ranksPerPriority = 3
@@ -113,9 +113,9 @@
 	return set
 }
 
-// BestRegions returns the regions that serve the requests to a host name best.
-// Each route of the host name that has homes adds its number of requests, plus
-// one, to the weight of each of its homes; the result is the regions of the
+// BestRegions returns the regions that may process the most requests to a host
+// name. Each route of the host name that has homes adds its number of requests,
+// plus one, to the weight of each of its homes. The result is the regions of the
 // highest weight, or none if no route of the host name has homes.
 func (r *Rules) BestRegions(host string, requestCount func(route string) int) []string {
 	var weights [vetchtrail.MaxRegions]int
@@ -133,7 +133,7 @@
 		}
 	}
 	var out []string
-	for id, name := range r.names {
+	for id, name := range r.nameByID {
 		if most > 0 && name != "" && weights[id] == most {
 			out = append(out, name)
 		}
@@ -193,7 +193,8 @@
 	return ""
 }
 
-// targetProblem returns what is wrong with the targets of a route, or "".
+// targetProblem returns what is wrong with the targets of a route, or "" if nothing
+// is.
 func (b *builder) targetProblem(targets []vetchtrail.Target) string {
 	total := 0
 	for _, t := range targets {
--- a/version/rules/rules.go
+++ b/version/rules/rules.go
@@ -1,8 +1,8 @@
 // Package rules holds the configuration of one revision: regions, services,
-// endpoints, routes and workspaces. It validates changes, and it answers the
-// questions that a request raises: which route and which workspace it belongs
-// to, in which regions it may be processed, and with what priority. It doesn't
-// choose an endpoint, and it knows nothing of the state of hosts and endpoints.
+// endpoints, routes and workspaces. It validates changes. For a request it
+// determines the route and the workspace that it belongs to, the regions in which
+// it may be processed, and its priority. It doesn't choose an endpoint, and it
+// doesn't contain the state of hosts and endpoints.
 package rules
 
 import (
@@ -12,12 +12,12 @@
 	"vetchtrail"
 )
 
-// Rules is the configuration at one revision. It is immutable: Apply returns a
-// new one. Many goroutines read one at the same time.
+// Rules is the configuration at one revision. It is immutable, as many goroutines
+// read it at the same time: Apply returns a new one.
 type Rules struct {
 	revision     uint64
 	regions      map[string]vetchtrail.Region
-	names        [vetchtrail.MaxRegions]string // of the regions, by id; empty: no such region
+	nameByID     [vetchtrail.MaxRegions]string // of the regions; empty: no region has the id
 	services     map[string]resolvedService
 	endpoints    map[string]vetchtrail.Endpoint
 	routes       map[string]vetchtrail.Route
@@ -36,11 +36,11 @@
 	allowed vetchtrail.RegionSet // empty: only the home region of the request
 }
 
-// Constraints is where and how urgently the configuration lets a request run.
+// Constraints are the regions in which a request may be processed, and its priority.
 type Constraints struct {
 	Home     vetchtrail.RegionID  // region that the request belongs to
 	Allowed  vetchtrail.RegionSet // regions that may process it
-	Priority int8                 // higher goes first
+	Priority int8                 // higher is more urgent
 }
 
 // Empty returns the configuration at revision 0, before the first change.
@@ -63,7 +63,9 @@
 }
 
 // RegionName returns the name of a region, or "" if no region has the id.
-func (r *Rules) RegionName(id vetchtrail.RegionID) string { return r.names[id%vetchtrail.MaxRegions] }
+func (r *Rules) RegionName(id vetchtrail.RegionID) string {
+	return r.nameByID[id%vetchtrail.MaxRegions]
+}
 
 // RegionNames returns the names of the regions, sorted.
 func (r *Rules) RegionNames() []string { return slices.Sorted(maps.Keys(r.regions)) }
@@ -113,28 +115,28 @@
 }
 
 // ServiceConstraints returns where a request that belongs to no route may be
-// processed, or false if the service is unknown. A workspace without a home has
-// its home where the request entered. A service without allowed regions is only
-// processed in the home region, since processing elsewhere needs an explicit
-// permission.
+// processed and with what priority, or false if the service is unknown. If the
+// workspace has no home, the home is the region where the request was received. A
+// service without allowed regions is only processed in the home region, since
+// processing elsewhere needs an explicit permission.
 func (r *Rules) ServiceConstraints(serviceName, workspaceName string, entry vetchtrail.RegionID) (Constraints, bool) {
 	s, ok := r.services[serviceName]
 	if !ok {
 		return Constraints{}, false
 	}
-	j := Constraints{Home: entry, Allowed: s.allowed}
+	c := Constraints{Home: entry, Allowed: s.allowed}
 	w, known := r.workspaces[workspaceShardOf(workspaceName)][workspaceName]
 	if known && w.home != noHome {
-		j.Home = vetchtrail.RegionID(w.home)
+		c.Home = vetchtrail.RegionID(w.home)
 	}
 	if s.allowed == 0 {
-		j.Allowed = vetchtrail.RegionsOf(j.Home)
+		c.Allowed = vetchtrail.RegionsOf(c.Home)
 	}
 	if known && w.allowed != 0 {
-		j.Allowed &= w.allowed
+		c.Allowed &= w.allowed
 	}
-	j.Priority = w.priority
-	return j, true
+	c.Priority = w.priority
+	return c, true
 }
 
 // Edits returns edits that make this configuration from an empty one. Each edit
--- a/version/rules/rules_test.go
+++ b/version/rules/rules_test.go
@@ -14,8 +14,8 @@
 	"vetchtrail/standin/meter"
 )
 
-// baseEdits makes a valid configuration: a service with one endpoint, in the
-// region south, and a second region north without endpoints.
+// baseEdits returns the edits of a valid configuration: a service with one endpoint,
+// in the region south, and a second region north without endpoints.
 func baseEdits() []vetchtrail.Edit {
 	return []vetchtrail.Edit{
 		vetchtrail.PutRegion{Region: vetchtrail.Region{ID: 0, Name: "south", DataCentres: []string{"krk"}}},
@@ -79,13 +79,12 @@
 	}
 }
 
-// TestServiceConstraints checks where a request without a route may be
-// processed. A mistake here would process a workspace's data in a region that
-// isn't allowed for it.
+// TestServiceConstraints guards against processing a workspace's data in a region that
+// isn't allowed for it. It checks where requests without a route may be processed.
 func TestServiceConstraints(t *testing.T) {
 	edits := append(baseEdits(),
 		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "bound", Home: "north", Allowed: []string{"north"}, Priority: 3}},
-		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "homely", Home: "north"}},
+		vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "with-home", Home: "north"}},
 		vetchtrail.PutService{Service: vetchtrail.Service{Name: "home-only", AnswerWithin: 1}},
 		vetchtrail.PutEndpoint{Endpoint: vetchtrail.Endpoint{
 			Name: "h", Service: "home-only", Region: "north", DataCentre: "gdn", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1,
@@ -100,15 +99,15 @@
 		"unknown workspace":                 {"quotes", "x", Constraints{Home: 0, Allowed: both}},
 		"workspace with allowed region":     {"quotes", "bound", Constraints{Home: 1, Allowed: north, Priority: 3}},
 		"home-only service, no home":        {"home-only", "x", Constraints{Home: 0, Allowed: vetchtrail.RegionsOf(0)}},
-		"home-only service, home":           {"home-only", "homely", Constraints{Home: 1, Allowed: north}},
+		"home-only service, home":           {"home-only", "with-home", Constraints{Home: 1, Allowed: north}},
 		"home-only service, allowed region": {"home-only", "bound", Constraints{Home: 1, Allowed: north, Priority: 3}},
-		"workspace without allowed regions": {"quotes", "homely", Constraints{Home: 1, Allowed: both}},
+		"workspace without allowed regions": {"quotes", "with-home", Constraints{Home: 1, Allowed: both}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			j, ok := r.ServiceConstraints(c.service, c.workspace, 0)
+			got, ok := r.ServiceConstraints(c.service, c.workspace, 0)
 			assert.Assert(t, ok)
-			assert.Equal(t, j, c.want)
+			assert.Equal(t, got, c.want)
 		})
 	}
 	_, ok := r.ServiceConstraints("none", "x", 0)
@@ -128,7 +127,7 @@
 	assert.Equal(t, len(got.Difference(wanted)), 0)
 }
 
-// editsWithWorkspaces makes the base configuration with n workspaces.
+// editsWithWorkspaces returns the edits of the base configuration with n workspaces.
 func editsWithWorkspaces(n int) []vetchtrail.Edit {
 	edits := baseEdits()
 	for i := range n {
--- a/version/rules/workspace.go
+++ b/version/rules/workspace.go
@@ -11,8 +11,8 @@
 	"vetchtrail"
 )
 
-// shardCount is the number of maps over which workspaces are spread, and keys
-// too, so that a change copies a few small maps instead of all entries.
+// shardCount is the number of maps over which workspaces are distributed, and also
+// that for keys, so that a change copies a few small maps instead of all entries.
 const shardCount = 256
 
 // noHome is the home of a workspace for which none is configured.
@@ -29,8 +29,8 @@
 	quota    vetchtrail.Quota
 }
 
-// maxKeys limits the keys of a workspace. To replace a key takes two at a time;
-// the limit leaves room for more.
+// maxKeys limits the keys of a workspace. Replacing a key requires two at a time;
+// the limit allows more.
 const maxKeys = 32
 
 // Workspace returns a workspace by its name.
@@ -56,7 +56,7 @@
 // AnyLocked reports whether at least one workspace is locked.
 func (r *Rules) AnyLocked() bool { return r.locked > 0 }
 
-// Locked reports whether a caller must present a key to act for a workspace.
+// Locked reports whether the callers of a workspace must send a key.
 func (r *Rules) Locked(workspace string) bool {
 	return r.workspaces[workspaceShardOf(workspace)][workspace].locked
 }
@@ -82,9 +82,9 @@
 func (r *Rules) expand(name string, w workspace) vetchtrail.Workspace {
 	out := vetchtrail.Workspace{Name: name, Priority: w.priority, Keys: w.keys, Locked: w.locked, Quota: w.quota}
 	if w.home != noHome {
-		out.Home = r.names[w.home]
+		out.Home = r.nameByID[w.home]
 	}
-	for id, region := range r.names {
+	for id, region := range r.nameByID {
 		if region != "" && w.allowed.Has(vetchtrail.RegionID(id)) {
 			out.Allowed = append(out.Allowed, region)
 		}
@@ -112,7 +112,7 @@
 		return p
 	}
 	compact.quota = w.Quota
-	shard := b.shard(w.Name)
+	shard := b.workspaceShard(w.Name)
 	b.releaseKeys(w.Name, shard[w.Name].keys)
 	if p := b.assignKeys(w.Name, w.Keys); p != "" {
 		return p
@@ -124,7 +124,7 @@
 	return ""
 }
 
-// quotaProblem returns what is wrong with a quota, or "".
+// quotaProblem returns what is wrong with a quota, or "" if nothing is.
 func quotaProblem(q vetchtrail.Quota) string {
 	for _, n := range []float64{q.Rate, q.Burst, q.Plain} {
 		if !(n >= 0) || math.IsInf(n, 0) {
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// releaseKeys ends a workspace's ownership of keys.
+// releaseKeys removes keys from a workspace.
 func (b *builder) releaseKeys(workspace string, keys []vetchtrail.KeyHash) {
 	for _, k := range keys {
 		shard := b.keyShard(k)
@@ -148,7 +148,8 @@
 }
 
 // assignKeys makes a workspace the owner of keys. It returns what is wrong with
-// them, or "". A key has one owner only, since it identifies the workspace.
+// them, or "" if nothing is. A key has one owner only, since it identifies the
+// workspace.
 func (b *builder) assignKeys(workspace string, keys []vetchtrail.KeyHash) string {
 	if len(keys) > maxKeys {
 		return fmt.Sprintf("it has more than %d keys", maxKeys)
@@ -164,7 +165,7 @@
 }
 
 func (b *builder) removeWorkspace(name string) string {
-	shard := b.shard(name)
+	shard := b.workspaceShard(name)
 	w, ok := shard[name]
 	if !ok {
 		return "is unknown"
@@ -203,9 +204,9 @@
 // the hash spreads keys evenly.
 func keyShardOf(key vetchtrail.KeyHash) int { return int(key[0]) % shardCount }
 
-// shard returns the map that holds a workspace, as a copy that the
+// workspaceShard returns the map that holds a workspace, as a copy that the
 // builder may change.
-func (b *builder) shard(name string) map[string]workspace {
+func (b *builder) workspaceShard(name string) map[string]workspace {
 	i := workspaceShardOf(name)
 	if !b.copiedWorkspaces[i] {
 		b.copiedWorkspaces[i] = true
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -125,16 +125,16 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			j, reason := r.RouteConstraints(c.route, "quotes", c.workspace, 0)
+			got, reason := r.RouteConstraints(c.route, "quotes", c.workspace, 0)
 			assert.Equal(t, reason, c.reason)
-			assert.Equal(t, j, c.want)
+			assert.Equal(t, got, c.want)
 		})
 	}
 }
 
-// BenchmarkHolder measures the lookup of a key among 38,000 workspaces of two
+// BenchmarkKeyOwner measures the lookup of a key among 38,000 workspaces of two
 // keys each. Most of the time goes into hashing the key; nothing is allocated.
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkKeyOwner(b *testing.B) {
 	var edits []vetchtrail.Edit
 	for i := range 38_000 {
 		edits = append(edits, put(vetchtrail.Workspace{Name: fmt.Sprint("w", i), Keys: keyHashes(fmt.Sprint("key-number-", i), fmt.Sprint("other-key-", i))}))
