--- a/endpoint.go
+++ b/endpoint.go
@@ -19,8 +19,8 @@
 	// Instance is the id of the endpoint's process instance. Requests name it, and the
 	// endpoint refuses those that name another; empty: it doesn't check.
 	Instance string
-	// Born is the start time of the process instance. A new instance under the same name has
-	// nothing cached and knows no request of the previous one. Zero: not known.
+	// Born is the start time of the process instance; zero: not known. A new instance under the
+	// same name has an empty cache and none of the previous one's requests.
 	Born time.Time
 	// ColdUntil is the end of the cold start. Until then the endpoint accepts no more than
 	// ColdRate requests per second from all hosts together.
--- a/feed.go
+++ b/feed.go
@@ -20,7 +20,7 @@
 	Run(ctx context.Context, s Sink)
 }
 
-// PollCoordinator decides which part a host takes in polling the platform. Calls to the
+// PollCoordinator decides whether and how often a host polls the platform. Calls to the
 // platform are rate-limited and billed, so few hosts poll it and the others fetch the listing
 // from them.
 type PollCoordinator interface {
--- a/host.go
+++ b/host.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Host is a machine of the system that accepts requests from callers, as other hosts know
-// it.
+// Host describes a machine of the system that accepts requests from callers.
 type Host struct {
 	Name        string
 	Region      string
--- a/observation.go
+++ b/observation.go
@@ -25,7 +25,8 @@
 	// Acquire reserves capacity for a request at an endpoint. It returns false if the endpoint
 	// has none now.
 	Acquire(name string, r *Request, now time.Time) bool
-	// Release frees the capacity and learns from the attempt.
+	// Release frees the capacity, and updates the endpoint's statistics and state by what the
+	// attempt showed.
 	Release(name string, o Observation, now time.Time)
 	// Find returns a listed endpoint by its name, whether or not it can be used now.
 	Find(name string) (Endpoint, bool)
@@ -49,6 +50,7 @@
 	AppendRemotes(v *View, service string, regionID func(region string) (RegionID, bool), now time.Time)
 	// Pick chooses a host of a data centre and counts a request in flight there.
 	Pick(dataCentre, service string, now time.Time) (Host, bool)
-	// ForwardEnded counts the end of a forwarded request and learns from its outcome.
+	// ForwardEnded counts the end of a forwarded request, and updates the state of the data
+	// centre and its host by the outcome.
 	ForwardEnded(dataCentre, service string, o Outcome, now time.Time)
 }
--- a/answer.go
+++ b/response.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// ResponseWriter writes a response to the caller. Begin is called once, before any Write.
-// An error from either method means that the caller has disconnected.
+// ResponseWriter writes a response to the caller: Begin its status and header, Write a part of
+// its body. Each attempt calls Begin once, before any Write. An error from either method means
+// that the caller has disconnected.
 type ResponseWriter interface {
 	Begin(status int, header []HeaderField) error
 	Write(part []byte) error
