--- a/endpoint.go
+++ b/endpoint.go
@@ -14,13 +14,13 @@
 	Addr       netip.AddrPort
 	Slots      int  // number of requests that it runs at once
 	Draining   bool // operators or the platform are taking it out of use
-	Fenced     bool // it checks the fencing tokens of orders; nothing here depends on it
+	Fenced     bool // it checks fencing tokens; nothing in this module depends on it
 
 	// Instance is the id of the endpoint's process instance. Requests name it, and the
 	// endpoint refuses those that name another; empty: it doesn't check.
 	Instance string
-	// Born is the start time of the process instance. A new instance under the same name has
-	// nothing cached and knows no request of the previous one. Zero: not known.
+	// Born is the start time of the process instance; zero: not known. A new instance under the
+	// same name has an empty cache and none of the previous one's requests.
 	Born time.Time
 	// ColdUntil is the end of the cold start. Until then the endpoint accepts no more than
 	// ColdRate requests per second from all hosts together.
--- a/feed.go
+++ b/feed.go
@@ -20,7 +20,7 @@
 	Run(ctx context.Context, s Sink)
 }
 
-// PollCoordinator decides which part a host takes in polling the platform. Calls to the
+// PollCoordinator decides whether and how often a host polls the platform. Calls to the
 // platform are rate-limited and billed, so few hosts poll it and the others fetch the listing
 // from them.
 type PollCoordinator interface {
@@ -67,11 +67,11 @@
 
 // Endpoint returns the endpoint with a name; nil: it is not listed.
 func (l *Listing) Endpoint(name string) *Endpoint {
-	at, ok := slices.BinarySearchFunc(l.Endpoints, name, func(e *Endpoint, name string) int { return strings.Compare(e.Name, name) })
+	i, ok := slices.BinarySearchFunc(l.Endpoints, name, func(e *Endpoint, name string) int { return strings.Compare(e.Name, name) })
 	if !ok {
 		return nil
 	}
-	return l.Endpoints[at]
+	return l.Endpoints[i]
 }
 
 // SortEndpoints sorts endpoints by name, as a Listing needs them.
