--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -262,7 +262,7 @@
 	tasks.Go(func() { d.journal.Run(ctx) })
 	tasks.Go(func() { _ = d.server.Serve(ctx, peers) })
 	tasks.Go(func() { d.membership.RunHeartbeats(ctx, d.peers) })
-	tasks.Go(func() { d.membership.RunDigestSwaps(ctx, d.peers) })
+	tasks.Go(func() { d.membership.RunDigestExchanges(ctx, d.peers) })
 	tasks.Go(func() { d.pullFromPeers(ctx) })
 	tasks.Go(func() { d.quotas.Run(ctx) })
 	tasks.Go(func() { d.rateLimits.Run(ctx) })
--- a/process/membership/capacity.go
+++ b/process/membership/capacity.go
@@ -10,18 +10,18 @@
 	"vetchtrail/schema"
 )
 
-// minDrawn is the least number of hosts that a caller is given, if there are as many:
-// some may be lost before its next request for hosts.
+// minDrawn is the minimum number of hosts that a caller is given, if there are as many:
+// some may be lost before the caller requests hosts again.
 const minDrawn = 4
 
-// HostsForCaller returns hosts for a caller to use. It draws them among those of
-// NearestReady, each with a probability of its capacity over the greatest one, and at
-// least minDrawn. Hosts of the same capacity are all returned.
+// HostsForCaller returns hosts for a caller to use. It draws at least minDrawn of those of
+// NearestReady, each with the probability of its capacity divided by the greatest capacity.
+// Hosts of the same capacity are all returned.
 //
-// Callers pick at random among the hosts that they are given. Where a few
-// hosts of a data centre have links many times as wide as the others', giving out all
-// hosts alike would send long prompts through narrow links. It would also split what is
-// known of the endpoints' loads over more hosts.
+// Callers pick at random among the hosts that they are given. Where a few hosts of a data
+// centre have links many times as wide as the others', returning all hosts would send long
+// prompts through narrow links. It would also spread the endpoints' load reports, which
+// come with responses, over more hosts.
 func (m *Membership) HostsForCaller(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
 	serving := m.NearestReady(region, dataCentre, homes, now)
 	m.mu.Lock()
@@ -57,8 +57,8 @@
 // the same.
 func capacityOf(h vetchtrail.Host) float64 { return float64(max(1, h.Capacity)) }
 
-// drawMember returns one of the member entries, each with a probability of its capacity
-// over that of all. random is a number from 0 to 1.
+// drawMember returns one of the member entries, each with a probability in proportion to its
+// capacity. random is a number from 0 to 1.
 func drawMember(entries []*schema.Member, random float64) *schema.Member {
 	sum := 0.0
 	for _, entry := range entries {
@@ -73,11 +73,12 @@
 	return entries[len(entries)-1]
 }
 
-// rankKey returns the number that hosts are sorted by for a task, the least first. It is
-// the time until a host's first event, if events of each host come at random with the
-// rate of its capacity. So a host goes first for a share of the tasks that equals its
-// share of the capacity: weighted rendezvous hashing (Schindelhauer and Schomaker 2005).
-// Tasks that many hosts send queries to are then seldom behind a narrow link.
+// rankKey returns the number that hosts are sorted by for a task, the smallest first. The
+// hash of the task and the host is turned into an exponentially distributed number whose
+// rate is the host's capacity. A host then ranks first for a share of the tasks that equals
+// its share of the capacity: weighted rendezvous hashing (Schindelhauer and Schomaker 2005).
+// So tasks that make many other hosts send queries are seldom assigned to a host with a
+// narrow link.
 func rankKey(task string, h *vetchtrail.Host) float64 {
 	u := (float64(hashPair(task, h.Name)>>11) + 0.5) / (1 << 53)
 	return -math.Log(u) / capacityOf(*h)
--- a/process/membership/capacity_test.go
+++ b/process/membership/capacity_test.go
@@ -11,10 +11,10 @@
 	"vetchtrail/schema"
 )
 
-// TestHostsDrawnByCapacity guards against hosts with narrow links that take as many requests
-// as those with wide ones, and against callers that are given too few hosts. It checks how
-// many hosts a caller is given on average, and the share of the callers' requests that each
-// host takes, if callers pick at random among the hosts that they are given.
+// TestHostsDrawnByCapacity guards against hosts with narrow links that are sent as many
+// requests as those with wide ones, and against callers that are given too few hosts. It
+// checks how many hosts a caller is given on average, and which share of the requests each
+// host is sent if callers pick at random among the hosts that they are given.
 func TestHostsDrawnByCapacity(t *testing.T) {
 	cases := map[string]struct {
 		wideCapacity, narrowCapacity uint32
--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -12,22 +12,22 @@
 	"vetchtrail/schema"
 )
 
-// RunDigestSwaps swaps digests with remote data centres until ctx ends.
-func (m *Membership) RunDigestSwaps(ctx context.Context, p Peers) {
+// RunDigestExchanges exchanges digests with remote data centres until ctx ends.
+func (m *Membership) RunDigestExchanges(ctx context.Context, p Peers) {
 	for {
-		m.swapOnce(ctx, p)
+		m.sendDigests(ctx, p)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(m.swapDelay(time.Now())):
+		case <-time.After(m.digestPause(time.Now())):
 		}
 	}
 }
 
-// swapDelay returns the time until the next swaps. It is discoveryInterval while the
-// host has recently started and either has no listing yet or lacks the digest of a
-// data centre on it.
-func (m *Membership) swapDelay(now time.Time) time.Duration {
+// digestPause returns the time until the next digest exchanges. It is discoveryInterval
+// while this host has recently started and either has no listing yet or lacks the digest
+// of a data centre on the listing.
+func (m *Membership) digestPause(now time.Time) time.Duration {
 	m.mu.Lock()
 	listingAwaited := m.cfg.CallsWholeRegion && !m.haveListing
 	recentlyStarted := now.Sub(m.startedAt) < discoveryTime
@@ -38,18 +38,18 @@
 	return SwapInterval
 }
 
-// discoveryInterval is the pause between swaps while a data centre on the platform's
-// listing is not known: some round trips between regions. Requests that may run only
-// in that data centre are refused until it is known.
+// discoveryInterval is the pause between digest exchanges while the digest of a listed
+// data centre is missing: some round trips between regions. Requests that may run only
+// in that data centre are refused until then.
 const discoveryInterval = 250 * time.Millisecond
 
-// discoveryTime is how long after its start a host swaps every discoveryInterval. Data
-// centres that it has not found by then are gone or cut off.
+// discoveryTime is how long after its start a host exchanges digests every
+// discoveryInterval. Data centres that it has not found by then are down or cut off.
 const discoveryTime = 10 * time.Second
 
 // unknownDataCentres returns the address of one listed host, at random, for each
 // remote data centre without a digest, by data centre. A digest without services does
-// not count: its hosts had no configuration and listing yet.
+// not count: the hosts of its data centre had no configuration and listing yet.
 func (m *Membership) unknownDataCentres() map[string]netip.AddrPort {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,27 +68,27 @@
 	return out
 }
 
-// swapOnce swaps digests once with each host of swapTargets. It does not wait for
-// the replies.
-func (m *Membership) swapOnce(ctx context.Context, p Peers) {
+// sendDigests exchanges digests once with each host of digestTargets. It does not wait
+// for the replies.
+func (m *Membership) sendDigests(ctx context.Context, p Peers) {
 	now := time.Now()
-	targets := m.swapTargets(now)
+	targets := m.digestTargets(now)
 	if len(targets) == 0 {
-		return // making the digest goes through all endpoints, and most hosts have no targets
+		return // most hosts have no targets, and making the digest iterates over all endpoints
 	}
 	local := m.localDigest(now)
 	for _, t := range targets {
 		go func() {
-			if err := m.swapWith(ctx, p, t, local); err != nil {
-				m.cfg.Log.Debug("digests not swapped", "peer", t.addr, "error", err)
+			if err := m.exchangeDigests(ctx, p, t, local); err != nil {
+				m.cfg.Log.Debug("digests not exchanged", "peer", t.addr, "error", err)
 			}
 		}()
 	}
 }
 
-// swapWith swaps digests with one host: first without this data centre's members,
-// then with them if the other host requests them.
-func (m *Membership) swapWith(ctx context.Context, p Peers, t swapTarget, local *schema.Digest) error {
+// exchangeDigests exchanges digests with one host. It sends the digest of this data centre
+// without its members first, and with them if the other host then requests them.
+func (m *Membership) exchangeDigests(ctx context.Context, p Peers, t digestTarget, local *schema.Digest) error {
 	sent := time.Now()
 	out := &schema.Digests{
 		From: m.cfg.Self.Name, Digest: withoutMembers(local), HaveMembers: m.heldMembersHash(t.dataCentre),
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	m.mergeSwapReply(reply, sent, time.Now())
+	m.mergeDigestReply(reply, sent, time.Now())
 	if reply.GetWantMembers() {
 		out.Digest = local
 		_, err = p.Swap(ctx, t.addr, out)
@@ -117,8 +117,8 @@
 }
 
 // leavingForRegion returns the leaving endpoints to send to a data centre of a region:
-// those that this host learned of in the last leavingRelayTime. Only hosts of the same
-// region call these endpoints, so other regions are sent none.
+// those that this host learned of in the last leavingRelayTime. Only hosts of the
+// endpoints' own region call them, so other regions are sent none.
 func (m *Membership) leavingForRegion(region string, now time.Time) []*schema.EndpointLeaves {
 	if region != m.cfg.Self.Region || !m.cfg.CallsWholeRegion {
 		return nil
@@ -127,7 +127,7 @@
 }
 
 // heldMembersHash returns the hash of the members that this host holds of a data
-// centre, 0 if it does not know the data centre.
+// centre, 0 if it has no digest of it.
 func (m *Membership) heldMembersHash(dataCentre string) uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -137,7 +137,8 @@
 	return 0
 }
 
-// withoutMembers returns a digest with the hash of its members in place of them.
+// withoutMembers returns a copy of a digest that has the hash of the members, but not the
+// members.
 func withoutMembers(d *schema.Digest) *schema.Digest {
 	return &schema.Digest{
 		DataCentre: d.GetDataCentre(), Region: d.GetRegion(), Sequence: d.GetSequence(), Revision: d.GetRevision(),
@@ -146,16 +147,16 @@
 	}
 }
 
-// swapTarget is a host to swap digests with.
-type swapTarget struct {
+// digestTarget is a host to exchange digests with.
+type digestTarget struct {
 	dataCentre string // empty if it is not known: a seed or a listed host
 	addr       netip.AddrPort
 }
 
-// swapTargets picks the hosts to swap digests with: one of each data centre that this
-// host is assigned to swap with, one of each unknown data centre on the listing, and one
-// unknown seed if no listed data centre is unknown.
-func (m *Membership) swapTargets(now time.Time) []swapTarget {
+// digestTargets picks the hosts to exchange digests with: one of each data centre that this
+// host is assigned to, and one of each data centre on the listing that has no digest yet.
+// If there are none of the latter, it adds one unknown seed.
+func (m *Membership) digestTargets(now time.Time) []digestTarget {
 	m.mu.Lock()
 	hosts := make(map[string]int, len(m.remotes)) // number of hosts assigned, by data centre
 	for name, d := range m.remotes {
@@ -165,7 +166,7 @@
 		}
 	}
 	m.mu.Unlock()
-	var out []swapTarget
+	var out []digestTarget
 	for name, n := range hosts {
 		if m.IsAssigned("digest "+name, n, now) {
 			out = append(out, m.randomHostOf(name)...)
@@ -173,19 +174,19 @@
 	}
 	unknown := m.unknownDataCentres()
 	for _, addr := range unknown {
-		out = append(out, swapTarget{addr: addr})
+		out = append(out, digestTarget{addr: addr})
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if seeds := m.unknownSeeds(); len(seeds) > 0 && len(unknown) == 0 {
-		out = append(out, swapTarget{addr: seeds[m.rng.IntN(len(seeds))]})
+		out = append(out, digestTarget{addr: seeds[m.rng.IntN(len(seeds))]})
 	}
 	return out
 }
 
 // randomHostOf returns one host of a data centre at random, or none if its members
 // are not held.
-func (m *Membership) randomHostOf(dataCentre string) []swapTarget {
+func (m *Membership) randomHostOf(dataCentre string) []digestTarget {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entries := m.remotes[dataCentre].digest.GetMembers()
@@ -193,7 +194,7 @@
 		return nil
 	}
 	h := hostFromEntry(entries[m.rng.IntN(len(entries))])
-	return []swapTarget{{dataCentre, h.PeerAddr}}
+	return []digestTarget{{dataCentre, h.PeerAddr}}
 }
 
 // localDigest makes the digest of this data centre, with its members.
@@ -227,14 +228,14 @@
 }
 
 // HandleDigests handles the digest that a host of a remote data centre sent, and returns
-// this data centre's: without members if the sender holds them.
+// the digest of this data centre, without members if the sender already holds them.
 func (m *Membership) HandleDigests(in *schema.Digests) *schema.Digests {
 	now := time.Now()
 	local := m.localDigest(now)
 	if in.GetHaveMembers() == local.GetMembersHash() {
 		local = withoutMembers(local)
 	}
-	m.learnLeaving(in.GetFrom(), in.GetLeaves())
+	m.recordLeaving(in.GetFrom(), in.GetLeaves())
 	leaves := m.leavingForRegion(in.GetDigest().GetRegion(), now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -243,22 +244,22 @@
 	return &schema.Digests{From: m.cfg.Self.Name, Digest: local, WantMembers: !complete, Introduced: introduced, Leaves: leaves}
 }
 
-// mergeSwapReply takes the reply to a swap. Half the time since it was sent is the
-// delay to the data centre.
-func (m *Membership) mergeSwapReply(in *schema.Digests, sent, now time.Time) {
-	m.learnLeaving(in.GetFrom(), in.GetLeaves())
+// mergeDigestReply merges the reply to the digest that was sent at the time sent. Half of
+// the round trip is recorded as the delay to the other data centre.
+func (m *Membership) mergeDigestReply(in *schema.Digests, sent, now time.Time) {
+	m.recordLeaving(in.GetFrom(), in.GetLeaves())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mergeDigest(in.GetDigest(), now, now)
-	m.noteIntroduced(in.GetIntroduced())
+	m.recordIntroduced(in.GetIntroduced())
 	if r, ok := m.remotes[in.GetDigest().GetDataCentre()]; ok {
 		r.delay = now.Sub(sent) / 2
 	}
 }
 
-// mergeDigest takes a digest that was made at digestTime, if it is newer than the one
-// held. It returns false if the digest came without its members and they are not
-// held. The caller holds the lock.
+// mergeDigest replaces the held digest of a data centre by d, which was made at
+// digestTime, if d is newer. It returns false if the members of the newest digest are
+// missing: d came without them, and those held are others. The caller holds the lock.
 func (m *Membership) mergeDigest(d *schema.Digest, digestTime, now time.Time) bool {
 	name := d.GetDataCentre()
 	if name == m.self.DataCentre || name == "" {
@@ -275,15 +276,16 @@
 		r.warmUpShare = warmUpStart // it was cut off or down, and its caches are cold
 	}
 	if len(d.GetMembers()) == 0 && ok {
-		d.Members = r.digest.GetMembers() // of the digest before: most have the same
+		d.Members = r.digest.GetMembers() // members seldom change from one digest to the next
 	}
 	r.digest, r.digestTime, r.relayCount = d, digestTime, 0
 	r.setComplete(hashMembers(d.GetMembers()) == d.GetMembersHash(), now)
 	return r.complete
 }
 
-// fillMembers takes the members of a digest that is not newer, if they are those that
-// the held digest came without. It returns false if they are still missing.
+// fillMembers adds members to a held digest that came without them. It takes them from d,
+// which is not newer, if the hashes show that both digests have the same members. It
+// returns false if the members are still missing.
 func (r *remote) fillMembers(d *schema.Digest, now time.Time) bool {
 	held := r.digest
 	if hashMembers(held.GetMembers()) != held.GetMembersHash() && d.GetMembersHash() == held.GetMembersHash() && len(d.GetMembers()) > 0 {
@@ -301,12 +303,12 @@
 	r.complete = complete
 }
 
-// defaultDelay is assumed to a data centre until one of its hosts replied to a swap
-// of this host.
+// defaultDelay is the assumed one-way delay to a data centre until one of its hosts has
+// replied to a digest from this host.
 const defaultDelay = 30 * time.Millisecond
 
-// hashMembers hashes the fields of member entries that seldom change: name,
-// incarnation and state.
+// hashMembers hashes the name, incarnation and state of member entries. The revision is
+// left out, as it changes often; the other fields change only with the incarnation.
 func hashMembers(entries []*schema.Member) uint32 {
 	var h xxhash.Digest
 	h.Reset()
--- a/process/membership/gossip_peers.go
+++ b/process/membership/gossip_peers.go
@@ -8,14 +8,14 @@
 )
 
 // GossipPeersPerDoubling is the number of gossip peers that a host has for each
-// doubling of the number of hosts in its data centre. A graph in which each node has so
-// many random neighbours is connected, with only a few steps between any two nodes.
+// doubling of the number of hosts in its data centre. A graph in which each node has that
+// many random neighbours is almost surely connected, with a few steps between any two nodes.
 const GossipPeersPerDoubling = 2
 
-// drawGossipPeers draws Fanout of this host's gossip peers. These are a part of the
-// live members that stays the same while they live. If a host drew from all members,
-// each exchange in a data centre of hundreds would need a new connection, and each host
-// would come to hold one to every other. The caller holds the lock.
+// drawGossipPeers draws Fanout of this host's gossip peers at random. The gossip peers are
+// a fixed subset of the members while these are live. If a host drew from all members of a
+// data centre of hundreds, nearly every exchange would need a new connection, and each host
+// would end up with a connection to every other. The caller holds the lock.
 func (m *Membership) drawGossipPeers(live []*member) []netip.AddrPort {
 	peers := live
 	if limit := GossipPeersPerDoubling * bits.Len(uint(len(live))); len(live) > limit {
--- a/process/membership/gossip_peers_test.go
+++ b/process/membership/gossip_peers_test.go
@@ -11,11 +11,11 @@
 	"vetchtrail"
 )
 
-// TestGossipGrowth guards against gossip whose cost outgrows the data centre. The number of
-// hosts that a host exchanges heartbeats with may grow only with the logarithm of the number
-// of hosts. The state held for each other host must not grow with the number of endpoints.
-// Still, load reports must reach all hosts while they are new enough to use. The data
-// centre is stable, and some responses each second bring load reports.
+// TestGossipGrowth guards against gossip that costs too much in a large data centre. The
+// number of hosts that a host exchanges heartbeats with may grow only with the logarithm of
+// the number of hosts. The state held for each other host must not grow with the number of
+// endpoints. Still, load reports must reach all hosts while they are new enough to use. No
+// host starts or stops, and some load reports are received with responses each second.
 func TestGossipGrowth(t *testing.T) {
 	const (
 		length       = 3 * time.Second
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -17,7 +17,7 @@
 type Peers interface {
 	// Exchange sends a heartbeat and returns the other host's.
 	Exchange(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error)
-	// Swap sends a digest and returns that of the other host's data centre.
+	// Swap sends the digest of this data centre and returns that of the other host's.
 	Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error)
 }
 
@@ -63,9 +63,9 @@
 	}
 }
 
-// heartbeatTargets picks the hosts to send heartbeats to: live members at random,
-// and one address out of the dead members, the unknown seeds and the introduced
-// hosts. It counts this host's heartbeat and forgets members that were silent for
+// heartbeatTargets picks the hosts to send heartbeats to: some gossip peers, and one
+// address of a dead member, an unknown seed or an introduced host. It increments this
+// host's heartbeat counter and removes members without a newer heartbeat for
 // forgetAfter.
 func (m *Membership) heartbeatTargets(now time.Time) []netip.AddrPort {
 	m.mu.Lock()
@@ -122,8 +122,8 @@
 	for _, b := range m.members {
 		if b.PeerAddr == to {
 			h := m.newHeartbeat(b, now)
-			// Only here: the reply to this heartbeat brings the members. Requested
-			// in a reply, they would come only with the next exchange.
+			// The other host sends the requested members in its reply. If they were
+			// requested in a reply, they would arrive only with the next exchange.
 			h.Lacks = m.membersToRequest(now)
 			return h
 		}
@@ -131,9 +131,9 @@
 	return m.newHeartbeat(nil, now)
 }
 
-// newHeartbeat makes a heartbeat. A member gets only what it was not sent before;
-// a host that is not known here (nil) gets the members, all in full. The caller
-// holds the lock.
+// newHeartbeat makes a heartbeat to a member, with only what the member was not sent
+// before. For a host that is not known (nil), it makes one with full entries of all
+// live members and nothing else. The caller holds the lock.
 func (m *Membership) newHeartbeat(to *member, now time.Time) *schema.Heartbeat {
 	h := &schema.Heartbeat{From: m.self.Name, DataCentre: m.self.DataCentre}
 	if to != nil {
@@ -159,8 +159,8 @@
 	return h
 }
 
-// entryFor returns a host's entry for a member: a short one, which names the host
-// by its short ID, if the member was sent the full one before.
+// entryFor returns a host's entry to send to a member: a short one, which identifies the
+// host by its short ID, if the member was sent the full one before.
 func entryFor(to *member, h *vetchtrail.Host, shortID uint32, counter uint64) *schema.Member {
 	if to == nil {
 		return fullEntry(*h, counter)
@@ -182,27 +182,27 @@
 
 // shortIDOf returns the short ID of a host: a hash of its name and incarnation
 // that replaces both in short entries. A collision within a data centre is
-// unlikely, and what it mixes up is put right by the next full heartbeat.
+// unlikely, and the next full heartbeat corrects its effects.
 func shortIDOf(name string, incarnation uint64) uint32 {
 	return uint32(hashPair(name, strconv.FormatUint(incarnation, 16)))
 }
 
 // maxRelayedReportAge is the age up to which load reports are sent where hosts call
 // the endpoints of their whole region. Streams run for some seconds and queues
-// change sooner, so that an older report is out of date.
+// change sooner, so an older report is outdated.
 const maxRelayedReportAge = 2 * time.Second
 
-// loadsFor returns the load reports that this host took since its last heartbeat to
-// another host.
+// loadsFor returns the load reports that this host has received since its last heartbeat
+// to another host.
 //
-// Where hosts are assigned to poll the endpoints, it sends only the reports that it
-// fetched itself, and those of leaving endpoints. Where reports come with responses
-// alone (Config.CallsWholeRegion), it also relays those of other hosts: one of a
-// hundred hosts in a region gets a response from an endpoint only once in ten seconds,
-// and would decide by old reports.
+// Where hosts are assigned to poll the endpoints, it returns only the reports that this
+// host fetched itself, and those of leaving endpoints. Where load reports come only with
+// responses (Config.CallsWholeRegion), it also returns those that other hosts relayed: one
+// of a hundred hosts in a region may get a response from an endpoint only once in ten
+// seconds, and would decide by outdated reports.
 //
-// What was sent is recorded as one number for each host. Recorded by endpoint, it
-// would grow as hosts times endpoints.
+// What was sent is recorded as one sequence number for each host. A record for each
+// endpoint would take memory in proportion to hosts times endpoints.
 func (m *Membership) loadsFor(to *sentState, now time.Time) []*schema.Load {
 	var after time.Time
 	if m.cfg.CallsWholeRegion {
@@ -223,10 +223,10 @@
 	return out
 }
 
-// uptimeMillis returns how long an endpoint's process has run, or 0 to leave it
-// out. It is sent only for endpoints that once announced that they leave or pause,
-// as a restart ends the announcement. For all endpoints it would cost more bytes
-// than the loads.
+// uptimeMillis returns how long an endpoint's process has run, or 0 to omit the field.
+// The uptime is sent only for endpoints that have announced that they leave or pause, so
+// that other hosts notice a restart, which ends the announcement. For all endpoints it
+// would cost more bytes than the loads.
 func uptimeMillis(r load.ReportEntry, now time.Time) uint32 {
 	if !r.Announced || r.Report.StartedAt.IsZero() {
 		return 0
@@ -235,8 +235,8 @@
 }
 
 // rateLimitsFor returns the rate limits of endpoints that a host was not sent yet: new,
-// changed and lifted ones. A host that sends such an endpoint no requests for a while
-// then knows the limit before its next one.
+// changed and lifted ones. A host that has sent such an endpoint no requests for a while
+// then has the limit before it sends the next one.
 func (m *Membership) rateLimitsFor(to *member, now time.Time) []*schema.EndpointRate {
 	var out []*schema.EndpointRate
 	for _, l := range m.cfg.Load.RateLimits() {
@@ -253,12 +253,12 @@
 
 // leavingRelayTime is how long a host relays that an endpoint is leaving, from when
 // it learned so. A host takes part in about four exchanges each HeartbeatInterval, so
-// that each of a hundred hosts has it by then from several others. A full heartbeat has
-// all leaving endpoints.
+// each of a hundred hosts is sent it by several others within this time. A full heartbeat
+// has all leaving endpoints.
 const leavingRelayTime = 3 * time.Second
 
-// leavingFor returns the endpoints that announced that they are leaving and that a
-// host was not sent yet.
+// leavingFor returns the endpoints that announced that they are leaving, except those that
+// were already sent to a host.
 func (m *Membership) leavingFor(to *sentState, now time.Time) []*schema.EndpointLeaves {
 	after := to.leavingUpTo
 	if !after.IsZero() {
@@ -268,7 +268,7 @@
 	return m.leavingSince(after, now)
 }
 
-// leavingSince returns the endpoints that this host learned to be leaving after a time.
+// leavingSince returns the leaving endpoints that this host has learned of after a time.
 func (m *Membership) leavingSince(after, now time.Time) []*schema.EndpointLeaves {
 	var out []*schema.EndpointLeaves
 	for _, l := range m.cfg.Load.LeavingAfter(after, now) {
@@ -277,8 +277,8 @@
 	return out
 }
 
-// learnLeaving takes the leaving endpoints that the host named from sent.
-func (m *Membership) learnLeaving(from string, leaves []*schema.EndpointLeaves) {
+// recordLeaving passes on the leaving endpoints that the host named from reported.
+func (m *Membership) recordLeaving(from string, leaves []*schema.EndpointLeaves) {
 	if m.cfg.LeavingEndpoints == nil {
 		return
 	}
@@ -287,7 +287,7 @@
 	}
 }
 
-// millis returns a duration in whole milliseconds for a message, 0 for a negative one.
+// millis returns a duration in whole milliseconds, 0 for a negative one.
 func millis(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
 
 // HandleHeartbeat handles another host's heartbeat and returns this host's.
@@ -304,7 +304,7 @@
 	return m.newHeartbeat(m.members[h.GetFrom()], now)
 }
 
-// merge takes what is newer in a received heartbeat.
+// merge applies what is newer in a received heartbeat.
 func (m *Membership) merge(h *schema.Heartbeat, now time.Time) {
 	if h.GetDataCentre() != m.cfg.Self.DataCentre {
 		return
@@ -333,7 +333,7 @@
 			m.cfg.RateLimits.Learn(r)
 		}
 	}
-	m.learnLeaving(h.GetFrom(), h.GetLeaves())
+	m.recordLeaving(h.GetFrom(), h.GetLeaves())
 }
 
 // loadReportOf reads a load report that was received at the time now.
@@ -348,7 +348,7 @@
 	return r
 }
 
-// mergeEntry takes a host's entry if its incarnation or counter is newer. It returns
+// mergeEntry applies a host's entry if its incarnation or counter is newer. It returns
 // false if the entry is short and its host is not known. The caller holds the lock.
 func (m *Membership) mergeEntry(entry *schema.Member, now time.Time) bool {
 	if entry.GetShort() != 0 {
@@ -376,7 +376,7 @@
 	return true
 }
 
-// mergeShortEntry takes a short entry if its counter is newer. It returns false if
+// mergeShortEntry applies a short entry if its counter is newer. It returns false if
 // its host is not known. The caller holds the lock.
 func (m *Membership) mergeShortEntry(entry *schema.Member, now time.Time) bool {
 	if entry.GetShort() == m.selfShortID() {
@@ -392,8 +392,8 @@
 	return true
 }
 
-// update takes what both short and full entries hold. The entry is newer than the
-// one before.
+// update applies the fields that short and full entries have in common. The caller has
+// checked that the entry is newer than the last one.
 func (b *member) update(entry *schema.Member, now time.Time) {
 	b.LastSeen = now
 	b.Revision = entry.GetRevision()
--- a/process/membership/hosts.go
+++ b/process/membership/hosts.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if len(homes) > 0 {
-		return nil // a recently started host knows few hosts: another one answers the caller better
+		return nil // this host may have started recently and know few others; another host gives a better answer
 	}
 	return all
 }
@@ -77,13 +77,13 @@
 }
 
 // ListedRank returns this host's rank for a task, by rendezvous hashing: the number of
-// hosts of its region that go before it. It is for tasks that at most n hosts may do
-// at any moment, those with a rank below n.
+// hosts of its region that rank before it. It is for tasks that at most n hosts may do
+// at any time, those with a rank below n.
 //
-// For that it ranks the hosts that the platform lists, though some of them may be
-// dead: all hosts hold the same listing, while each knows other hosts by heartbeats
-// and digests. A host that is not listed ranks behind all. Only while no other host
-// of the region is listed, the known ones are ranked.
+// For that it ranks the hosts that the platform lists, although some of them may be
+// dead: all hosts hold the same listing, while the hosts known by heartbeats and digests
+// differ from host to host. A host that is not listed ranks behind all. The known hosts
+// are ranked only while no other host of the region is listed.
 func (m *Membership) ListedRank(task string, now time.Time) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,7 +119,7 @@
 }
 
 // othersKnownInRegion returns the names of the region's other hosts that are known by
-// heartbeats or digests, but for dead ones of this data centre. The caller holds the
+// heartbeats or digests, except dead ones of this data centre. The caller holds the
 // lock.
 func (m *Membership) othersKnownInRegion(now time.Time) map[string]bool {
 	names := map[string]bool{}
@@ -139,9 +139,9 @@
 	return names
 }
 
-// Count returns the number of hosts that are known or listed, whichever is more. This
-// host and dead ones that are not forgotten yet count too. Limits for all hosts
-// together are divided by it.
+// Count returns the number of known hosts or that of listed hosts, whichever is greater.
+// This host counts, and so do dead hosts that are not forgotten yet. Limits that hold for
+// all hosts together are divided by it.
 func (m *Membership) Count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/membership/hosts_test.go
+++ b/process/membership/hosts_test.go
@@ -20,39 +20,39 @@
 )
 
 // TestUnknownDataCentres guards against a recently started host that refuses requests
-// because it does not know the data centre they must run in. It must swap often with a
-// listed host of each data centre that it has no digest of, or only one without services.
+// because it does not know the data centre they must run in. It must frequently exchange
+// digests with a listed host of each data centre of which it has no digest with services.
 func TestUnknownDataCentres(t *testing.T) {
 	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
 	a.startedAt = now
-	assert.Equal(t, a.swapDelay(now), SwapInterval, "no platform that lists hosts")
+	assert.Equal(t, a.digestPause(now), SwapInterval, "no platform that lists hosts")
 	a.cfg.CallsWholeRegion = true
-	assert.Equal(t, a.swapDelay(now), discoveryInterval, "no listing yet")
+	assert.Equal(t, a.digestPause(now), discoveryInterval, "no listing yet")
 	host := func(name, dataCentre string, last byte) vetchtrail.Host {
 		return vetchtrail.Host{Name: name, DataCentre: dataCentre, PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, last}), 1)}
 	}
 	a.SetListedHosts([]vetchtrail.Host{host("a", "dc", 1), host("b", "dc", 2), host("x", "other", 9), host("y", "other", 10), host("z", "third", 11)})
 	targets := func() map[string]bool {
 		out := map[string]bool{}
-		for _, g := range a.swapTargets(now) {
+		for _, g := range a.digestTargets(now) {
 			out[g.addr.String()] = true
 		}
 		return out
 	}
 	got := targets()
 	assert.Assert(t, got["10.0.0.11:1"] && (got["10.0.0.9:1"] || got["10.0.0.10:1"]) && len(got) == 2, "%v", got)
-	assert.Equal(t, a.swapDelay(now), discoveryInterval)
-	assert.Equal(t, a.swapDelay(now.Add(discoveryTime)), SwapInterval, "discovery ends")
-	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
+	assert.Equal(t, a.digestPause(now), discoveryInterval)
+	assert.Equal(t, a.digestPause(now.Add(discoveryTime)), SwapInterval, "discovery ends")
+	a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(a.unknownDataCentres())), []string{"other", "third"}) // the digest has no services
 	x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
-	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(time.Second), now.Add(time.Second))
+	a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(time.Second), now.Add(time.Second))
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(a.unknownDataCentres())), []string{"third"})
 }
 
-// TestNearestReadyHosts guards against callers that are sent to a host outside the
-// regions where their requests may run, or to none where a nearer host can take them.
-// The only ready host is in data centre a of region ra.
+// TestNearestReadyHosts guards against callers that are given no host although one is near
+// them or in a home region, and against callers with home regions that are given a host that
+// is neither. The only ready host is in data centre a of region ra.
 func TestNearestReadyHosts(t *testing.T) {
 	ready := []string{"a1"}
 	cases := map[string]struct {
@@ -83,7 +83,7 @@
 }
 
 // TestListedHostsHaveDistinctRanks guards against recently started hosts that all rank
-// first, as none knows another yet: the rank must count the hosts on the listing.
+// first because none has received a heartbeat yet: the listed hosts must be ranked.
 func TestListedHostsHaveDistinctRanks(t *testing.T) {
 	var listed []vetchtrail.Host
 	for i := range 9 {
@@ -99,9 +99,9 @@
 	assert.Equal(t, len(seen), 9, "two hosts have the same rank: %v", seen)
 }
 
-// TestAtMostNHostsRankBelowN guards against a task that is done by too many hosts at once,
-// as hosts with different views rank themselves differently. At most n hosts may have a
-// rank below n, whichever hosts know each other and however few of them are listed.
+// TestAtMostNHostsRankBelowN guards against a task that is done by too many hosts at once
+// because hosts with different views rank differently. At most n hosts may have a rank
+// below n, whichever hosts know each other and however few of them are listed.
 func TestAtMostNHostsRankBelowN(t *testing.T) {
 	const n = 4
 	rapid.Check(t, func(t *rapid.T) {
--- a/process/membership/introductions.go
+++ b/process/membership/introductions.go
@@ -8,14 +8,14 @@
 
 const (
 	// maxIntroductions is the number of hosts of its own data centre that a host is
-	// introduced to in one swap. Each of them knows others.
+	// introduced to in one digest exchange. It learns of the others from their heartbeats.
 	maxIntroductions = 3
 	// maxPendingIntroduced bounds the introduced addresses at which no host is known yet.
 	maxPendingIntroduced = 16
 )
 
-// introductionsFor returns peer addresses of the sender's own data centre, if the
-// sender knows other members of it than this host does.
+// introductionsFor returns peer addresses of hosts in the data centre that sent a digest,
+// if the sender's members of it differ from those that this host holds.
 //
 // Hosts of one data centre may have no other way to find each other: the platform
 // lists only some hosts, and the seeds in the settings are in a few data centres. The
@@ -35,9 +35,9 @@
 	return out
 }
 
-// noteIntroduced records the peer addresses that a reply to a swap introduces. They are
-// sent heartbeats until their hosts are known. The caller holds the lock.
-func (m *Membership) noteIntroduced(addresses []string) {
+// recordIntroduced records the peer addresses that a reply to a digest introduces.
+// Heartbeats are sent to them until their hosts are known. The caller holds the lock.
+func (m *Membership) recordIntroduced(addresses []string) {
 	for _, text := range addresses {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // pendingIntroduced returns the introduced addresses at which no host is known yet, and
-// forgets the others. The caller holds the lock.
+// removes the others from the record. The caller holds the lock.
 func (m *Membership) pendingIntroduced() []netip.AddrPort {
 	for _, b := range m.members {
 		delete(m.introduced, b.PeerAddr)
--- a/process/membership/leaving_spread_test.go
+++ b/process/membership/leaving_spread_test.go
@@ -15,9 +15,9 @@
 )
 
 // TestLeavingEndpointSpreads guards against hosts that still send requests to an endpoint
-// after it announced to another host that it is leaving. All hosts of the data centre must
-// know within three seconds. Where a tenth of a region's thousands of endpoints leave within
-// a minute, the messages must stay well below the bytes for all control traffic.
+// after it announced to another host that it is leaving. The announcement must reach all hosts
+// of the data centre within three seconds. Even if a tenth of a region's thousands of endpoints
+// leave within a minute, the messages must take far fewer bytes than all control traffic may.
 func TestLeavingEndpointSpreads(t *testing.T) {
 	const (
 		knownWithin = 3 * time.Second // required by the operators
@@ -37,7 +37,7 @@
 			}
 			s.leavingBytes = 0
 			rnd, ticks, slowest := rand.New(rand.NewPCG(1, 2)), int(length/HeartbeatInterval), time.Duration(0)
-			announced, pending := 0, map[string]time.Time{} // pending: when it announced so, by endpoint, while not all hosts know
+			announced, pending := 0, map[string]time.Time{} // pending: time of the announcement, by endpoint, until it has reached all hosts
 			for n := range ticks {
 				for ; announced < c.leave*(n+1)/ticks; announced++ {
 					e := s.endpoints[announced].Name
@@ -95,7 +95,7 @@
 	return s
 }
 
-// tick moves the time by a HeartbeatInterval and has each host send its heartbeats.
+// tick advances the time by a HeartbeatInterval and has each host send its heartbeats.
 func (s *simulation) tick() {
 	s.now = s.now.Add(HeartbeatInterval)
 	for _, m := range s.hosts {
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -27,9 +27,9 @@
 }
 
 // TestLeavingEndpointSentOnce guards against a host that is sent a leaving endpoint with
-// each heartbeat, or never: a heartbeat with it may be lost, or the host may come to be
-// known only later. A host must also learn it of an endpoint that its own listing does not
-// hold yet.
+// each heartbeat, or never: a heartbeat with it may be lost, or the host may become known
+// only later. A host must also accept the report of an endpoint that is not yet on its own
+// listing.
 func TestLeavingEndpointSentOnce(t *testing.T) {
 	startedAt := now.Add(-time.Hour)
 	listed := []load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: startedAt}}}
@@ -66,9 +66,9 @@
 	assert.Assert(t, !usable(c, 62), "received before the endpoint was listed")
 }
 
-// TestLeavingEndpointStaysInRegion guards against swaps that send leaving endpoints to other
-// regions, whose hosts never call them, or that do not send them to remote data centres of
-// the same region, whose hosts do.
+// TestLeavingEndpointStaysInRegion guards against digest exchanges that send leaving
+// endpoints to other regions, whose hosts never call them, or that do not send them to remote
+// data centres of the same region, whose hosts do.
 func TestLeavingEndpointStaysInRegion(t *testing.T) {
 	a := newMembership("a", "dc", 1)
 	a.cfg.CallsWholeRegion = true
@@ -86,16 +86,16 @@
 			b := newMembership("b", "dc-2", 2)
 			l := &leavingRecorder{table: b.cfg.Load, at: at}
 			b.cfg.LeavingEndpoints = l
-			b.mergeSwapReply(reply, at, at)
+			b.mergeDigestReply(reply, at, at)
 			assert.Equal(t, l.received, c.received)
 		})
 	}
 	assert.Equal(t, len(a.leavingForRegion(a.self.Region, at.Add(2*leavingRelayTime))), 0, "still sent")
 }
 
-// TestRestartReported guards against hosts that no longer use an endpoint because it
-// announced that it is leaving, although it has restarted since. The host that fetched the
-// endpoint's load report must pass on its start time.
+// TestRestartReported guards against hosts that still avoid an endpoint because it announced
+// that it is leaving, although it has restarted since. The host that fetched the endpoint's
+// load report must send the others its start time.
 func TestRestartReported(t *testing.T) {
 	listed := []load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}}
 	second := func(n int) time.Time { return now.Add(time.Duration(n) * time.Second) }
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -3,11 +3,11 @@
 //
 // Hosts of one data centre exchange heartbeats by gossip. A host whose
 // heartbeat counter stops growing is suspected, then taken for dead. Hosts of
-// different data centres swap digests: one call in which each side sends the
-// members of its data centre and the free capacity of its services. Digests
-// are then relayed within the data centre on the heartbeats. Heartbeats also
-// carry load reports, rate limits and leaving endpoints of the data centre, and
-// swaps within a region carry leaving endpoints.
+// different data centres exchange digests: each side sends a summary of its data
+// centre, with the members and the free capacity of the services. Digests are
+// then relayed within the data centre on the heartbeats. Heartbeats also carry
+// load reports, rate limits and leaving endpoints of the data centre. Digest
+// exchanges within a region carry leaving endpoints.
 //
 // From this view the package assigns tasks to hosts by rendezvous hashing, and
 // picks hosts for callers and for forwards. It neither decides where a request
@@ -38,16 +38,17 @@
 	suspectAfter      = 2 * time.Second        // without a newer heartbeat
 	deadAfter         = 4 * time.Second        // without a newer heartbeat
 	forgetAfter       = time.Minute            // without a newer heartbeat
-	SwapInterval      = time.Second            // between digest swaps with a remote data centre
-	// RelayInterval is the least time between two relays of one data centre's
+	SwapInterval      = time.Second            // between digest exchanges with a remote data centre
+	// RelayInterval is the minimum time between two relays of one data centre's
 	// digest to the same host, unless the digest reports a newer configuration.
 	RelayInterval = 2 * time.Second
 	// standbyAfter is the age of a data centre's digest from which a second host
-	// swaps with that data centre too: the first may be slow or cut off from it.
+	// exchanges digests with that data centre too: the first may be slow or cut
+	// off from it.
 	standbyAfter     = 5 * SwapInterval / 2
 	reachableFor     = 3 * time.Second  // age of its digest from which a data centre counts as unreachable
 	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after a host sent such a load report
-	avoidTime        = 2 * time.Second  // without forwards to a host after one to it was lost
+	avoidTime        = 2 * time.Second  // how long nothing is forwarded to a host after a forward to it was lost
 )
 
 // Config is what a Membership needs.
@@ -61,7 +62,7 @@
 	// LeavingEndpoints receives the leaving endpoints that other hosts report; nil ignores
 	// them.
 	LeavingEndpoints LeavingEndpoints
-	Revision         func() uint64 // newest configuration that this host holds
+	Revision         func() uint64 // returns the revision of the newest configuration that this host holds
 	Log              *slog.Logger
 	RandomSeed       uint64 // of the random choice of peers
 	// CallsWholeRegion is set if hosts call the endpoints of their whole region
@@ -69,7 +70,7 @@
 	CallsWholeRegion bool
 }
 
-// RateLimits receives the rate limit of an endpoint as another host knows it.
+// RateLimits receives the rate limit of an endpoint that another host reports.
 type RateLimits interface {
 	Learn(m *schema.EndpointRate)
 }
@@ -111,7 +112,7 @@
 	reported       vetchtrail.HostState  // by the host itself
 	relayed        map[string]relayState // what was last relayed to it, by data centre
 	sentState      sentState
-	wantFull       bool     // whether to request a full heartbeat from it: it sent a short ID that is not known here
+	wantFull       bool     // whether to request a full heartbeat from it, because it sent an unknown short ID
 	lacksMembersOf []string // data centres whose members it requested in its last heartbeat
 }
 
@@ -120,16 +121,16 @@
 // heartbeat, when a heartbeat to it failed, and every fullEvery heartbeats.
 type sentState struct {
 	shortIDs    map[uint32]bool                     // hosts whose full entry it has
-	loadsUpTo   uint64                              // number of load reports that this host had taken at the last heartbeat
+	loadsUpTo   uint64                              // sequence number of the newest load report at the last heartbeat
 	rateLimits  map[string]load.AdvertisedRateLimit // by endpoint
-	leavingUpTo time.Time                           // of the last heartbeat, which had the endpoints that were known to be leaving
+	leavingUpTo time.Time                           // time up to which learned leaving endpoints were sent; zero: none were sent
 	messages    int                                 // heartbeats sent since the last reset
 }
 
 // fullEvery is the number of heartbeats after which one is sent in full again.
 const fullEvery = 32
 
-// startMessage counts a heartbeat. It clears the state if this one is to be full.
+// startMessage counts a heartbeat. It clears the state if the heartbeat is to be a full one.
 func (t *sentState) startMessage() {
 	if t.messages%fullEvery == 0 {
 		*t = sentState{shortIDs: map[uint32]bool{}, rateLimits: map[string]load.AdvertisedRateLimit{}, messages: t.messages}
@@ -147,7 +148,7 @@
 	clear(b.relayed)
 }
 
-// New returns a membership that knows only this host.
+// New returns a membership whose only host is this one.
 func New(c Config) *Membership {
 	m := &Membership{
 		cfg:            c,
@@ -187,8 +188,8 @@
 	return m.shortID
 }
 
-// SetState sets the state that this host reports, and counts a heartbeat so that
-// other hosts take it as newer.
+// SetState sets the state that this host reports. It also increments the heartbeat
+// counter, so that other hosts accept the state as newer.
 func (m *Membership) SetState(s vetchtrail.HostState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -216,8 +217,8 @@
 	return out
 }
 
-// state is the state that a member reported, or suspect or dead if its
-// heartbeats stopped.
+// state returns the state that a member reported, or suspect or dead if no newer
+// heartbeat of it was received for some time.
 func (b *member) state(now time.Time) vetchtrail.HostState {
 	switch silent := now.Sub(b.LastSeen); {
 	case silent > deadAfter:
@@ -228,8 +229,8 @@
 	return b.reported
 }
 
-// Find returns a host of any data centre by its name. The state and the time of
-// a remote host are those of its data centre's newest digest.
+// Find returns a host of any data centre by its name. State and LastSeen of a
+// remote host are those of its data centre's newest digest.
 func (m *Membership) Find(name string, now time.Time) (vetchtrail.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -270,8 +271,8 @@
 }
 
 // IsAssigned reports whether this host is among the first n live hosts of its data
-// centre for a task, by rendezvous hashing. Hosts with different views may both
-// be for a while, so a task must tolerate being done twice.
+// centre for a task, by rendezvous hashing. For a while, hosts with different views
+// may all be assigned to it, so a task must tolerate being done by more than n hosts.
 func (m *Membership) IsAssigned(task string, n int, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -304,8 +305,8 @@
 }
 
 // NewestAhead returns the host that reported the newest revision, if that is newer
-// than this host's. Dead and suspect hosts are left out, and those of data
-// centres that are out of reach.
+// than this host's. It ignores dead and suspect hosts, and those of unreachable data
+// centres.
 func (m *Membership) NewestAhead(now time.Time) (vetchtrail.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -52,8 +52,8 @@
 
 // TestHostStates guards against a host that is taken for dead while it still runs, or for
 // alive after it stopped. A host without newer heartbeats must become suspect, then dead.
-// Its heartbeats also count when they come through another host. An older heartbeat must
-// change nothing, and a new incarnation must replace the old one.
+// Heartbeats that another host relays must count too. An older heartbeat must change nothing,
+// and a new incarnation must replace the old one.
 func TestHostStates(t *testing.T) {
 	a, b, c := newMembership("a", "dc", 1), newMembership("b", "dc", 2), newMembership("c", "dc", 3)
 	exchange(a, b, now)
@@ -67,7 +67,7 @@
 	exchange(a, b, now.Add(time.Second))
 	assert.Equal(t, stateOfC(a, now.Add(suspectAfter+1)), vetchtrail.HostReady)
 	assert.Equal(t, stateOfC(a, now.Add(time.Second+deadAfter+1)), vetchtrail.HostDead)
-	// An old heartbeat does not bring it back, a new incarnation does.
+	// An old heartbeat does not make it alive again, a new incarnation does.
 	later := now.Add(time.Minute / 2)
 	b.merge(a.heartbeatTo(b.self.PeerAddr, later), later)
 	assert.Equal(t, stateOfC(a, later), vetchtrail.HostDead)
@@ -82,8 +82,9 @@
 }
 
 // TestTaskAssignment guards against tasks that no host does, or more hosts than intended.
-// While all hosts know each other, exactly n must be assigned to each task, and FirstOthers must
-// name one of them. A host that no longer sees the others must take all tasks.
+// While all hosts know each other, exactly n must be assigned to each task, and FirstOthers
+// of a host that is not assigned must return one that is. A host that no longer receives
+// heartbeats must be assigned to all tasks.
 func TestTaskAssignment(t *testing.T) {
 	var all []*Membership
 	for i := range 5 {
@@ -114,10 +115,10 @@
 	assert.Assert(t, all[0].IsAssigned("any", 1, now.Add(deadAfter+1)), "a host that is alone has all tasks")
 }
 
-// TestDataCentreReturns guards against forwards to a data centre that is out of reach, and
-// against a full load on a data centre that has just returned, as the caches of its endpoints
-// may be cold. It must be unreachable when its digests stop, and return with a warm-up share that
-// grows with each answered forward.
+// TestDataCentreReturns guards against forwards to an unreachable data centre, and against a
+// full load on one that has just become reachable again, as the caches of its endpoints may be
+// cold. A data centre must become unreachable when its digests stop. Once they arrive again, it
+// must have a warm-up share that grows with each answered forward.
 func TestDataCentreReturns(t *testing.T) {
 	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
 	x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
@@ -128,14 +129,14 @@
 		assert.Equal(t, len(v.Remotes), 1)
 		return v.Remotes[0]
 	}
-	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(-20*time.Millisecond), now)
+	a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(now)}, now.Add(-20*time.Millisecond), now)
 	assert.Equal(t, view(now).Reachable, true)
 	assert.Equal(t, view(now).Delay, 10*time.Millisecond)
 	assert.Equal(t, view(now).FreeSlots, 10)
 	tooOld := now.Add(reachableFor + 1)
 	assert.Equal(t, view(tooOld).Reachable, false)
 	back := now.Add(time.Minute)
-	a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(back)}, back, back)
+	a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(back)}, back, back)
 	assert.Equal(t, view(back).WarmUpShare, warmUpStart)
 	for range 9 {
 		a.ForwardEnded("other", "s", vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}, back)
@@ -146,10 +147,10 @@
 	assert.Equal(t, view(back.Add(avoidTime)).Reachable, true)
 }
 
-// TestLostHostAvoided guards against a lost host that keeps getting forwards, and against a
-// data centre taken out of use because of a lost endpoint. A forward that was lost with its
-// host must take only this host out of use for avoidTime, and the data centre only with its
-// last host. A lost endpoint behind a host must take neither.
+// TestLostHostAvoided guards against a lost host that is still sent forwards, and against a
+// data centre that is not used because an endpoint was lost. After a forward was lost with its
+// host, only this host must be avoided for avoidTime, and the data centre only if all its hosts
+// are. The loss of an endpoint must have neither effect.
 func TestLostHostAvoided(t *testing.T) {
 	hostLost := func(name string) vetchtrail.Outcome {
 		return vetchtrail.Outcome{Peer: name, Step: vetchtrail.StepForward, Reason: vetchtrail.ReasonResponseLost, HostLost: true}
@@ -173,7 +174,7 @@
 			a, x, y := newMembership("a", "dc", 1), newMembership("x", "other", 9), newMembership("y", "other", 8)
 			x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
 			exchange(x, y, now)
-			a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
+			a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 			for _, o := range c.returned {
 				a.ForwardEnded("other", "s", o, now)
 			}
@@ -195,10 +196,10 @@
 	}
 }
 
-// TestGossipConverges guards against views that go back to an older process of a host, and
-// against hosts that stay unknown or keep a wrong state. Hosts exchange heartbeats at
-// random, lose some, restart and fall silent. After a few exchanges of all with all, each
-// host must know the newest incarnation of every other and see it as ready.
+// TestGossipConverges guards against views that revert to an older incarnation of a host, and
+// against hosts that stay unknown or keep a wrong state. Hosts exchange heartbeats at random,
+// lose some, restart and pause. After a few exchanges of all with all, each host
+// must have the newest incarnation of every other, in state ready.
 func TestGossipConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const hosts = 4
@@ -286,7 +287,7 @@
 			y := newMembership(fmt.Sprintf("other-%02d-host-%03d", i, k+2), fmt.Sprintf("other-%02d", i), byte(k+2))
 			x.merge(y.heartbeatTo(x.self.PeerAddr, now), now)
 		}
-		a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
+		a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 	}
 	return a, b
 }
@@ -350,9 +351,9 @@
 	}
 }
 
-// TestOlderDigest guards against a relayed digest that is older than the one held and
-// replaces it. At most, its members may be taken: if the held digest came without members,
-// and the hash shows that they are the same.
+// TestOlderDigest guards against a relayed digest that replaces the held one although it is
+// older. Only its members may be used, if the held digest came without members and the hash
+// shows that both have the same.
 func TestOlderDigest(t *testing.T) {
 	farMembers := []*schema.Member{{Name: "far", State: uint32(vetchtrail.HostReady), Peers: "10.0.0.2:1"}}
 	services := []*schema.ServiceDigest{{Service: "s", Free: 4, Slots: 4}}
--- a/process/membership/rank.go
+++ b/process/membership/rank.go
@@ -9,7 +9,7 @@
 )
 
 // Rank returns this host's rank for a task among the live hosts of its region and of its
-// data centre, by weighted rendezvous hashing: the number of hosts that go before it.
+// data centre, by weighted rendezvous hashing: the number of hosts that rank before it.
 // Hosts with different views may have the same rank for a while, so a task must
 // tolerate being done twice.
 func (m *Membership) Rank(task string, now time.Time) (region, dataCentre int) {
@@ -54,9 +54,8 @@
 	return r.first(n)
 }
 
-// ranking sorts hosts for a task. It points to the hosts instead of copying them, and
-// computes each key once, as tasks are ranked several times a second over all hosts of
-// a region.
+// ranking sorts hosts for a task. To be cheap, it points to the hosts instead of copying
+// them and computes each key once: all hosts of a region are ranked several times a second.
 type ranking struct {
 	task  string
 	hosts []ranked
@@ -109,8 +108,8 @@
 }
 
 // SeenShare returns the share of the known hosts of this host's region, itself included,
-// from which heartbeats or digests still arrive. The others have stopped, or are cut off
-// and still run.
+// from which heartbeats or digests still arrive. The others have stopped, or still run but
+// are cut off.
 func (m *Membership) SeenShare(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -12,9 +12,9 @@
 	"vetchtrail/schema"
 )
 
-// TestRank guards against two hosts of a region with the same rank for a task, while all
-// know each other by heartbeats and digests, and against a host that counts hosts of a data
-// centre that is out of reach.
+// TestRank guards against two hosts of a region with the same rank for a task although all
+// know each other by heartbeats and digests, and against ranks that count hosts of an
+// unreachable data centre.
 func TestRank(t *testing.T) {
 	var all []*Membership
 	for i := range 6 {
@@ -32,7 +32,7 @@
 	for _, a := range all {
 		for _, b := range all {
 			if a.self.DataCentre != b.self.DataCentre {
-				a.mergeSwapReply(&schema.Digests{Digest: b.localDigest(now)}, now, now)
+				a.mergeDigestReply(&schema.Digests{Digest: b.localDigest(now)}, now, now)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 		}
 	}
 	region, dataCentre := all[0].Rank("duty", now.Add(reachableFor))
-	assert.Equal(t, region, dataCentre, "the other data centre is out of reach")
+	assert.Equal(t, region, dataCentre, "the other data centre is unreachable")
 }
 
 // TestIntroduced guards against hosts of one data centre that never find each other, as
@@ -60,27 +60,27 @@
 func TestIntroduced(t *testing.T) {
 	seed := newMembership("seed", "other", 9)
 	first, second := newMembership("a", "dc", 1), newMembership("b", "dc", 2)
-	swapWithSeed := func(m *Membership, at time.Time) {
+	exchangeWithSeed := func(m *Membership, at time.Time) {
 		reply := seed.HandleDigests(&schema.Digests{From: m.self.Name, Digest: withoutMembers(m.localDigest(at))})
-		m.mergeSwapReply(reply, at, at)
-		if reply.GetWantMembers() { // as swapWith does
+		m.mergeDigestReply(reply, at, at)
+		if reply.GetWantMembers() { // as exchangeDigests does
 			seed.HandleDigests(&schema.Digests{From: m.self.Name, Digest: m.localDigest(at)})
 		}
 	}
-	swapWithSeed(first, now)
+	exchangeWithSeed(first, now)
 	assert.Equal(t, len(first.heartbeatTargets(now)), 0, "no other host is known yet")
-	swapWithSeed(second, now.Add(time.Second))
+	exchangeWithSeed(second, now.Add(time.Second))
 	assert.DeepEqual(t, fmt.Sprint(second.heartbeatTargets(now)), fmt.Sprintf("[%s]", first.self.PeerAddr))
 	exchange(second, first, now.Add(time.Second))
 	assert.Equal(t, len(second.pendingIntroduced()), 0, "the introduced host is known now")
 	second.mu.Lock()
-	second.noteIntroduced([]string{"not an address"})
+	second.recordIntroduced([]string{"not an address"})
 	second.mu.Unlock()
 	assert.Equal(t, len(second.pendingIntroduced()), 0)
 }
 
-// TestUnlistedHostRanksLast guards against a host that the platform does not list and that
-// does a task of the listed ones as well, so that too many hosts do it.
+// TestUnlistedHostRanksLast guards against a task that too many hosts do because a host that
+// the platform does not list does it in addition to the listed ones.
 func TestUnlistedHostRanksLast(t *testing.T) {
 	m := newMembership("a", "dc", 1)
 	assert.Equal(t, m.ListedRank("duty", now), 0, "no host is listed")
@@ -91,7 +91,7 @@
 }
 
 // TestRelayedLoads guards against load reports that are relayed without need, or not at all.
-// Where reports come with responses alone, a host must relay those of other hosts too, while
+// Where reports come only with responses, a host must also relay those of other hosts while
 // they are new. Where hosts poll endpoints, it must send only those that it fetched itself.
 // Either way a report must be sent once to each host.
 func TestRelayedLoads(t *testing.T) {
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -15,19 +15,19 @@
 	membersHash uint32    // hash of the members that were last relayed
 }
 
-// maxInlineMembers is the greatest number of members that are relayed with a digest as
-// soon as they change: some hundred bytes. Of a larger data centre, members are relayed
-// only to hosts that request them.
+// maxInlineMembers is the maximum number of members that are relayed with a digest as soon
+// as they change; they take some hundred bytes. The members of a larger data centre are
+// relayed only to hosts that request them.
 const maxInlineMembers = 16
 
-// RelayFanout is the number of hosts that each host relays a digest to. Of a data centre,
-// the digests of three swaps are new enough at a time, and each of them reaches all but
-// a few of a hundred hosts.
+// RelayFanout is the number of hosts that each host relays a digest to. With it, each digest
+// reaches all but a few of a hundred hosts. At any time, the last three digests of a data
+// centre are new enough for it to count as reachable.
 const RelayFanout = 4
 
 // due reports whether the newest digest of a data centre is to be relayed to a member.
-// A digest with a newer configuration is relayed at once. Another is relayed
-// RelayInterval after the last one, and to at most RelayFanout hosts.
+// A digest that reports a newer configuration is relayed at once. Any other is relayed no
+// sooner than RelayInterval after the last one, and to at most RelayFanout hosts.
 func (r relayState) due(d *remote, now time.Time) bool {
 	if !d.digestTime.After(r.digestTime) {
 		return false
@@ -36,9 +36,10 @@
 }
 
 // relaysFor returns the digests of remote data centres to send to a member. A host relays
-// every digest that it holds, not only those that it swapped for itself. From the host
-// that swapped alone, a digest would reach only that host's gossip peers before it is
-// too old, and in a data centre of hundreds these are few. The caller holds the lock.
+// every digest that it holds, not only those that it received from the remote data centre
+// itself. If only the receiving host relayed a digest, it would reach only the gossip peers
+// of that host before it is too old, and these are few in a data centre of hundreds. The
+// caller holds the lock.
 func (m *Membership) relaysFor(to *member, now time.Time) []*schema.Digest {
 	var out []*schema.Digest
 	for name, d := range m.remotes {
@@ -62,10 +63,10 @@
 }
 
 // membersToRequest returns the data centres whose members this host requests in its next
-// heartbeat: those of which it holds none, and those of which it has lacked the newest
-// for RelayInterval. It waits, and requests them from one host at each HeartbeatInterval
-// only, as a list of members grows with the data centre and changes all the time while
-// its hosts start. The caller holds the lock.
+// heartbeat: those of which it holds no members, and those of which it has lacked the newest
+// members for RelayInterval. The wait, and the limit to one request each HeartbeatInterval,
+// keep the traffic low: the list of members is long in a large data centre, and changes all
+// the time while the hosts there start. The caller holds the lock.
 func (m *Membership) membersToRequest(now time.Time) []string {
 	var out []string
 	for name, d := range m.remotes {
--- a/process/membership/relay_test.go
+++ b/process/membership/relay_test.go
@@ -14,7 +14,7 @@
 
 // relayRun is the result of runRelays.
 type relayRun struct {
-	unreachable, checks int           // after settleTime: checks of a host that found the remote data centre out of reach, and all checks
+	unreachable, checks int           // after settleTime: checks in which a host had the remote data centre as unreachable, and all checks
 	reachedAfter        time.Duration // time from the start until all hosts could forward to the remote data centre
 	relayRate           float64       // after settleTime: digests relayed each second, for each host
 	startBytes          float64       // before settleTime: bytes of digests relayed each second, for each host
@@ -25,8 +25,8 @@
 	observedTime = 10 * time.Second // after settleTime
 )
 
-// runRelays simulates a data centre whose hosts all start at once. One of them swaps
-// digests with a remote data centre of the same size and relays them to the others.
+// runRelays simulates a data centre whose hosts all start at once. One of them receives the
+// digests of a remote data centre of the same size and relays them to the others.
 func runRelays(hosts int) relayRun {
 	var r relayRun
 	s := newSimulation(hosts, 10)
@@ -39,7 +39,7 @@
 	for n := range int((settleTime + observedTime) / HeartbeatInterval) {
 		s.tick()
 		if n%int(SwapInterval/HeartbeatInterval) == 0 {
-			s.swapWith(other)
+			s.deliverDigest(other)
 		}
 		if r.reachedAfter == 0 && s.allReach("other") {
 			r.reachedAfter = time.Duration(n) * HeartbeatInterval
@@ -59,9 +59,9 @@
 	return r
 }
 
-// swapWith gives the digest of a remote data centre to the host that is assigned to swap
-// with it.
-func (s *simulation) swapWith(other *Membership) {
+// deliverDigest merges the digest of a remote data centre at the host that is assigned to
+// exchange digests with it.
+func (s *simulation) deliverDigest(other *Membership) {
 	for _, m := range s.hosts {
 		if m.IsAssigned("digest other", 1, s.now) {
 			m.mu.Lock()
@@ -71,18 +71,18 @@
 	}
 }
 
-// TestDigestsReachAll guards against hosts that take a remote data centre for out of reach
-// while one of their own swaps digests with it. That happens in a data centre of hundreds
-// if relays do not spread a digest before it is too old. After a start, all hosts must be
-// able to forward to the remote data centre within 4 s: a host that knows no host there
-// forwards nothing.
+// TestDigestsReachAll guards against hosts to which a remote data centre is unreachable
+// although another host of their data centre receives its digests. That happens in a data
+// centre of hundreds if relays do not spread a digest before it is too old. After a start,
+// all hosts must be able to forward to the remote data centre within 4 s: a host without
+// members of it forwards nothing.
 func TestDigestsReachAll(t *testing.T) {
 	const reachedWithin = 4 * time.Second
 	for _, hosts := range []int{20, 80, 160} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
 			r := runRelays(hosts)
-			t.Logf("out of reach in %d of %d checks, %.1f digests relayed a second and host, all hosts reach it after %s", r.unreachable, r.checks, r.relayRate, r.reachedAfter)
-			assert.Assert(t, r.unreachable*100 <= r.checks, "out of reach in %d of %d checks", r.unreachable, r.checks)
+			t.Logf("unreachable in %d of %d checks, %.1f digests relayed a second and host, all hosts reach it after %s", r.unreachable, r.checks, r.relayRate, r.reachedAfter)
+			assert.Assert(t, r.unreachable*100 <= r.checks, "unreachable in %d of %d checks", r.unreachable, r.checks)
 			assert.Assert(t, r.relayRate <= RelayFanout+1, "%.1f digests relayed a second and host", r.relayRate)
 			assert.Assert(t, r.reachedAfter > 0 && r.reachedAfter <= reachedWithin, "all hosts reach it after %s", r.reachedAfter)
 		})
@@ -90,9 +90,9 @@
 }
 
 // TestDigestsAtStart guards against a flood of digests while all hosts start. The members
-// of a data centre change all the time then, and a digest with members is as long as the
-// data centre is large. Digests must stay within the bytes that all control traffic of a
-// host may take.
+// of a data centre change all the time then, and the size of a digest with members grows
+// with their number. The digests alone must not take more bytes than all control traffic of
+// a host may.
 func TestDigestsAtStart(t *testing.T) {
 	const maxBytes = 4096 // a second and host
 	for _, hosts := range []int{20, 80, 160} {
@@ -118,9 +118,9 @@
 }
 
 // TestSmallDataCentreReachable guards against a host that reports a data centre as
-// reachable, but knows no host there to forward to: digests may be relayed without
-// members. Those of a small data centre must come with members, so that the host can
-// forward at once; those of a large one after a request.
+// reachable but has no host there to forward to, since digests may be relayed without
+// members. Digests of a small data centre must be relayed with members, so that the host can
+// forward at once. Those of a large one must be sent with members on request.
 func TestSmallDataCentreReachable(t *testing.T) {
 	cases := map[string]struct {
 		hosts   int
@@ -137,7 +137,7 @@
 				x.merge(newMembership(fmt.Sprint("y", n), "other", byte(n+10)).heartbeatTo(x.self.PeerAddr, now), now)
 			}
 			exchange(a, b, now)
-			a.mergeSwapReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
+			a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 			b.merge(a.heartbeatTo(b.self.PeerAddr, now), now)
 			_, picked := b.Pick("other", "s", now)
 			assert.Equal(t, picked, c.reaches)
--- a/process/membership/remote.go
+++ b/process/membership/remote.go
@@ -9,24 +9,24 @@
 	"vetchtrail/schema"
 )
 
-// remote is what this host knows about a remote data centre.
+// remote is the state that this host holds of a remote data centre.
 type remote struct {
 	digest           *schema.Digest    // the newest, with the newest members that are held
 	hosts            []vetchtrail.Host // cached by allHosts
-	hostsFrom        []*schema.Member  // entries that hosts was read from
+	hostsFrom        []*schema.Member  // entries that hosts was decoded from
 	digestTime       time.Time         // when the digest was made, by this host's clock
 	complete         bool              // whether the held members are those of the newest digest
 	relayCount       int               // number of hosts that the digest was relayed to
-	incompleteSince  time.Time         // when complete last became false; before that, when the first digest came
+	incompleteSince  time.Time         // when complete last became false; initially, when the first digest was received
 	membersRequested time.Time         // when this host last requested the members
 	delay            time.Duration     // one way
 	inFlight         map[string]int    // forwards in flight from this host, by service
 	warmUpShare      float64           // share of the free slots that this host uses
 }
 
-// allHosts returns the data centre's hosts. It reads the digest's entries only when
-// they have changed, as most digests have the members of the one before. The caller
-// holds the lock and does not change the hosts.
+// allHosts returns the data centre's hosts. It decodes the digest's entries only if the
+// members were replaced, as successive digests mostly share them. The caller holds the
+// lock and must not change the hosts.
 func (d *remote) allHosts() []vetchtrail.Host {
 	entries := d.digest.GetMembers()
 	if len(entries) == 0 {
@@ -127,8 +127,8 @@
 }
 
 // ForwardEnded implements vetchtrail.HostTable. Only the loss of the host that the
-// request was forwarded to counts against the data centre. A lost endpoint behind that
-// host must not take the whole data centre out of use.
+// request was forwarded to counts against the data centre: the loss of an endpoint that
+// the host called must not stop all forwards to the data centre.
 func (m *Membership) ForwardEnded(dataCentre, service string, o vetchtrail.Outcome, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -145,9 +145,9 @@
 	}
 }
 
-// avoidHost forwards nothing to a host for avoidTime. If the data centre has no other
-// host left, its warm-up share starts anew, as its endpoints may have restarted
-// too. The caller holds the lock.
+// avoidHost makes Pick skip a host for avoidTime. If no host of the data centre is left to
+// forward to, its warm-up share is reset, as its endpoints may have restarted too. The
+// caller holds the lock.
 func (m *Membership) avoidHost(d *remote, name string, now time.Time) {
 	for avoided, until := range m.avoidUntil {
 		if !now.Before(until) {
