--- a/process/journal/history.go
+++ b/process/journal/history.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// contextBefore and contextAfter extend the time of a request's lines to that of its
-	// context. They allow for listings that are some seconds late.
+	// contextBefore and contextAfter are how long before and after a request's lines the lines
+	// of its context may be. They allow for listings that are some seconds late.
 	contextBefore = 10 * time.Second
 	contextAfter  = 5 * time.Second
 )
 
-// History holds the log lines of one request from several hosts, in the order of time.
+// History holds the log lines of one request from several hosts, sorted by time.
 type History struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
-	// Context holds the context: the lines of the same hosts about that time, on the request's
-	// endpoints, the platform or the configuration.
+	// Context holds lines that may explain those of the request: lines of the same hosts from
+	// about the same time on the request's endpoints, the platform or the configuration.
 	Context []Line `json:"beliefs"`
 	// Unread is the number of lines that were not valid JSON, such as one cut off at the end
 	// of a log.
@@ -45,7 +45,8 @@
 	return h, nil
 }
 
-// read adds the lines of one log: those of the request to h, and those of no request to hostLines.
+// read reads one log. It adds the lines of the request to h, and the lines that belong to no request
+// to hostLines.
 func (h *History) read(log io.Reader, hostLines *[]Line) error {
 	thisRequest, anyRequest := []byte(`"`+h.Request+`"`), []byte(`"request":"`)
 	relevant := func(text []byte) bool { return !bytes.Contains(text, anyRequest) || bytes.Contains(text, thisRequest) }
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// addContext selects the request's context from lines of no request: lines of its hosts, about
-// its time, on one of its targets or on no endpoint.
+// addContext selects the request's context from lines that belong to no request: lines of the
+// request's hosts, from about the time of the request, on one of its targets or on no endpoint.
 func (h *History) addContext(lines []Line) {
 	if len(h.Lines) == 0 {
 		return
@@ -89,10 +90,10 @@
 	}
 }
 
-// msgDirectory is the message of an answer of the directory, which concerns no request.
+// msgDirectory is the message of a directory server's answer to a caller. It explains no request.
 const msgDirectory = "directory answer"
 
-// Verdict returns a line on how the request ended and where to look for the cause.
+// Verdict returns one line that says how the request ended and where to look for the cause.
 func (h *History) Verdict() string {
 	finalOutcome, ok := h.finalOutcome()
 	if !ok {
@@ -121,8 +122,8 @@
 	return Line{}, false
 }
 
-// endpointOutcome returns the outcome at the host that called the endpoint: the last one with a
-// first byte of an answer or, if there is none, the first one.
+// endpointOutcome returns the outcome at the host that called the endpoint: the last outcome with a
+// time of the answer's first byte or, if there is none, the first outcome.
 func (h *History) endpointOutcome() Line {
 	var out Line
 	for _, l := range h.Lines {
@@ -133,8 +134,8 @@
 	return out
 }
 
-// predicted returns the time to the first byte of the answer that the last decision to run the
-// request at an endpoint predicted.
+// predicted returns the time to the first byte of the answer as predicted by the last decision to
+// run the request at an endpoint.
 func (h *History) predicted() time.Duration {
 	var out time.Duration
 	for _, l := range h.Lines {
--- a/process/journal/history_test.go
+++ b/process/journal/history_test.go
@@ -28,7 +28,7 @@
 )
 
 // TestReadHistory guards against a history that has lines of other requests, lacks lines that
-// explain the request, or gives a wrong verdict. The logs come from several hosts in any order
+// explain the request, or gives a wrong verdict. The logs are those of several hosts in any order
 // and may be incomplete.
 func TestReadHistory(t *testing.T) {
 	cases := map[string]struct {
--- a/process/journal/journal.go
+++ b/process/journal/journal.go
@@ -1,7 +1,7 @@
 // Package journal records what a host decides about requests and how they end: it writes a log
-// line for each decision, outcome and lost attempt, and keeps the newest records for operators.
-// A goroutine writes the lines from a bounded queue, so that a slow log never delays a request;
-// lines that don't fit are dropped and counted.
+// line for each decision, outcome and lost attempt, and keeps the newest decisions and outcomes in
+// memory for operators. A goroutine writes the lines from a bounded queue, so that a slow log never
+// delays a request; lines that don't fit into the queue are dropped and counted.
 //
 // The package also reads such logs back: ReadHistory collects the lines of one request from the
 // logs of several hosts, and ReadLosses counts how requests ended and why.
@@ -18,8 +18,8 @@
 )
 
 const (
-	maxRecent = 2048 // records kept for operators
-	maxQueued = 4096 // records waiting to be written to the log
+	maxRecent = 2048 // maximum number of records kept for operators
+	maxQueued = 4096 // maximum number of records waiting to be written to the log
 )
 
 // Config holds the dependencies of a Journal.
@@ -38,7 +38,7 @@
 	mu     sync.Mutex
 	queued []vetchtrail.JournalRecord // waiting to be written
 	recent []vetchtrail.JournalRecord // a ring buffer once it has maxRecent records
-	count  int                        // records that were ever added to recent
+	count  int                        // number of records ever added to recent
 }
 
 // New returns an empty journal. Run writes its records to the log.
@@ -46,8 +46,8 @@
 	return &Journal{log: c.Log, wake: make(chan struct{}, 1)}
 }
 
-// Note queues a record for the log and, unless it describes a lost attempt, adds it to the recent
-// ones. It doesn't block: if the queue is full, the record is not logged.
+// Note implements vetchtrail.Recorder: it queues a record for the log and, unless the record
+// describes a lost attempt, keeps it for operators. If the queue is full, the record is not logged.
 func (j *Journal) Note(r vetchtrail.JournalRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -78,12 +78,12 @@
 // Dropped returns the number of records that were not logged because the queue was full.
 func (j *Journal) Dropped() uint64 { return j.dropped.Load() }
 
-// Recent returns up to most of the recent records that match, newest first.
-func (j *Journal) Recent(most int, match func(*vetchtrail.JournalRecord) bool) []vetchtrail.JournalRecord {
+// Recent returns the recent records for which match is true, newest first, at most limit of them.
+func (j *Journal) Recent(limit int, match func(*vetchtrail.JournalRecord) bool) []vetchtrail.JournalRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var out []vetchtrail.JournalRecord
-	for i := j.count - 1; i >= max(0, j.count-maxRecent) && len(out) < most; i-- {
+	for i := j.count - 1; i >= max(0, j.count-maxRecent) && len(out) < limit; i-- {
 		if r := &j.recent[i%maxRecent]; match(r) {
 			out = append(out, *r)
 		}
@@ -91,7 +91,7 @@
 	return out
 }
 
-// Run writes queued records to the log until ctx ends, and then those that are left.
+// Run writes queued records to the log until ctx ends, and then the remaining ones.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		select {
@@ -115,7 +115,8 @@
 	}
 }
 
-// write writes a record to the log as a line of its kind: lost attempt, outcome or decision.
+// write writes a record to the log. Its message depends on whether the record describes a lost
+// attempt, an outcome or a decision.
 func (j *Journal) write(r *vetchtrail.JournalRecord) {
 	if r.Lost {
 		j.log.Info(MsgLost, "request", r.Request, "service", r.Service, "route", r.Route, "workspace", r.Workspace, "peer", r.Outcome.Peer,
@@ -156,7 +157,7 @@
 }
 
 // timeToFirst returns the time from r.At, a request's arrival or an attempt's start, to the first
-// byte of the answer. It is 0 if there was no answer or the request ran elsewhere.
+// byte of the answer. It is 0 if there was no answer or another host called the endpoint.
 func timeToFirst(r *vetchtrail.JournalRecord) time.Duration {
 	if r.Outcome.FirstByte.IsZero() {
 		return 0
@@ -164,14 +165,14 @@
 	return r.Outcome.FirstByte.Sub(r.At)
 }
 
-// loggedCandidate is a candidate that was not chosen, as it is written to the log.
+// loggedCandidate is a candidate that was not chosen, in its log format.
 type loggedCandidate struct {
 	Name   string  `json:"name"`
 	Cost   float64 `json:"cost"`
 	Reason string  `json:"reason"`
 }
 
-// loggedCandidates returns the candidates that a decision kept for the log.
+// loggedCandidates returns the candidates that a decision recorded, in their log format.
 func loggedCandidates(d *vetchtrail.Decision) []loggedCandidate {
 	out := make([]loggedCandidate, 0, d.Recorded)
 	for _, c := range d.Candidates[:d.Recorded] {
--- a/process/journal/lines.go
+++ b/process/journal/lines.go
@@ -18,8 +18,8 @@
 const (
 	MsgDecision = "decision" // where a request is to run, or why it is refused
 	MsgOutcome  = "outcome"  // how a request ended at a host
-	// MsgLost is logged for each attempt that may have run without a whole answer. The outcome
-	// describes only the last attempt.
+	// MsgLost is logged for each attempt that may have run but got no complete answer. The
+	// outcome line describes only the last attempt.
 	MsgLost = "attempt lost"
 )
 
@@ -38,14 +38,14 @@
 	Reason    string `json:"reason,omitempty"`
 	Revision  uint64 `json:"revision,omitempty"`
 
-	// Of a decision.
+	// Fields of a decision.
 	Decision   string            `json:"decision,omitempty"`
 	Target     string            `json:"target,omitempty"` // endpoint, host or data centre that was chosen
 	Home       string            `json:"home,omitempty"`   // the workspace's home region, or the region in which the request arrived
 	Attempt    int               `json:"attempt,omitempty"`
 	Prompt     int               `json:"prompt,omitempty"`     // tokens
 	Wait       time.Duration     `json:"wait,omitempty"`       // predicted time to the first byte of the answer
-	Backlog    time.Duration     `json:"backlog,omitempty"`    // until the target has read the prompts that it got before
+	Backlog    time.Duration     `json:"backlog,omitempty"`    // until the target has read the prompts sent to it before
 	Holds      int               `json:"holds,omitempty"`      // prompt tokens that the target probably has cached
 	Gap        time.Duration     `json:"gap,omitempty"`        // interval between events of the target's streams
 	ReportAge  time.Duration     `json:"report_age,omitempty"` // age of the target's load report
@@ -55,21 +55,21 @@
 	Candidates []loggedCandidate `json:"candidates,omitempty"` // some of those that were not chosen
 	Goal       time.Duration     `json:"goal,omitempty"`       // from the decision to the request's latency goal
 	Left       time.Duration     `json:"left,omitempty"`       // from the decision to the request's deadline
-	Fresh      bool              `json:"fresh,omitempty"`      // the caller's first attempt
+	Fresh      bool              `json:"fresh,omitempty"`      // the caller has most of its time left, so it can retry after a refusal
 
-	// Cost of one run in units of the workspace's quota, what was left of the quota at this
-	// host and in its region, and the age of that information.
+	// Cost of the request in units of the workspace's quota, the remaining quota at this host
+	// and in its region, and the age of these figures.
 	Charge      float64       `json:"charge,omitempty"`
 	QuotaHere   float64       `json:"quota_here,omitempty"`
 	QuotaRegion float64       `json:"quota_region,omitempty"`
 	QuotaAge    time.Duration `json:"quota_age,omitempty"`
 
-	// Of an outcome.
+	// Fields of an outcome or of a lost attempt.
 	Outcome string        `json:"outcome,omitempty"`
 	Step    string        `json:"step,omitempty"`
 	Peer    string        `json:"peer,omitempty"`   // endpoint or host where the request ended
-	Took    time.Duration `json:"took,omitempty"`   // from the request's arrival at this host
-	First   time.Duration `json:"first,omitempty"`  // from the arrival to the first byte of the answer
+	Took    time.Duration `json:"took,omitempty"`   // from the request's arrival at this host, or the attempt's start
+	First   time.Duration `json:"first,omitempty"`  // from then to the first byte of the answer
 	Status  int           `json:"status,omitempty"` // HTTP status
 	Events  int           `json:"events,omitempty"` // of a streamed answer
 	Begun   bool          `json:"begun,omitempty"`  // part of the answer was sent to the caller
@@ -77,11 +77,11 @@
 	HostLost bool   `json:"host_lost,omitempty"`
 	Error    string `json:"error,omitempty"`
 
-	// Digest is the content hash of the request of a lost attempt. Requests with the same one
-	// are repeats.
+	// Digest is the content hash of the request of a lost attempt. Requests with the same hash
+	// are repeats of each other.
 	Digest string `json:"digest,omitempty"`
 
-	// Of a change that a host logs about an endpoint, a data centre or the platform.
+	// Fields of a line about an endpoint, a data centre or the platform.
 	Endpoint      string `json:"endpoint,omitempty"`
 	DataCentre    string `json:"data_centre,omitempty"`
 	State         string `json:"state,omitempty"`
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -12,7 +12,7 @@
 // Cause is why a request was answered late or not at all. Its text is shown to operators.
 type Cause string
 
-// Causes, with CauseNone for a request that was answered in time.
+// Causes. CauseNone is that of a request that was answered in time.
 const (
 	CauseNone                Cause = "in time"
 	CauseRefusedFirstAttempt Cause = "refused at its first try"
@@ -31,15 +31,17 @@
 	CauseEndpointFailed      Cause = "failed at its endpoint"
 	CauseCallerGone          Cause = "left by its caller"
 	CauseNoOutcome           Cause = "no end in the logs: its host ended, or lines were dropped"
-	minServerErrorStatus           = 500 // HTTP status
 )
 
+// minServerErrorStatus is the lowest HTTP status of a server error.
+const minServerErrorStatus = 500
+
 // reasonQuarantined is the reason for refusing a quarantined request.
 const reasonQuarantined = "held-back"
 
-// reasonLimited is the reason for refusing a request when nothing is left of the endpoints' rate
-// limits.
-const reasonLimited = "endpoint-limited"
+// reasonRateLimited is the reason for refusing a request because the endpoints' rate limits are
+// used up.
+const reasonRateLimited = "endpoint-limited"
 
 // CauseCount is the number of requests that ended with one cause in one second, by service,
 // route, home and workspace. The second is that of the request's first decision.
@@ -57,7 +59,7 @@
 // Losses counts the requests in the logs of several hosts by how they ended.
 type Losses struct {
 	From   time.Time    `json:"from"` // time of the first line
-	Rows   []CauseCount `json:"rows"` // in the order of time
+	Rows   []CauseCount `json:"rows"` // sorted by time
 	Unread int          `json:"unread"`
 }
 
@@ -85,7 +87,7 @@
 			r.firstDecision = r.outcome // quarantined requests are refused before any decision
 		}
 		if r.firstDecision.Msg == "" {
-			continue // only the log of the host that it was forwarded to is there
+			continue // the only log given is that of the host that the request was forwarded to
 		}
 		counts[CauseCount{
 			Second: int(r.firstDecision.Time.Sub(out.From).Seconds()), Service: r.firstDecision.Service, Route: r.firstDecision.Route,
@@ -143,8 +145,8 @@
 	}
 }
 
-// addOutcome adds an outcome. Its line is written at the end of the request; its First and Took
-// count from the request's arrival at that host.
+// addOutcome adds an outcome. Its line is written when the request ends; First and Took are measured
+// from the request's arrival at that host, so that the answer began at Time + First - Took.
 func (r *requestLog) addOutcome(l Line) {
 	if l.First > 0 {
 		if at := l.Time.Add(l.First - l.Took); r.answerBegan.IsZero() || at.Before(r.answerBegan) {
@@ -171,7 +173,7 @@
 		return CauseOverQuota
 	case e.Reason == reasonQuarantined:
 		return CauseQuarantined
-	case e.Outcome == "not-run" && e.Reason == reasonLimited:
+	case e.Outcome == "not-run" && e.Reason == reasonRateLimited:
 		return CauseRateLimited
 	case e.Outcome == "not-run" && r.firstDecision.Fresh:
 		return CauseRefusedFirstAttempt
