--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -188,7 +188,7 @@
 		})
 	}
 	d.quotas = quotas.New(quotas.Config{
-		Self: d.self, QuotaSource: func() quotas.QuotaSource { return d.changes.Rules() }, Hosts: d.membership, Peers: d.peers, Strategy: d.cfg.Quotas.Way, Clock: clock.Boot, Log: d.log,
+		Self: d.self, QuotaSource: func() quotas.QuotaSource { return d.changes.Rules() }, Hosts: d.membership, Peers: d.peers, Strategy: d.cfg.Quotas.Strategy, Clock: clock.Boot, Log: d.log,
 		Tolerance: quota.Tolerance{Window: d.cfg.Quotas.Window, Overage: d.cfg.Quotas.Overage, Slack: d.cfg.Quotas.Slack},
 	})
 	off := vetchtrail.MechanismsOf(d.cfg.SwitchedOff...)
--- a/process/settings/position.go
+++ b/process/settings/position.go
@@ -13,9 +13,9 @@
 	"vetchtrail"
 )
 
-// withPosition returns the text of a decoding error with the line and column at fault. The YAML
-// library knows the position of an unknown key or of a value of the wrong kind, but not that of
-// a text that could not be parsed as its type.
+// withPosition returns the text of a decoding error with the line and column of its cause. The YAML
+// library reports the position of an unknown key or of a value of the wrong kind, but not that of
+// a value whose text could not be parsed as its type.
 func withPosition(text []byte, err error) string {
 	formatted := yaml.FormatError(err, false, true)
 	if len(formatted) > 0 && formatted[0] == '[' {
@@ -38,8 +38,8 @@
 // valueFinder visits the nodes of a YAML file and finds the first value whose parsing fails with
 // the library's error message.
 type valueFinder struct {
-	message string // the library's
-	found   string // the same with position and value; empty until found
+	message string // error message of the library
+	found   string // the message with position and value; empty until found
 }
 
 // Visit implements ast.Visitor.
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks the settings file of one daemon: its name, its addresses,
-// those of the platform, its limits. What applies to the whole system, such as services and
-// routes, is not here but in the configuration, which is persisted on the platform.
+// Package settings reads and checks the settings file of one daemon, with the host's name, its
+// addresses, those of the platform, and limits. What applies to the whole system, such as services
+// and routes, is not in the settings but in the configuration, which is persisted on the platform.
 package settings
 
 import (
@@ -29,14 +29,14 @@
 	DataCentre string           `yaml:"data_centre"` // data centre of the host
 	Listen     Listen           `yaml:"listen"`
 	Platform   Platform         `yaml:"platform"`
-	Seeds      []netip.AddrPort `yaml:"seeds"`     // peer addresses of some hosts in any data centre, to find the others through
+	Seeds      []netip.AddrPort `yaml:"seeds"`     // peer addresses of some hosts in any data centre, for discovery of the others
 	Translate  []Translation    `yaml:"translate"` // networks that this host reaches under other addresses
 	Policy     string           `yaml:"policy"`    // name of the policy that decides where requests run
 	// SwitchedOff names the mechanisms that are not used, in order to measure their effect.
 	SwitchedOff []vetchtrail.Mechanism `yaml:"switched_off"`
 	Limits      Limits                 `yaml:"limits"`
 	Timing      Timing                 `yaml:"timing"`
-	Explain     bool                   `yaml:"explain"` // name in responses the endpoint that made them
+	Explain     bool                   `yaml:"explain"` // name the endpoint in a header of each response
 	Log         Log                    `yaml:"log"`
 	TLS         TLS                    `yaml:"tls"`
 	Retries     Retries                `yaml:"retries"`
@@ -46,8 +46,8 @@
 // Listen holds the addresses that the daemon listens on. Callers and Peers are required.
 type Listen struct {
 	Callers netip.AddrPort `yaml:"callers"`
-	// Ready serves the readiness probe of a hosted platform, Directory gives callers of a
-	// hosted platform the hosts to use, and Metrics serves the process's metrics.
+	// Ready serves the readiness probe of a hosted platform, Directory serves callers of a
+	// hosted platform the list of hosts to use, and Metrics serves the process's metrics.
 	Ready     netip.AddrPort `yaml:"ready"`
 	Directory netip.AddrPort `yaml:"directory"`
 	Metrics   netip.AddrPort `yaml:"metrics"`
@@ -66,8 +66,8 @@
 	DataCentres map[string]string `yaml:"data_centres"`
 	// Weights holds the weights of services on a hosted platform, whose configuration has none.
 	Weights Weights `yaml:"weights"`
-	// KnownWithin is the time within which all hosts of a hosted platform must know of an
-	// endpoint that is leaving, and of a new configuration.
+	// KnownWithin is the time within which a leaving endpoint or a new configuration must be
+	// known to all hosts of a hosted platform.
 	KnownWithin time.Duration `yaml:"known_within"`
 }
 
@@ -83,23 +83,23 @@
 	PlatformHosted = "hosted"
 )
 
-// Retries bounds the attempts after the first for a service: in any span of length Window, they
-// are at most Share of the requests plus Base. The bound holds for all hosts together on a hosted
-// platform, and for each host otherwise.
+// Retries bounds the retries for a service: in any span of length Window, they are at most Share of
+// the requests plus Base. The bound holds for all hosts together on a hosted platform, and for each
+// host otherwise.
 type Retries struct {
 	Window time.Duration `yaml:"window"`
-	Share  float64       `yaml:"share"` // attempts for each request
-	Base   float64       `yaml:"base"`  // attempts in addition to the share
+	Share  float64       `yaml:"share"` // retries for each request
+	Base   float64       `yaml:"base"`  // retries in addition to the share
 }
 
 // Quotas sets how the quotas of workspaces are enforced, and the tolerance by which all hosts
 // together may exceed one: in any window, they run at most
 // (rate x window + burst) x (1 + overage) + slack units.
 type Quotas struct {
-	Way     string        `yaml:"way"` // one of quotas.Strategies: leased, told or equal
-	Window  time.Duration `yaml:"window"`
-	Overage float64       `yaml:"overage"`
-	Slack   float64       `yaml:"slack"` // units
+	Strategy string        `yaml:"way"` // one of quotas.Strategies: leased, told or equal
+	Window   time.Duration `yaml:"window"`
+	Overage  float64       `yaml:"overage"`
+	Slack    float64       `yaml:"slack"` // units
 }
 
 // Translation maps the addresses of a network to those under which this host reaches it.
@@ -113,7 +113,8 @@
 	Body    int `yaml:"body"`    // maximum size of a caller's request body, in bytes
 	Records int `yaml:"records"` // maximum size of the responses stored for repeated requests, in bytes
 	Memory  int `yaml:"memory"`  // memory for the process, in MB; 0: unbounded
-	// Link and Processor are the host's own, to weigh it against other hosts; 0: unknown.
+	// Link and Processor are the capacity of the host, by which it is weighted against other
+	// hosts; 0: unknown.
 	Link      float64 `yaml:"link"`      // Mbit/s
 	Processor float64 `yaml:"processor"` // cores
 }
@@ -167,14 +168,14 @@
 	// tailWeight is the cost of a second of predicted time to the first token.
 	tailWeight = 1
 	// awayWeight is the cost of leaving the caller's region, in addition to the network delay.
-	// It is just enough to prefer the region among equal candidates, so that links between
-	// regions carry no needless traffic.
+	// It is just enough to prefer the caller's region among equal candidates, so that links
+	// between regions carry no needless traffic.
 	awayWeight = 0.02
 	// costWeight is the cost of a second of an endpoint's time: the more time requests take,
-	// the fewer are served at a peak.
+	// the fewer are served at peak load.
 	costWeight = 0.2
 	// readWeight is the cost of a second in which an endpoint reads prompt tokens that it
-	// doesn't have cached: all its streams pause meanwhile, some 20 at a peak.
+	// doesn't have cached: all its streams pause meanwhile, some 20 at peak load.
 	readWeight = 20
 	// maxWeight bounds each weight.
 	maxWeight = 1000
@@ -187,10 +188,10 @@
 		Limits: Limits{Body: defaultBodyBytes, Records: defaultRecordsBytes},
 		Timing: Timing{Poll: 500 * time.Millisecond, KeyTime: 15 * time.Minute, Leave: 3 * time.Second},
 		Log:    Log{Format: "text", Level: "info"},
-		// A tenth of the requests, and a few attempts for a service with little traffic.
+		// A tenth of the requests, and a few retries more for a service with little traffic.
 		Retries: Retries{Window: 10 * time.Second, Share: 0.1, Base: 5},
 		// Without overage and slack, the hosts together may not exceed a quota.
-		Quotas: Quotas{Way: quotas.StrategyLeased, Window: 10 * time.Second},
+		Quotas: Quotas{Strategy: quotas.StrategyLeased, Window: 10 * time.Second},
 		Platform: Platform{Kind: PlatformOwn, KnownWithin: defaultKnownWithin, Weights: Weights{
 			Model: document.Weights{Tail: tailWeight, Away: awayWeight, Cost: costWeight, Read: readWeight},
 			Plain: document.Weights{Tail: tailWeight, Away: awayWeight},
@@ -225,8 +226,8 @@
 // rule is a condition that a setting must meet.
 type rule struct {
 	violated bool
-	name     string
-	text     string // what is wrong if it is violated
+	name     string // of the setting
+	text     string // how the setting violates the rule
 }
 
 // check returns an error for the first rule that the settings violate.
@@ -257,7 +258,7 @@
 		{!(s.Limits.Link >= 0) || !(s.Limits.Processor >= 0), "limits", "must not be below 0"},
 		{s.Retries.Window < time.Second, "retries.window", "must be 1s or more"},
 		{s.Retries.Share < 0 || s.Retries.Base < 0, "retries", "must not be below 0"},
-		{!slices.Contains(quotas.Strategies, s.Quotas.Way), "quotas.way", "is not one of " + strings.Join(quotas.Strategies, ", ")},
+		{!slices.Contains(quotas.Strategies, s.Quotas.Strategy), "quotas.way", "is not one of " + strings.Join(quotas.Strategies, ", ")},
 		{s.Quotas.Window < time.Second, "quotas.window", "must be 1s or more"},
 		{!(s.Quotas.Overage >= 0) || !(s.Quotas.Slack >= 0), "quotas", "must not be below 0"},
 		{s.TLS.On() && s.TLS.PrivateNetwork, "tls.private_network", "can't be combined with certificate, key and authority"},
@@ -283,7 +284,7 @@
 
 var weightsProblem = fmt.Sprintf("must be from 0 to %d each, with at least one above 0", maxWeight)
 
-// invalidWeights reports whether a weight is out of range or all weights are 0.
+// invalidWeights reports whether a weight is out of range or not a number, or all weights are 0.
 func invalidWeights(w document.Weights) bool {
 	for _, x := range []float64{w.Tail, w.Away, w.Cost, w.Read} {
 		if !(x >= 0 && x <= maxWeight) { // negated to catch NaN, too
@@ -296,7 +297,7 @@
 // outOfRange reports whether d is below low or above high.
 func outOfRange(d, low, high time.Duration) bool { return d < low || d > high }
 
-// Translations returns the settings of Translate for the client for peers.
+// Translations returns Translate in the form that the client for peers needs.
 func (s *Settings) Translations() []peer.Translation {
 	out := make([]peer.Translation, 0, len(s.Translate))
 	for _, t := range s.Translate {
--- a/process/settings/settings_test.go
+++ b/process/settings/settings_test.go
@@ -39,7 +39,7 @@
 		"wrong address":           {"127.0.0.1:7070", "127.0.0.1", `[6:10] "127.0.0.1": not an ip:port`},
 		"wrong seed":              {"127.0.0.2:7070", "nowhere:1", `[10:5] "nowhere:1"`},
 		"wrong network":           {"127.3.0.0/16", "127.3.0.0", `[13:9] "127.3.0.0"`},
-		"networks of other sizes": {"127.3.0.0/16", "127.3.0.0/24", "translate[0] needs from and to as IPv4 networks of the same size"},
+		"networks differ in size": {"127.3.0.0/16", "127.3.0.0/24", "translate[0] needs from and to as IPv4 networks of the same size"},
 		"wrong duration":          {"poll: 1s", "poll: 1x", `[15:9] "1x"`},
 		"duration too short":      {"poll: 1s", "poll: 1ms", "timing.poll must be from 50ms to 10s"},
 		"no host":                 {"host: a\n", "", "host is missing"},
