--- a/process/logs/logs.go
+++ b/process/logs/logs.go
@@ -1,7 +1,7 @@
-// Package logs keeps the output of the log from blocking the daemon, and the log from growing
-// without need. Writer buffers lines and writes them in a goroutine; lines that don't fit are
-// dropped, and their number is logged. Throttle bounds how often a line about the same subject
-// is logged. The package doesn't format lines; log/slog does.
+// Package logs keeps a slow log output from blocking the daemon, and repeated lines from filling the
+// log. Writer buffers lines and writes them in a goroutine; lines that don't fit into the buffer are
+// dropped, and their number is logged. Throttle limits how often a line about the same subject is
+// logged. The package doesn't format lines; log/slog does.
 package logs
 
 import (
@@ -13,17 +13,17 @@
 )
 
 const (
-	// bufferSize bounds the lines that wait to be written, in bytes. It holds about a second
+	// maxBufferBytes bounds the lines that wait to be written. It is enough for about a second
 	// of a busy host's lines.
-	bufferSize = 1 << 20
+	maxBufferBytes = 1 << 20
 	// flushInterval is the time for which lines are collected before they are written, since
 	// each write is a system call.
 	flushInterval = 100 * time.Millisecond
-	// maxChunk bounds a single write, in bytes, unless a line is longer. It is the size that a
-	// pipe takes in one piece (PIPE_BUF), so that a log collector that reads little at a time
-	// loses no part of a line. When the whole buffer was written at once, the collected log
-	// lacked the outcome of one request in six of a busy host.
-	maxChunk = 4096
+	// maxChunkBytes bounds a single write, unless a line is longer. Up to this size, writes to a
+	// pipe are atomic (PIPE_BUF), so that a log collector that reads little at a time loses no
+	// part of a line. When the whole buffer was written at once, the collected log lacked the
+	// outcome of one request in six of a busy host.
+	maxChunkBytes = 4096
 )
 
 // Writer is an io.Writer whose Write doesn't wait for the output. Each call of Write must pass
@@ -52,7 +52,7 @@
 func (l *Writer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.buffer)+len(line) > bufferSize {
+	if len(l.buffer)+len(line) > maxBufferBytes {
 		l.dropped++
 		return len(line), nil
 	}
@@ -89,7 +89,8 @@
 	}
 }
 
-// flush writes the buffered lines, and a line with the number of dropped ones, in chunks.
+// flush writes the buffered lines in chunks, and a line with the number of dropped lines if there
+// are any.
 func (l *Writer) flush() {
 	l.mu.Lock()
 	out, dropped := l.buffer, l.dropped
@@ -109,16 +110,16 @@
 }
 
 // chunkLength returns the length of the next chunk of lines: as many whole lines as fit into
-// maxChunk, but at least one.
+// maxChunkBytes, but at least one.
 func chunkLength(lines []byte) int {
-	if len(lines) <= maxChunk {
+	if len(lines) <= maxChunkBytes {
 		return len(lines)
 	}
-	if end := bytes.LastIndexByte(lines[:maxChunk], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(lines[:maxChunkBytes], '\n'); end >= 0 {
 		return end + 1
 	}
 	if end := bytes.IndexByte(lines, '\n'); end >= 0 {
-		return end + 1 // one line that is longer than maxChunk
+		return end + 1 // one line that is longer than maxChunkBytes
 	}
 	return len(lines)
 }
--- a/process/logs/logs_test.go
+++ b/process/logs/logs_test.go
@@ -24,12 +24,13 @@
 }
 
 // TestStalledOutput guards against a stalled reader of the log that blocks the daemon: Write must
-// return at once, the lines that don't fit must be counted, and the others must be written whole.
+// return at once, lines that don't fit into the buffer must be counted, and the others must be
+// written completely.
 func TestStalledOutput(t *testing.T) {
 	s := &stalledWriter{release: make(chan struct{})}
 	l := New(s)
 	line := strings.Repeat("x", 1023) + "\n"
-	const lines = 4 * bufferSize / 1024
+	const lines = 4 * maxBufferBytes / 1024
 	for range lines {
 		n, err := l.Write([]byte(line))
 		assert.NilError(t, err)
@@ -45,16 +46,16 @@
 	assert.Assert(t, strings.Count(text, line) < lines)
 }
 
-// chunks is an output that records the bytes of each write.
-type chunks struct{ written []string }
+// chunkRecorder is an output that records the bytes of each write.
+type chunkRecorder struct{ chunks []string }
 
-func (p *chunks) Write(b []byte) (int, error) {
-	p.written = append(p.written, string(b))
+func (r *chunkRecorder) Write(b []byte) (int, error) {
+	r.chunks = append(r.chunks, string(b))
 	return len(b), nil
 }
 
-// TestChunks guards against lines that are torn in a pipe: each write must have whole lines only,
-// and no more than the pipe takes in one piece, unless a single line is longer.
+// TestChunks guards against lines that are split in a pipe: each write must consist of whole lines
+// and have at most maxChunkBytes, unless a single line is longer.
 func TestChunks(t *testing.T) {
 	line := func(n int) string { return strings.Repeat("x", n-1) + "\n" }
 	cases := map[string]struct {
@@ -69,8 +70,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var p chunks
-			l := New(&p)
+			var out chunkRecorder
+			l := New(&out)
 			l.mu.Lock() // makes one flush write all lines
 			for _, text := range c.lines {
 				l.buffer = append(l.buffer, text...)
@@ -78,11 +79,11 @@
 			l.mu.Unlock()
 			assert.NilError(t, l.Close())
 			var lengths []int
-			for _, g := range p.written {
-				lengths = append(lengths, len(g))
+			for _, chunk := range out.chunks {
+				lengths = append(lengths, len(chunk))
 			}
 			assert.DeepEqual(t, lengths, c.chunks)
-			assert.Equal(t, strings.Join(p.written, ""), strings.Join(c.lines, ""))
+			assert.Equal(t, strings.Join(out.chunks, ""), strings.Join(c.lines, ""))
 		})
 	}
 }
--- a/process/logs/throttle.go
+++ b/process/logs/throttle.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// throttleInterval is the minimum time between two lines about one subject. An endpoint may
-	// report something new in each response.
+	// throttleInterval is the minimum time between two lines about one subject. Without it, an
+	// endpoint that reports a change in each response would cause a line for each.
 	throttleInterval = time.Second
-	// maxSubjects bounds the subjects that are remembered.
+	// maxSubjects bounds the number of subjects whose last line is remembered.
 	maxSubjects = 1 << 14
 )
 
@@ -20,8 +20,8 @@
 	lastLine map[string]time.Time // by subject
 }
 
-// Allow reports whether a line about a subject may be logged now; if so, it counts as logged. If
-// too many subjects are remembered, all are forgotten first.
+// Allow reports whether a line about a subject may be logged now; if so, the line counts as logged.
+// When maxSubjects are remembered, the record is cleared before another line is added.
 func (t *Throttle) Allow(subject string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
