--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads the host's boot clock. Unlike the time of day, it is not set forward or back;
-// unlike the monotonic clock of package time, it runs on while the host is suspended. It serves
-// for deadlines and ages that outlast a request.
+// Package clock reads the host's boot clock. Unlike the wall clock, it is never set; unlike the
+// monotonic clock of package time, it runs on while the host is suspended. It is for deadlines and
+// ages that outlast a request. It is not for times that are shown or sent to other hosts.
 package clock
 
 import (
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the host's boot as a time.Time. Only the difference of two such
-// times has a meaning. With the monotonic clock, by which timers run, a deadline that passes while
-// the host is suspended would be late by the time of the suspension.
+// Boot returns the time since the host's boot as a time.Time. Only the difference between two such
+// times is meaningful. With the monotonic clock, by which timers run, a deadline that expires while
+// the host is suspended would be late by the duration of the suspension.
 func Boot() time.Time {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
--- a/process/clock/clock_test.go
+++ b/process/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBoot guards against times that don't advance with the monotonic clock, and against times
+// TestBoot guards against times that don't advance as the monotonic clock does, and against times
 // with a monotonic reading: Sub would use that reading, which stops during a suspension.
 func TestBoot(t *testing.T) {
 	before, started := Boot(), time.Now()
