--- a/process/lists/poll.go
+++ b/process/lists/poll.go
@@ -70,8 +70,8 @@
 	return s.overdue(float64(s.rankInDataCentre))
 }
 
-// overdue reports whether the listing is old enough for a host to take over that waits rank
-// takeover steps.
+// overdue reports whether the listing is old enough for a takeover by a host that waits rank
+// takeover steps longer than the first.
 func (s pollState) overdue(rank float64) bool {
 	return s.listingAge > s.pollInterval+takeoverSlack+time.Duration(rank*float64(takeoverStep))
 }
--- a/process/lists/startup.go
+++ b/process/lists/startup.go
@@ -33,7 +33,7 @@
 	return min(startupQueryInterval+uptime/startupBackoffDivisor, maxStartupQueryInterval)
 }
 
-// startupBackoffDivisor is what the uptime is divided by to get the growth of startupQueryPause.
+// startupBackoffDivisor is the ratio of the uptime to the growth of startupQueryPause.
 const startupBackoffDivisor = 16
 
 // queryStartupPeers starts one round of startup queries and does not wait for the replies. It
