--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -122,8 +122,9 @@
 	for _, b := range m.members {
 		if b.PeerAddr == to {
 			h := m.newHeartbeat(b, now)
-			// The other host sends the requested members in its reply. If they were
-			// requested in a reply, they would arrive only with the next exchange.
+			// Set only here, not in replies: the other host sends the requested
+			// members in its reply. After a request in a reply, they would arrive
+			// only with the next exchange.
 			h.Lacks = m.membersToRequest(now)
 			return h
 		}
@@ -336,7 +337,7 @@
 	m.recordLeaving(h.GetFrom(), h.GetLeaves())
 }
 
-// loadReportOf reads a load report that was received at the time now.
+// loadReportOf decodes a load report that was received at the time now.
 func loadReportOf(l *schema.Load, now time.Time) vetchtrail.LoadReport {
 	r := vetchtrail.LoadReport{
 		ReceivedAt: now.Add(-time.Duration(l.GetAgeMillis()) * time.Millisecond),
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -35,9 +35,9 @@
 const (
 	HeartbeatInterval = 500 * time.Millisecond // between heartbeats
 	Fanout            = 2                      // gossip peers that a host sends heartbeats to at each HeartbeatInterval
-	suspectAfter      = 2 * time.Second        // without a newer heartbeat
-	deadAfter         = 4 * time.Second        // without a newer heartbeat
-	forgetAfter       = time.Minute            // without a newer heartbeat
+	suspectAfter      = 2 * time.Second        // time without a newer heartbeat after which a host is suspect
+	deadAfter         = 4 * time.Second        // time without a newer heartbeat after which a host counts as dead
+	forgetAfter       = time.Minute            // time without a newer heartbeat after which a host is removed
 	SwapInterval      = time.Second            // between digest exchanges with a remote data centre
 	// RelayInterval is the minimum time between two relays of one data centre's
 	// digest to the same host, unless the digest reports a newer configuration.
@@ -51,7 +51,7 @@
 	avoidTime        = 2 * time.Second  // how long nothing is forwarded to a host after a forward to it was lost
 )
 
-// Config is what a Membership needs.
+// Config configures a Membership.
 type Config struct {
 	Self  vetchtrail.Host
 	Seeds []netip.AddrPort // peer addresses of hosts in any data centre, contacted until they are known
@@ -64,7 +64,7 @@
 	LeavingEndpoints LeavingEndpoints
 	Revision         func() uint64 // returns the revision of the newest configuration that this host holds
 	Log              *slog.Logger
-	RandomSeed       uint64 // of the random choice of peers
+	RandomSeed       uint64 // for the random choices of hosts
 	// CallsWholeRegion is set if hosts call the endpoints of their whole region
 	// directly, so that no request is forwarded within the region.
 	CallsWholeRegion bool
@@ -117,7 +117,7 @@
 }
 
 // sentState records what another host was already sent, so that the next
-// heartbeat can leave it out. It starts anew when the other host requests a full
+// heartbeat can leave it out. It is reset when the other host requests a full
 // heartbeat, when a heartbeat to it failed, and every fullEvery heartbeats.
 type sentState struct {
 	shortIDs    map[uint32]bool                     // hosts whose full entry it has
@@ -131,18 +131,18 @@
 const fullEvery = 32
 
 // startMessage counts a heartbeat. It clears the state if the heartbeat is to be a full one.
-func (t *sentState) startMessage() {
-	if t.messages%fullEvery == 0 {
-		*t = sentState{shortIDs: map[uint32]bool{}, rateLimits: map[string]load.AdvertisedRateLimit{}, messages: t.messages}
+func (s *sentState) startMessage() {
+	if s.messages%fullEvery == 0 {
+		*s = sentState{shortIDs: map[uint32]bool{}, rateLimits: map[string]load.AdvertisedRateLimit{}, messages: s.messages}
 	}
-	t.messages++
+	s.messages++
 }
 
 // reset makes the next heartbeat a full one.
-func (t *sentState) reset() { t.messages = 0 }
+func (s *sentState) reset() { s.messages = 0 }
 
-// resetSent makes the next heartbeat to a host a full one. It also forgets which
-// digests were relayed to the host, so that they may be relayed again.
+// resetSent makes the next heartbeat to a host a full one. It also clears the record
+// of digests that were relayed to the host, so that they may be relayed again.
 func (b *member) resetSent() {
 	b.sentState.reset()
 	clear(b.relayed)
@@ -172,7 +172,7 @@
 	return m.selfNow()
 }
 
-// selfNow returns this host with its present revision. The caller holds the lock.
+// selfNow returns this host with its current revision. The caller holds the lock.
 func (m *Membership) selfNow() vetchtrail.Host {
 	h := m.self
 	h.Revision = m.cfg.Revision()
@@ -259,7 +259,7 @@
 	return h
 }
 
-// hostFromEntry reads a full entry. The entry does not contain the host's region
+// hostFromEntry decodes a full entry. The entry does not contain the host's region
 // and data centre.
 func hostFromEntry(entry *schema.Member) vetchtrail.Host {
 	callers, _ := netip.ParseAddrPort(entry.GetCallers())
@@ -272,7 +272,7 @@
 
 // IsAssigned reports whether this host is among the first n live hosts of its data
 // centre for a task, by rendezvous hashing. For a while, hosts with different views
-// may all be assigned to it, so a task must tolerate being done by more than n hosts.
+// may each be assigned to it, so a task must tolerate being done by more than n hosts.
 func (m *Membership) IsAssigned(task string, n int, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -292,9 +292,9 @@
 	return s == vetchtrail.HostReady || s == vetchtrail.HostStarting
 }
 
-// hashPair hashes two texts, with a zero byte between them. For a task and a
-// host's name it is the host's weight in rendezvous hashing: all hosts must
-// compute the same.
+// hashPair hashes two texts, with a zero byte between them. The hash of a task and a
+// host's name is the host's weight in rendezvous hashing, so all hosts must compute
+// the same one.
 func hashPair(first, second string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -22,7 +22,7 @@
 
 // RelayFanout is the number of hosts that each host relays a digest to. With it, each digest
 // reaches all but a few of a hundred hosts. At any time, the last three digests of a data
-// centre are new enough for it to count as reachable.
+// centre are new enough for it to count as reachable, so a host may miss one.
 const RelayFanout = 4
 
 // due reports whether the newest digest of a data centre is to be relayed to a member.
--- a/process/membership/remote.go
+++ b/process/membership/remote.go
@@ -119,7 +119,7 @@
 }
 
 // forwardTargets returns the hosts of a data centre that requests may be forwarded to:
-// the ready ones, but for those that this host is avoiding. The caller holds the lock.
+// the ready ones, except those that this host is avoiding. The caller holds the lock.
 func (m *Membership) forwardTargets(d *remote, now time.Time) []*schema.Member {
 	return slices.DeleteFunc(readyEntries(d.digest.GetMembers()), func(entry *schema.Member) bool {
 		return now.Before(m.avoidUntil[entry.GetName()])
