--- a/process/journal/lines.go
+++ b/process/journal/lines.go
@@ -39,23 +39,23 @@
 	Revision  uint64 `json:"revision,omitempty"`
 
 	// Fields of a decision.
-	Decision   string            `json:"decision,omitempty"`
-	Target     string            `json:"target,omitempty"` // endpoint, host or data centre that was chosen
-	Home       string            `json:"home,omitempty"`   // the workspace's home region, or the region in which the request arrived
-	Attempt    int               `json:"attempt,omitempty"`
-	Prompt     int               `json:"prompt,omitempty"`     // tokens
-	Wait       time.Duration     `json:"wait,omitempty"`       // predicted time to the first byte of the answer
-	Backlog    time.Duration     `json:"backlog,omitempty"`    // until the target has read the prompts sent to it before
-	Holds      int               `json:"holds,omitempty"`      // prompt tokens that the target probably has cached
-	Gap        time.Duration     `json:"gap,omitempty"`        // interval between events of the target's streams
-	ReportAge  time.Duration     `json:"report_age,omitempty"` // age of the target's load report
-	Running    int               `json:"running,omitempty"`    // requests running at the target, as reported
-	Queued     int               `json:"queued,omitempty"`     // requests queued at the target, as reported
-	Looked     int               `json:"looked,omitempty"`     // candidates considered
-	Candidates []loggedCandidate `json:"candidates,omitempty"` // some of those that were not chosen
-	Goal       time.Duration     `json:"goal,omitempty"`       // from the decision to the request's latency goal
-	Left       time.Duration     `json:"left,omitempty"`       // from the decision to the request's deadline
-	Fresh      bool              `json:"fresh,omitempty"`      // the caller has most of its time left, so it can retry after a refusal
+	Decision       string            `json:"decision,omitempty"`
+	Target         string            `json:"target,omitempty"` // endpoint, host or data centre that was chosen
+	Home           string            `json:"home,omitempty"`   // the workspace's home region, or the region in which the request arrived
+	Attempt        int               `json:"attempt,omitempty"`
+	Prompt         int               `json:"prompt,omitempty"`     // tokens
+	Wait           time.Duration     `json:"wait,omitempty"`       // predicted time to the first byte of the answer; of wait-here: until there is capacity
+	Backlog        time.Duration     `json:"backlog,omitempty"`    // until the target has read the prompts sent to it before
+	Holds          int               `json:"holds,omitempty"`      // prompt tokens that the target probably has cached
+	EventInterval  time.Duration     `json:"gap,omitempty"`        // interval between events of the target's streams
+	ReportAge      time.Duration     `json:"report_age,omitempty"` // age of the target's load report; negative: it has sent none
+	Running        int               `json:"running,omitempty"`    // requests running at the target, as reported
+	Queued         int               `json:"queued,omitempty"`     // requests queued at the target, as reported
+	Looked         int               `json:"looked,omitempty"`     // candidates considered
+	Candidates     []loggedCandidate `json:"candidates,omitempty"` // some of those that were not chosen
+	Goal           time.Duration     `json:"goal,omitempty"`       // from the decision to the request's latency goal
+	Left           time.Duration     `json:"left,omitempty"`       // from the decision to the request's deadline
+	CallerCanRetry bool              `json:"fresh,omitempty"`      // the caller has most of its time left, so it can retry after a refusal
 
 	// Cost of the request in units of the workspace's quota, the remaining quota at this host
 	// and in its region, and the age of these figures.
@@ -65,14 +65,14 @@
 	QuotaAge    time.Duration `json:"quota_age,omitempty"`
 
 	// Fields of an outcome or of a lost attempt.
-	Outcome string        `json:"outcome,omitempty"`
-	Step    string        `json:"step,omitempty"`
-	Peer    string        `json:"peer,omitempty"`   // endpoint or host where the request ended
-	Took    time.Duration `json:"took,omitempty"`   // from the request's arrival at this host, or the attempt's start
-	First   time.Duration `json:"first,omitempty"`  // from then to the first byte of the answer
-	Status  int           `json:"status,omitempty"` // HTTP status
-	Events  int           `json:"events,omitempty"` // of a streamed answer
-	Begun   bool          `json:"begun,omitempty"`  // part of the answer was sent to the caller
+	Outcome         string        `json:"outcome,omitempty"`
+	Step            string        `json:"step,omitempty"`
+	Peer            string        `json:"peer,omitempty"`   // endpoint or host where the request ended
+	Took            time.Duration `json:"took,omitempty"`   // from the request's arrival at this host, or the attempt's start
+	First           time.Duration `json:"first,omitempty"`  // from then to the first byte of the answer
+	Status          int           `json:"status,omitempty"` // HTTP status
+	Events          int           `json:"events,omitempty"` // of a streamed answer
+	ResponseStarted bool          `json:"begun,omitempty"`  // part of the answer was sent to the caller
 	// HostLost reports that the host to which the request was forwarded was lost.
 	HostLost bool   `json:"host_lost,omitempty"`
 	Error    string `json:"error,omitempty"`
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -175,17 +175,17 @@
 		return CauseQuarantined
 	case e.Outcome == "not-run" && e.Reason == reasonRateLimited:
 		return CauseRateLimited
-	case e.Outcome == "not-run" && r.firstDecision.Fresh:
+	case e.Outcome == "not-run" && r.firstDecision.CallerCanRetry:
 		return CauseRefusedFirstAttempt
 	case e.Outcome == "not-run":
 		return CauseRefusedRetry
 	case e.HostLost:
 		return CauseHostLost
-	case e.Reason == "deadline" && e.Begun:
+	case e.Reason == "deadline" && e.ResponseStarted:
 		return CauseTimeoutInAnswer
 	case e.Reason == "deadline":
 		return CauseTimeoutBeforeAnswer
-	case e.Begun:
+	case e.ResponseStarted:
 		return CauseStreamBroken
 	}
 	return CauseLostBeforeAnswer
