--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -237,7 +237,7 @@
 	return needRestart
 }
 
-// randomSeed returns the randomSeed of this host's random number generators. It is derived from the
+// randomSeed returns the seed of this host's random number generators. It is derived from the
 // host's name, so that hosts make different choices and a host makes the same ones after a restart.
 func (d *Daemon) randomSeed() uint64 { return xxhash.Sum64String(d.cfg.Host) }
 
--- a/process/daemon/hosted.go
+++ b/process/daemon/hosted.go
@@ -198,8 +198,8 @@
 )
 
 // releaseMemoryAfterGrowth schedules the return of unused memory to the operating system if the
-// listing has grown much. Otherwise the runtime of every host of a starting fleet would keep the
-// memory that decoding a full listing took for minutes.
+// listing has grown much. Otherwise the runtime of every host of a starting fleet would keep for
+// minutes the memory that decoding a full listing took.
 func (u *lastUpdate) releaseMemoryAfterGrowth(listedCount int, now time.Time) {
 	if listedCount-u.baseCount < releaseMinGrowth {
 		u.baseCount = min(u.baseCount, listedCount)
--- a/process/daemon/tls.go
+++ b/process/daemon/tls.go
@@ -44,7 +44,7 @@
 }
 
 // loadAuthority reads the certificate of the authority that signs the certificates of hosts and
-// operators. The file may have more than one.
+// operators. The file may contain several.
 func loadAuthority(path string) (*x509.CertPool, error) {
 	pemText, err := os.ReadFile(path)
 	if err != nil {
