--- a/process/journal/journal.go
+++ b/process/journal/journal.go
@@ -47,7 +47,8 @@
 }
 
 // Note implements vetchtrail.Recorder: it queues a record for the log and, unless the record
-// describes a lost attempt, keeps it for operators. If the queue is full, the record is not logged.
+// describes a lost attempt, keeps it for operators. It doesn't block: if the queue is full, the
+// record is not logged.
 func (j *Journal) Note(r vetchtrail.JournalRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
