--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -17,10 +17,11 @@
 	"vetchtrail/standin/client"
 )
 
-// start implements "fleet hosts=2 engines=2 slots=8 [engine flags as --step=5ms]": it starts a
-// deployment of so many hosts and engines in each region and writes its configuration to
-// configuration.yaml.
-func (s *script) start(ts *testscript.TestScript, args []string) (err error) {
+// startFleet implements "fleet [hosts=2] [engines=2] [slots=8] [--FLAG=VALUE…]": it starts a
+// deployment with these numbers of hosts and engines in each region, and of slots of each engine.
+// The flags are those of the engine stand-in, such as --step=5ms. The deployment's configuration is
+// written to configuration.yaml, but not applied.
+func (s *script) startFleet(ts *testscript.TestScript, args []string) (err error) {
 	o := parseOptions(args)
 	var flags []string
 	for _, a := range args {
@@ -34,11 +35,11 @@
 	}
 	ts.Defer(func() {
 		closeFleet(s.fleet)
-		if keep := os.Getenv("VETCHTRAIL_KEEP"); keep != "" { // directory to which the logs are copied after the run
+		if dir := os.Getenv("VETCHTRAIL_KEEP"); dir != "" { // directory to which the logs are copied after the run
 			logs, _ := filepath.Glob(ts.MkAbs("*.log"))
 			for _, l := range logs {
 				text, _ := os.ReadFile(l)
-				_ = os.WriteFile(filepath.Join(keep, filepath.Base(l)), text, 0o600)
+				_ = os.WriteFile(filepath.Join(dir, filepath.Base(l)), text, 0o600)
 			}
 		}
 	})
@@ -58,7 +59,7 @@
 	if err := s.inForce(ts, []string{"revision=1"}); err != nil {
 		return err
 	}
-	for _, h := range s.d.Hosts { // every host reaches every other data centre
+	for _, h := range s.d.Hosts {
 		err := s.fleet.Await(context.Background(), "data centres seen from "+h.Host, func() bool {
 			out, err := s.tool(ts, h.Host, "status", "--output=json")
 			return err == nil && strings.Count(out, `"reachable": true`) == len(s.d.Spec.Regions)-1 && !anyDigestUnconfigured(out)
@@ -141,8 +142,10 @@
 }
 
 // ask implements "ask NAME host=H [service= workspace= credential= tokens= stream= key= timeout=
-// window= stop= resume=OTHER prompt=]": it sends a model request and stores the result as NAME. With
-// path=/… [method= body=] it sends a request to the plain service.
+// window= stop= resume=OTHER prompt=]": it sends a model request and stores the result as NAME.
+// window is the time in seconds for which the stream may be resumed, stop the number of events after
+// which the caller closes the connection. resume continues the stream of the request OTHER. With
+// path=/… [method= body=] the request is sent to the plain service instead.
 func (s *script) ask(_ *testscript.TestScript, args []string) error {
 	s.sendRequest(args)
 	return nil
@@ -215,10 +218,21 @@
 	}
 }
 
-// check implements "check NAME [status= outcome= reason= whole= right= region= retry= cut= where=
-// soon=SECONDS same=OTHER joined=OTHER]": it compares the result with the expected values. same: the
-// text is equal to that of the other result. joined: the other text followed by this one is the
-// answer to the other request.
+// check implements "check NAME OPTION=VALUE…": it compares the result of a request with the expected
+// values.
+//
+//	status   HTTP status
+//	outcome  outcome in the problem document
+//	reason   reason in the problem document
+//	whole    true: the response is complete
+//	right    true: the response is complete and has the right content
+//	region   region of the endpoint that responded
+//	where    name of the endpoint that responded
+//	retry    true: the response has a retry time
+//	cut      true: the connection broke, so that the response can't be taken for complete
+//	soon     the response ended within this many seconds: a loose bound on "at once"
+//	same     the text is equal to that of the result OTHER
+//	joined   the text of the result OTHER followed by this one is the complete answer to OTHER
 func (s *script) check(_ *testscript.TestScript, args []string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +258,7 @@
 			got = s.regionOf(r.Endpoint)
 		case "retry":
 			got = strconv.FormatBool(!r.RetryAt.IsZero())
-		case "cut": // the connection broke, so that the response can't be taken for complete
+		case "cut":
 			got = strconv.FormatBool(r.Err != nil)
 		case "where":
 			got = r.Endpoint
@@ -252,7 +266,7 @@
 			got, want = r.Text, s.results[want].Text
 		case "joined":
 			got, want = s.results[want].Text+r.Text, s.requests[want].ExpectedText()
-		case "soon": // the response ended within so many seconds, a generous bound on "at once"
+		case "soon":
 			n, _ := strconv.Atoi(want)
 			got, want = strconv.FormatBool(r.Took < time.Duration(n)*time.Second), "true"
 		default:
@@ -275,7 +289,7 @@
 	return ""
 }
 
-// until implements "until ask-arguments… -- check-arguments…": it sends requests, each with another
+// until implements "until NAME ask-options… -- check-options…": it sends requests, each with another
 // prompt, until the check succeeds for one.
 func (s *script) until(ts *testscript.TestScript, args []string) error {
 	separator := 0
@@ -307,8 +321,8 @@
 	return err
 }
 
-// ran implements "ran [key=K] [workspace=W] [region=R] [endpoint=E] count=N|atleast=N": it counts
-// the requests that the stand-ins executed.
+// ran implements "ran [key=K] [workspace=W] [region=R] [endpoint=E] count=N|atleast=N": it checks
+// the number of matching requests that the stand-ins executed.
 func (s *script) ran(_ *testscript.TestScript, args []string) error {
 	o := parseOptions(args)
 	all, err := s.fleet.Executions(context.Background())
@@ -357,7 +371,7 @@
 	return fmt.Errorf("process: unknown action %s", args[0])
 }
 
-// get implements "get HOST PATH": it sends a GET, which must be answered with status 200.
+// get implements "get HOST PATH": it sends a GET request, which must get a response with status 200.
 func (s *script) get(_ *testscript.TestScript, args []string) error {
 	h, err := s.fleet.Settings(args[0])
 	if err != nil {
@@ -366,8 +380,8 @@
 	return s.fleet.Client.Get(context.Background(), h.Listen.Callers, args[1], nil)
 }
 
-// repeat implements "repeat20 ask-arguments… -- check-arguments…": it sends twenty requests, and the
-// check must succeed for each.
+// repeat implements "repeat20 ask-options… -- check-options…": it sends twenty requests, each with
+// another prompt, and the check must succeed for each.
 func (s *script) repeat(ts *testscript.TestScript, args []string) error {
 	separator := 0
 	for args[separator] != "--" {
--- a/scenario/config_history_test.go
+++ b/scenario/config_history_test.go
@@ -30,8 +30,8 @@
 	defer func() { _ = c.Close() }()
 	wanted, err := d.Document.Rules()
 	assert.NilError(t, err)
-	ch := operator.NewChange("test", "first", 0, rules.Empty().Difference(wanted))
-	reply, err := c.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(ch)})
+	change := operator.NewChange("test", "first", 0, rules.Empty().Difference(wanted))
+	reply, err := c.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(change)})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.GetResult(), schema.ProposeReply_ACCEPTED, reply.GetText())
 }
@@ -48,8 +48,8 @@
 	revision uint64
 }
 
-// registerModel models the configuration as a register. A change is accepted only if it expects
-// the current revision, and makes the next one; the revision never goes back.
+// registerModel models the configuration as a register that holds the revision. A change is accepted
+// only if it expects the current revision, and then increments it. The revision never decreases.
 func registerModel() porcupine.Model {
 	m := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{uint64(1)} },
@@ -73,28 +73,29 @@
 	return m.ToModel()
 }
 
-// observedRevisions contains the newest revision seen on each host, and a message for each time that
-// a host went back to an older one.
+// observedRevisions contains the newest revision that was read from each host, and a message for
+// each time that a host returned an older one.
 type observedRevisions struct {
 	mu          sync.Mutex
 	newest      map[string]uint64
 	regressions []string
 }
 
-// record adds a revision that was seen on a host.
+// record adds a revision that was read from a host.
 func (x *observedRevisions) record(host string, revision uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if revision < x.newest[host] {
-		x.regressions = append(x.regressions, fmt.Sprintf("%s went back from %d to %d", host, x.newest[host], revision))
+		x.regressions = append(x.regressions, fmt.Sprintf("%s: revision %d after %d", host, revision, x.newest[host]))
 	}
 	x.newest[host] = max(revision, x.newest[host])
 }
 
 // TestConfigurationHistory tests promise 9. It guards against changes that are lost or applied twice,
-// and against hosts that go back to an older configuration. Several operators propose changes at
-// different hosts at the same time, while the store loses responses, limits its rate or is down,
-// hosts are replaced and links are cut. The test reads the revisions of all ready hosts meanwhile.
+// and against hosts that replace their configuration by an older one. Several operators propose
+// changes to different hosts at the same time, while the store loses responses, limits its rate or
+// is down, hosts are replaced and links are cut. Meanwhile the test reads the revisions of all ready
+// hosts.
 func TestConfigurationHistory(t *testing.T) {
 	const seed, length = 9, 15 * time.Second
 	t.Logf("seed %d", seed)
@@ -103,14 +104,14 @@
 	defer closeFleet(f)
 	applyConfiguration(t, f, d)
 	var r historyRecorder
-	x := &observedRevisions{newest: map[string]uint64{}}
+	revisions := &observedRevisions{newest: map[string]uint64{}}
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	for c := range 4 {
 		all.Go(func() { proposeChanges(d, &r, c, rand.New(rand.NewPCG(seed, uint64(c))), stop) })
 	}
 	for _, h := range d.Hosts {
-		all.Go(func() { watchRevisions(f, h.Host, h.Listen.Callers, h.Listen.Peers, x, stop) })
+		all.Go(func() { watchRevisions(f, h.Host, h.Listen.Callers, h.Listen.Peers, revisions, stop) })
 	}
 	injected := map[string]int{}
 	all.Go(func() { injectFaults(t, f, d, rand.New(rand.NewPCG(seed, 99)), injected, stop) })
@@ -135,13 +136,13 @@
 	for _, kind := range []string{"lost responses", "rate limit", "outage", "kill", "cut"} {
 		assert.Assert(t, injected[kind] > 0, "no %s was injected", kind)
 	}
-	assert.Equal(t, len(x.regressions), 0, "%v", x.regressions)
+	assert.Equal(t, len(revisions.regressions), 0, "%v", revisions.regressions)
 	assert.Assert(t, tally["ACCEPTED"] > 0 && tally["CONFLICT"] > 0, "%v", tally)
 	assert.Equal(t, porcupine.CheckOperationsTimeout(registerModel(), r.ops, time.Minute), porcupine.Ok)
 }
 
-// proposeChanges reads the revision of a random host and proposes a change that expects it, again
-// and again until stop is closed.
+// proposeChanges repeats until stop is closed: it reads the revision of a random host and proposes a
+// change that expects this revision.
 func proposeChanges(d deployment.Deployment, r *historyRecorder, caller int, rnd *rand.Rand, stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -154,15 +155,15 @@
 		if !ok || expect == 0 {
 			continue
 		}
-		ch := operator.NewChange("operator", "race", expect, []vetchtrail.Edit{
+		change := operator.NewChange("operator", "race", expect, []vetchtrail.Edit{
 			vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: fmt.Sprintf("ws-%d-%d", caller, n)}},
 		})
-		proposeOnce(addr, ch, r, caller)
+		proposeOnce(addr, change, r, caller)
 	}
 }
 
 // proposeOnce proposes a change and records the operation, unless the host could not be reached.
-func proposeOnce(addr netip.AddrPort, ch vetchtrail.Change, r *historyRecorder, caller int) {
+func proposeOnce(addr netip.AddrPort, change vetchtrail.Change, r *historyRecorder, caller int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
 	call := time.Now().UnixNano()
@@ -172,7 +173,7 @@
 		return // the host could not be reached: the change was not proposed
 	}
 	defer func() { _ = c.Close() }()
-	reply, err := c.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(ch)})
+	reply, err := c.Propose(ctx, &schema.ProposeRequest{Change: schema.FromChange(change)})
 	if err == nil {
 		out = proposalResult{result: reply.GetResult(), revision: reply.GetRevision()}
 	}
@@ -180,7 +181,7 @@
 	if out.result == schema.ProposeReply_UNKNOWN {
 		returned = unknownReturn
 	}
-	r.add(porcupine.Operation{ClientId: caller, Input: proposal{ch.ID, ch.Expect}, Call: call, Output: out, Return: returned})
+	r.add(porcupine.Operation{ClientId: caller, Input: proposal{change.ID, change.Expect}, Call: call, Output: out, Return: returned})
 }
 
 // revisionOf returns the configuration revision of a host, and whether the host answered.
@@ -196,9 +197,9 @@
 	return reply.GetSnapshot().GetRevision(), err == nil
 }
 
-// watchRevisions records the revision of a host whenever the host is ready, also after its process
-// was replaced, until stop is closed.
-func watchRevisions(f *fleet.Fleet, host string, callers, peers netip.AddrPort, x *observedRevisions, stop <-chan struct{}) {
+// watchRevisions polls the revision of a host until stop is closed, and records it whenever the host
+// is ready. It continues when the host's process is replaced.
+func watchRevisions(f *fleet.Fleet, host string, callers, peers netip.AddrPort, revisions *observedRevisions, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -212,7 +213,7 @@
 			continue
 		}
 		if n, ok := revisionOf(peers); ok && n > 0 {
-			x.record(host, n)
+			revisions.record(host, n)
 		}
 	}
 }
@@ -221,27 +222,27 @@
 // closed, and counts them by kind.
 func injectFaults(t *testing.T, f *fleet.Fleet, d deployment.Deployment, rnd *rand.Rand, injected map[string]int, stop <-chan struct{}) {
 	ctx := context.Background()
-	set := func(k kv.Faults) { assert.NilError(t, f.Client.Put(ctx, d.Store, "/faults", k)) }
+	setStoreFaults := func(k kv.Faults) { assert.NilError(t, f.Client.Put(ctx, d.Store, "/faults", k)) }
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
-			set(kv.Faults{})
+			setStoreFaults(kv.Faults{})
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
 		switch n % 5 {
 		case 0:
-			set(kv.Faults{LoseAnswers: 2})
+			setStoreFaults(kv.Faults{LoseAnswers: 2})
 			injected["lost responses"]++
 		case 1:
-			set(kv.Faults{Writes: 3, Reads: 60})
+			setStoreFaults(kv.Faults{Writes: 3, Reads: 60})
 			time.Sleep(time.Second)
-			set(kv.Faults{})
+			setStoreFaults(kv.Faults{})
 			injected["rate limit"]++
 		case 2:
-			set(kv.Faults{Outage: true})
+			setStoreFaults(kv.Faults{Outage: true})
 			time.Sleep(700 * time.Millisecond)
-			set(kv.Faults{})
+			setStoreFaults(kv.Faults{})
 			injected["outage"]++
 		case 3:
 			h := d.Hosts[rnd.IntN(len(d.Hosts))].Host
@@ -260,8 +261,8 @@
 	}
 }
 
-// awaitSameRevision waits until all hosts have the same revision. It returns this revision and, by
-// the id of a change, the revision that the change made.
+// awaitSameRevision waits until all hosts have the same revision. It returns this revision, and the
+// revision that each change in the hosts' histories made, by the id of the change.
 func awaitSameRevision(t *testing.T, f *fleet.Fleet, d deployment.Deployment) (uint64, map[string]uint64) {
 	t.Helper()
 	ctx := context.Background()
@@ -279,15 +280,15 @@
 		return len(seen) == 1
 	}))
 	revisions := map[string]uint64{}
-	for _, h := range d.Hosts { // a host that started from a snapshot lacks the older changes
+	for _, h := range d.Hosts { // all of them, as a host that started from a snapshot lacks the older changes
 		c, err := operator.Dial(ctx, operator.Config{Addr: h.Listen.Peers})
 		assert.NilError(t, err)
 		reply, err := c.History(ctx, &schema.HistoryRequest{})
 		assert.NilError(t, err)
-		for _, ch := range reply.GetChanges() {
-			at, ok := revisions[ch.GetId()]
-			assert.Assert(t, !ok || at == ch.GetRevision(), "change %s is at revision %d and at revision %d", ch.GetId(), at, ch.GetRevision())
-			revisions[ch.GetId()] = ch.GetRevision()
+		for _, change := range reply.GetChanges() {
+			at, ok := revisions[change.GetId()]
+			assert.Assert(t, !ok || at == change.GetRevision(), "change %s is at revision %d and at revision %d", change.GetId(), at, change.GetRevision())
+			revisions[change.GetId()] = change.GetRevision()
 		}
 		assert.NilError(t, c.Close())
 	}
--- a/scenario/engine_run_test.go
+++ b/scenario/engine_run_test.go
@@ -33,13 +33,17 @@
 	ctx    context.Context
 
 	mu       sync.Mutex
-	outcomes map[string]int
-	relayed  []relayed // complete responses
+	outcomes map[string]int    // number of requests by outcome and reason; see answeredOutcome
+	relayed  []relayedResponse // complete responses
 }
 
-// relayed is a response that a host relayed to a caller, with the times at which the caller sent
-// the request and had the whole response.
-type relayed struct {
+// answeredOutcome is the key in outcomes of the answered requests: their responses have neither an
+// outcome nor a reason, which a space separates.
+const answeredOutcome = " "
+
+// relayedResponse is a response that a host relayed to a caller, with the times at which the caller
+// sent the request and had received the whole response.
+type relayedResponse struct {
 	host, engine       string
 	sentAt, receivedAt time.Time
 }
@@ -56,17 +60,17 @@
 }
 
 // startCallers starts callers that send different prompts to random hosts of the region until ctx
-// ends. The caller of this method waits for them by the wait group.
-func (x *engineRun) startCallers(ctx context.Context, many int) *sync.WaitGroup {
+// ends. It returns a wait group with which to wait for their last responses.
+func (x *engineRun) startCallers(ctx context.Context, count int) *sync.WaitGroup {
 	var hosts []int
 	for i, h := range x.d.Hosts {
 		if h.Region == x.region {
 			hosts = append(hosts, i)
 		}
 	}
-	all := &sync.WaitGroup{}
-	for caller := range many {
-		all.Go(func() {
+	callers := &sync.WaitGroup{}
+	for caller := range count {
+		callers.Go(func() {
 			rnd := rand.New(rand.NewPCG(5, uint64(caller)))
 			for n := 0; ctx.Err() == nil; n++ {
 				host, sentAt := x.d.Hosts[hosts[rnd.IntN(len(hosts))]], time.Now()
@@ -77,14 +81,14 @@
 				x.mu.Lock()
 				x.outcomes[r.Outcome+" "+r.Reason]++
 				if r.Complete {
-					x.relayed = append(x.relayed, relayed{host: host.Host, engine: r.Endpoint, sentAt: sentAt, receivedAt: time.Now()})
+					x.relayed = append(x.relayed, relayedResponse{host: host.Host, engine: r.Endpoint, sentAt: sentAt, receivedAt: time.Now()})
 				}
 				x.mu.Unlock()
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
 	}
-	return all
+	return callers
 }
 
 // modelEngines returns the names of the region's model engines.
@@ -99,15 +103,15 @@
 	return out
 }
 
-// busiest waits until an engine of the region started more than 30 requests in the last second, and
-// returns the one that started the most.
-func (x *engineRun) busiest() string {
+// busiestEngine waits until an engine of the region has started more than 30 requests in the last
+// second, and returns the engine that has started the most.
+func (x *engineRun) busiestEngine() string {
 	x.t.Helper()
 	var name string
-	assert.NilError(x.t, x.f.Await(x.ctx, "an engine is used", func() bool {
-		lately, most := time.Now().Add(-time.Second), 30
+	assert.NilError(x.t, x.f.Await(x.ctx, "an engine with more than 30 requests in a second", func() bool {
+		aSecondAgo, most := time.Now().Add(-time.Second), 30
 		for _, e := range x.modelEngines() {
-			if n := countAfter(x.executionTimes(e), lately); n > most {
+			if n := countAfter(x.executionTimes(e), aSecondAgo); n > most {
 				name, most = e, n
 			}
 		}
@@ -129,8 +133,8 @@
 	return out
 }
 
-// announce makes an engine announce its availability in its responses and returns the time at which
-// it began.
+// announce makes an engine announce its availability in its responses from now on, and returns the
+// current time.
 func (x *engineRun) announce(name string, announcement engine.Announcement) time.Time {
 	x.t.Helper()
 	addr, err := x.f.EndpointAddr(name)
@@ -139,7 +143,7 @@
 	return time.Now()
 }
 
-// arrivalTimes returns the times at which requests reached an engine, with those that it rejected, in
+// arrivalTimes returns the times at which requests reached an engine, rejected ones included, in
 // order.
 func (x *engineRun) arrivalTimes(name string) []time.Time {
 	x.t.Helper()
@@ -156,20 +160,20 @@
 }
 
 // firstLogged returns, for each host that logged a message about an engine, the time of the first
-// such line and the number of decisions for this engine that the host logged since.
+// line with the message, and the number of decisions for this engine that the host logged after it.
 func (x *engineRun) firstLogged(message, engineName string) (first map[string]time.Time, decisionCounts map[string]int) {
 	x.t.Helper()
 	first, decisionCounts = map[string]time.Time{}, map[string]int{}
 	for _, h := range x.d.Hosts {
 		text, err := os.ReadFile(filepath.Join(x.dir, h.Host+".log"))
 		assert.NilError(x.t, err)
-		for row := range bytes.Lines(text) {
-			_, known := first[h.Host]
-			switch l := string(row); {
-			case !known && strings.Contains(l, `msg="`+message+`"`) && strings.Contains(l, " endpoint="+engineName+" "):
+		for line := range bytes.Lines(text) {
+			_, found := first[h.Host]
+			switch l := string(line); {
+			case !found && strings.Contains(l, `msg="`+message+`"`) && strings.Contains(l, " endpoint="+engineName+" "):
 				first[h.Host], err = time.Parse(time.RFC3339, strings.TrimPrefix(strings.Fields(l)[0], "time="))
 				assert.NilError(x.t, err)
-			case known && strings.Contains(l, " msg=decision ") && strings.Contains(l, " target="+engineName+" "):
+			case found && strings.Contains(l, " msg=decision ") && strings.Contains(l, " target="+engineName+" "):
 				decisionCounts[h.Host]++
 			}
 		}
--- a/scenario/faults_test.go
+++ b/scenario/faults_test.go
@@ -48,16 +48,16 @@
 	return s.fleet.Client.Put(context.Background(), addr, "/faults", json.RawMessage(args[1]))
 }
 
-// leaving implements "leaving ENDPOINT…": it replaces the platform's list of hosts by these endpoints,
-// all leaving. The list shows it after the lag of the stand-in.
+// leaving implements "leaving ENDPOINT…": it replaces the platform's list of endpoints by these
+// endpoints, in the state leaving. The stand-in returns the new list only after its lag.
 func (s *script) leaving(_ *testscript.TestScript, args []string) error {
-	type line struct {
+	type entry struct {
 		Endpoint string `json:"endpoint"`
 		State    string `json:"state"`
 	}
-	lines := []line{}
-	for _, a := range args {
-		lines = append(lines, line{a, "leaving"})
+	entries := []entry{}
+	for _, name := range args {
+		entries = append(entries, entry{name, "leaving"})
 	}
-	return s.fleet.Client.Put(context.Background(), s.d.HostList, "/hosts", lines)
+	return s.fleet.Client.Put(context.Background(), s.d.HostList, "/hosts", entries)
 }
--- a/scenario/keyed_history_test.go
+++ b/scenario/keyed_history_test.go
@@ -19,18 +19,18 @@
 	"vetchtrail/standin/plain"
 )
 
-// attempt is the input of an operation: one attempt at a keyed request, or, with count, a query of
-// how often the stand-ins executed it.
+// attempt is the input of an operation: one attempt at a keyed request. With count it is a query
+// instead, of how many times the stand-ins executed the request.
 type attempt struct {
 	key   string
 	count bool
 }
 
-// response is the output of an operation.
+// response is the output of an operation: outcome and text for an attempt, runs for a query.
 type response struct {
 	outcome string // answered, not-run or unknown
 	text    string
-	runs    int
+	runs    int // number of executions
 }
 
 // keyState is the state of one key in the model: whether its request ran, and the text of the
@@ -82,7 +82,7 @@
 	r.ops = append(r.ops, op)
 }
 
-// faultInjector injects faults in turn until stop is closed, and counts them by kind.
+// faultInjector injects faults and counts them by kind.
 type faultInjector struct {
 	t     *testing.T
 	f     *fleet.Fleet
@@ -95,7 +95,8 @@
 // callerCount is the number of callers that retry keyed requests concurrently.
 const callerCount = 8
 
-// run injects a kill, a freeze, a cut link, an outage of the store and lost responses, in turn.
+// run injects a kill, a freeze, a cut link, an outage of the store and lost responses in turn, until
+// stop is closed.
 func (x *faultInjector) run(stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -193,7 +194,7 @@
 }
 
 // sendBookings sends bookings one after the other until stop is closed. It sends each booking one to
-// four times, also after a response, with the same key and to random hosts.
+// four times with the same key, to random hosts, even if it has already received a response.
 func sendBookings(ctx context.Context, f *fleet.Fleet, d deployment.Deployment, r *historyRecorder, caller int, rnd *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
@@ -233,7 +234,8 @@
 	r.add(porcupine.Operation{ClientId: caller, Input: attempt{key: key}, Call: call, Output: out, Return: end})
 }
 
-// addExecutionCounts adds, as the last operation of each key, how often the stand-ins executed it.
+// addExecutionCounts adds a last operation for each key: the query of how many times the stand-ins
+// executed its request.
 func addExecutionCounts(t *testing.T, f *fleet.Fleet, r *historyRecorder) {
 	t.Helper()
 	all, err := f.Executions(context.Background())
--- a/scenario/poison_test.go
+++ b/scenario/poison_test.go
@@ -24,13 +24,13 @@
 const (
 	// poisonPrompt is the prompt that crashes engines.
 	poisonPrompt = "the parcel that ends its reader"
-	// crashesUntilKnown is the number of endpoints that a request may crash before hosts regard it
-	// as a poison request. knownWithin is the time in which all hosts must then quarantine it.
-	crashesUntilKnown = 3
-	knownWithin       = 5 * time.Second
+	// crashesToQuarantine is the number of endpoints that a request may crash before hosts regard it
+	// as a poison request. All hosts must quarantine it within quarantineTimeout of the last of them.
+	crashesToQuarantine = 3
+	quarantineTimeout   = 5 * time.Second
 	// poisonRetryInterval is the pause of the caller between two attempts.
 	poisonRetryInterval = 100 * time.Millisecond
-	// maxLateArrivals is how often the poison request may still reach endpoints after that time.
+	// maxLateArrivals is how many times the poison request may reach endpoints after that time.
 	maxLateArrivals = 3
 )
 
@@ -45,10 +45,10 @@
 
 	mu            sync.Mutex
 	results       []client.Result // of the poison request, in order
-	otherOutcomes map[string]int  // outcomes of the other requests, counted
+	otherOutcomes map[string]int  // number of the other requests, by outcome
 }
 
-// newPoisonRun starts a deployment of so many hosts and engines in each region.
+// newPoisonRun starts a deployment with the given numbers of hosts and engines in each region.
 func newPoisonRun(t *testing.T, hosts, engines int) *poisonRun {
 	t.Helper()
 	dir := t.TempDir()
@@ -67,7 +67,7 @@
 	if !t.Failed() {
 		return
 	}
-	const maxLines = 400 // lines
+	const maxLines = 400
 	pattern := regexp.MustCompile(`msg="(endpoint ended|request held back|holds not swapped|holds not taken|host not told|counter of ends)`)
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	logged := 0
@@ -86,19 +86,19 @@
 	}
 }
 
-// ask sends a model request to a host and returns its result.
-func (x *poisonRun) ask(host int, prompt string) client.Result {
+// sendPrompt sends a model request to a host and returns its result.
+func (x *poisonRun) sendPrompt(host int, prompt string) client.Result {
 	return x.f.Client.Do(x.ctx, client.Request{
 		Host: x.d.Hosts[host].Listen.Callers, Service: x.d.Spec.Model.Name, Prompt: prompt, Tokens: 8, Stream: true,
 		Timeout: 3 * time.Second,
 	})
 }
 
-// retryPoisonRequest sends the poison request again and again, to random hosts of those given,
-// until ctx ends, and records the results.
+// retryPoisonRequest repeats the poison request until ctx ends, each time to a random one of the
+// given hosts, and records the results.
 func (x *poisonRun) retryPoisonRequest(ctx context.Context, hosts []int) {
 	for ctx.Err() == nil {
-		r := x.ask(hosts[x.rnd.IntN(len(hosts))], poisonPrompt)
+		r := x.sendPrompt(hosts[x.rnd.IntN(len(hosts))], poisonPrompt)
 		x.mu.Lock()
 		x.results = append(x.results, r)
 		x.mu.Unlock()
@@ -111,7 +111,7 @@
 func (x *poisonRun) sendOtherRequests(ctx context.Context, caller int) {
 	rnd := rand.New(rand.NewPCG(3, uint64(caller)))
 	for ctx.Err() == nil {
-		r := x.ask(rnd.IntN(len(x.d.Hosts)), "parcel "+time.Now().String())
+		r := x.sendPrompt(rnd.IntN(len(x.d.Hosts)), "parcel "+time.Now().String())
 		x.mu.Lock()
 		switch {
 		case r.Complete:
@@ -123,7 +123,7 @@
 	}
 }
 
-// sendFor sends the poison request to hosts, and other requests to all hosts, for a time.
+// sendFor sends the poison request to the given hosts, and other requests to all hosts, for a time.
 func (x *poisonRun) sendFor(length time.Duration, hosts []int) {
 	ctx, stop := context.WithTimeout(x.ctx, length)
 	defer stop()
@@ -173,28 +173,29 @@
 	return out
 }
 
-// TestPoisonRequest guards against one request that crashes endpoint after endpoint. Four times in a
-// minute and a half, the requests of two routes were rejected or cut off for seconds. Each time nine
-// endpoints crashed, one every few tenths of a second, restarted and crashed again. The last request
-// that each of them had received was that of one caller, who retried at another host after each
-// failure. Hosts regarded each retry as a new request.
-// Of 645 requests sent to endpoints in that time, only those of the size of this request had reached
-// all eight endpoints that crashed, in 12 attempts. No other request had reached more than five.
+// TestPoisonRequest guards against one request that crashes endpoint after endpoint: its caller
+// retries at another host after each failure, and hosts regard each retry as a new request. Four
+// times in a minute and a half, nine endpoints crashed, one every few tenths of a second, restarted
+// and crashed again. Each time the requests of two routes were rejected or cut off for seconds.
+// Each of these endpoints had received a request of the same caller last. Of 645 requests sent to
+// endpoints in that time, only those of the size of this request, in 12 attempts, had reached all
+// eight endpoints that crashed. No other request had reached more than five.
 func TestPoisonRequest(t *testing.T) {
 	t.Parallel()
 	x := newPoisonRun(t, 2, 2)
 	x.sendFor(14*time.Second, x.allHosts())
 	crashes, arrivals := x.crashesAndArrivals()
 	t.Logf("%d crashes, %d arrivals, other requests %v", len(crashes), len(arrivals), x.otherOutcomes)
-	assert.Assert(t, len(crashes) >= crashesUntilKnown, "the fault did not occur: too few crashes")
-	more := countAfter(arrivals, crashes[crashesUntilKnown-1].Add(knownWithin))
-	assert.Assert(t, more <= maxLateArrivals, "%d crashes, and the request reached endpoints %d times more", len(crashes), more)
+	assert.Assert(t, len(crashes) >= crashesToQuarantine, "the fault did not occur: too few crashes")
+	late := countAfter(arrivals, crashes[crashesToQuarantine-1].Add(quarantineTimeout))
+	assert.Assert(t, late <= maxLateArrivals, "%d crashes, and the request reached endpoints %d times too late", len(crashes), late)
 	x.checkRejection()
 	assert.Equal(t, x.otherOutcomes["not-run held-back"], 0, "harmless requests were quarantined: %v", x.otherOutcomes)
 }
 
-// checkRejection checks the last response to the poison request: status 503, not run, with the
-// reason and without a retry time. Operators must see one quarantined request.
+// checkRejection checks the last response to the poison request: status 503, outcome not-run, reason
+// held-back, and no retry time. It also checks that the operators' tool lists one quarantined
+// request.
 func (x *poisonRun) checkRejection() {
 	x.t.Helper()
 	last := x.results[len(x.results)-1]
@@ -206,20 +207,21 @@
 	assert.Equal(x.t, strings.Count(out, "held back"), 1, out)
 }
 
-// poisonArrivals sends the poison request once to each host and returns how often it reached an
+// poisonArrivals sends the poison request once to each host and returns how many times it reached an
 // engine.
 func (x *poisonRun) poisonArrivals() int {
 	x.t.Helper()
 	_, before := x.crashesAndArrivals()
 	for host := range x.d.Hosts {
-		x.ask(host, poisonPrompt)
+		x.sendPrompt(host, poisonPrompt)
 	}
 	_, after := x.crashesAndArrivals()
 	return len(after) - len(before)
 }
 
 // TestQuarantineOutlastsHosts guards against a quarantine that is lost when all hosts are killed at
-// once: the poison request would crash endpoints again. The store persists the quarantine.
+// once, so that the poison request crashes endpoints again. The restarted hosts must read the
+// quarantine from the store.
 func TestQuarantineOutlastsHosts(t *testing.T) {
 	t.Parallel()
 	x := newPoisonRun(t, 1, 2)
@@ -232,12 +234,12 @@
 		assert.NilError(t, x.f.StartHost(h.Host))
 	}
 	for i, h := range x.d.Hosts {
-		assert.NilError(t, x.f.Await(x.ctx, h.Host+" serves", func() bool { return x.ask(i, "x").Complete }))
+		assert.NilError(t, x.f.Await(x.ctx, h.Host+" serves", func() bool { return x.sendPrompt(i, "x").Complete }))
 	}
 	assert.Equal(t, x.poisonArrivals(), 0)
 }
 
-// TestQuarantineRelease guards against a release by an operator that has no effect, and against a
+// TestQuarantineRelease guards against an operator's release that has no effect, and against a
 // released request that isn't quarantined again when it crashes more endpoints.
 func TestQuarantineRelease(t *testing.T) {
 	t.Parallel()
@@ -261,28 +263,28 @@
 func TestQuarantineInIsolatedRegion(t *testing.T) {
 	t.Parallel()
 	x := newPoisonRun(t, 2, 3)
-	cutOff := x.d.Spec.Regions[2].Name
+	isolated := x.d.Spec.Regions[2].Name
 	var inside, outside []int
 	for i, h := range x.d.Hosts {
-		if h.Region == cutOff {
+		if h.Region == isolated {
 			inside = append(inside, i)
 			continue
 		}
 		outside = append(outside, i)
 	}
-	x.setIsolated(cutOff, true)
+	x.setIsolated(isolated, true)
 	x.sendFor(6*time.Second, inside)
 	crashes, arrivals := x.crashesAndArrivals()
-	assert.Assert(t, len(crashes) >= crashesUntilKnown, "the fault did not occur: too few crashes")
-	assert.Assert(t, countAfter(arrivals, crashes[crashesUntilKnown-1].Add(knownWithin)) <= maxLateArrivals)
+	assert.Assert(t, len(crashes) >= crashesToQuarantine, "the fault did not occur: too few crashes")
+	assert.Assert(t, countAfter(arrivals, crashes[crashesToQuarantine-1].Add(quarantineTimeout)) <= maxLateArrivals)
 	assert.Assert(t, x.listsQuarantine(inside[0]) || x.listsQuarantine(inside[1]), "the isolated region did not quarantine the request; crashes at %v", crashes)
-	x.setIsolated(cutOff, false)
+	x.setIsolated(isolated, false)
 	for _, i := range outside {
 		assert.NilError(t, x.f.Await(x.ctx, x.d.Hosts[i].Host+" lists the quarantine", func() bool { return x.listsQuarantine(i) }))
 	}
 	x.sendFor(2*time.Second, outside)
-	_, more := x.crashesAndArrivals()
-	assert.Equal(t, len(more), len(arrivals))
+	_, arrivalsAfterHeal := x.crashesAndArrivals()
+	assert.Equal(t, len(arrivalsAfterHeal), len(arrivals))
 }
 
 // listsQuarantine reports whether a host lists a quarantined request to operators.
--- a/scenario/ratelimit_test.go
+++ b/scenario/ratelimit_test.go
@@ -15,13 +15,13 @@
 	rateWindow    = 4 * time.Second
 	rateTolerance = 1.5
 	rateAllowance = 5
-	// ratePropagation is the time after the first advertisement in which the bound doesn't apply
-	// yet: some requests are already in flight, and hosts receive the limit only with responses.
+	// ratePropagation is how long after the first advertisement the bound doesn't apply yet: some
+	// requests are already in flight, and hosts receive the limit only with responses.
 	ratePropagation = time.Second
 )
 
-// advertiseRate makes an engine advertise a rate limit in its responses, or none if rate is empty,
-// and returns the time at which it began.
+// advertiseRate makes an engine advertise a rate limit in its responses from now on, or none if rate
+// is empty, and returns the current time.
 func (x *engineRun) advertiseRate(engineName, rate string) time.Time {
 	x.t.Helper()
 	for _, e := range x.d.Document.Endpoints {
@@ -32,8 +32,8 @@
 	return time.Now()
 }
 
-// maxInWindow returns the largest number of times in any rateWindow that begins at one of them
-// between from and to.
+// maxInWindow returns the largest number of times in a window of length rateWindow. Each window
+// begins at one of the times, not before from and not after to.
 func maxInWindow(times []time.Time, from, to time.Time) int {
 	out := 0
 	for i, first := range times {
@@ -51,35 +51,34 @@
 	return out
 }
 
-// countBetween returns the number of times after from and up to to.
+// countBetween returns the number of times that are after from, and not after to.
 func countBetween(times []time.Time, from, to time.Time) int {
 	return countAfter(times, from) - countAfter(times, to)
 }
 
 // TestAdvertisedRateLimit guards against an endpoint that receives more requests than the rate limit
-// that it advertises allows. Two endpoints with a fault advertised in each response a limit of 2
-// requests a second for all hosts together, and still received 10 to 20 a second; callers were
-// served all the same. Hosts relayed the header field to callers but did not read it, and each host
-// counted only its own requests to an endpoint.
-// Hosts that logged the field, but did not use it for decisions, showed that nothing else was the
-// cause. All three hosts of the region logged the limit within 25 ms of each other. Then they sent
-// 686, 727 and 746 requests to the endpoint in the 12 s in which it advertised 2 a second. So each
-// host received the limit, and received it early.
+// that it advertises allows. Two faulty endpoints advertised in each response a limit of 2 requests
+// a second for all hosts together, and received 10 to 20 a second; callers were served all the
+// same. Hosts relayed the header field to callers but did not read it, and each host counted only
+// its own requests to an endpoint.
+// A delayed advertisement was not the cause: with hosts that logged the field but did not act on it,
+// all three hosts of the region logged it within 25 ms of each other. They then sent 686, 727 and
+// 746 requests to the endpoint in the 12 s in which it advertised 2 a second.
 func TestAdvertisedRateLimit(t *testing.T) {
 	t.Parallel()
 	const rate = 2.0
 	x := newEngineRun(t)
 	ctx, stop := context.WithCancel(x.ctx)
-	all := x.startCallers(ctx, 24)
-	defer all.Wait()
+	callers := x.startCallers(ctx, 24)
+	defer callers.Wait()
 	defer stop()
-	limited := x.busiest()
+	limited := x.busiestEngine()
 	advertisedAt := x.advertiseRate(limited, strconv.FormatFloat(rate, 'g', -1, 64))
 	time.Sleep(12 * time.Second)
 	liftedAt := x.advertiseRate(limited, "")
 	time.Sleep(4 * time.Second)
 	stop()
-	all.Wait()
+	callers.Wait()
 	starts := x.executionTimes(limited)
 	worst := maxInWindow(starts, advertisedAt.Add(ratePropagation), liftedAt.Add(-rateWindow))
 	total := countBetween(starts, advertisedAt.Add(ratePropagation), liftedAt)
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -28,18 +28,19 @@
 // binaries is the directory of the programs under test.
 var binaries string
 
-// addressSlots counts the fleets so far; each gets loopback addresses of its own.
-var addressSlots atomic.Int64
+// fleetCount counts the fleets so far. Each gets a subnet of loopback addresses of its own.
+var fleetCount atomic.Int64
 
 const (
-	firstAddressSlot   = 20
-	defaultEngineSlots = 8 // requests that an engine runs at a time
+	baseSubnet         = 20 // the fleets use the subnets above this number
+	defaultEngineSlots = 8  // requests that an engine runs at a time
 )
 
 // TestMain builds the programs, runs the tests, and fails if a program panicked or had a data race.
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
-// run returns the exit code of the tests. VETCHTRAIL_RACE builds the programs with the race detector.
+// run builds the programs, with the race detector if VETCHTRAIL_RACE is set, runs the tests and
+// returns their exit code.
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "vetchtrail")
 	if err != nil {
@@ -58,8 +59,8 @@
 	}
 	binaries = dir
 	code := m.Run()
-	for _, c := range programFailures.list {
-		fmt.Println("a program under test panicked or had a data race:", c)
+	for _, excerpt := range programFailures.list {
+		fmt.Println("a program under test panicked or had a data race:", excerpt)
 		code = 1
 	}
 	return code
@@ -79,10 +80,10 @@
 	programFailures.list = append(programFailures.list, f.RacesAndPanics()...)
 }
 
-// newFleet starts the small deployment, of three regions with so many hosts and engines each, on
-// addresses of its own.
+// newFleet starts the small deployment, of three regions with the given numbers of hosts and engines
+// each, on a subnet of its own.
 func newFleet(dir string, hosts, engines, engineSlots int, engineArgs []string) (*fleet.Fleet, deployment.Deployment, error) {
-	spec := deployment.Small(int(firstAddressSlot+addressSlots.Add(1)), hosts, engines)
+	spec := deployment.Small(int(baseSubnet+fleetCount.Add(1)), hosts, engines)
 	spec.Model.Slots = engineSlots
 	d := deployment.Build(spec)
 	f, err := fleet.Start(context.Background(), fleet.Config{
@@ -115,7 +116,7 @@
 	}
 	type command = func(s *script, ts *testscript.TestScript, args []string) error
 	commands := map[string]command{
-		"fleet": (*script).start, "apply": (*script).apply, "operate": (*script).operate, "ask": (*script).ask, "bg": (*script).bg,
+		"fleet": (*script).startFleet, "apply": (*script).apply, "operate": (*script).operate, "ask": (*script).ask, "bg": (*script).bg,
 		"join": (*script).join, "check": (*script).check, "until": (*script).until, "key": (*script).key, "ran": (*script).ran,
 		"process": (*script).process, "link": (*script).link, "isolate": (*script).isolate, "fault": (*script).fault, "leaving": (*script).leaving,
 		"inforce": (*script).inForce, "get": (*script).get, "repeat20": (*script).repeat, "sleep": (*script).sleep, "await": (*script).await, "firstready": (*script).firstReady, "inforcehost": (*script).inForceHost,
--- a/scenario/soak_test.go
+++ b/scenario/soak_test.go
@@ -14,7 +14,7 @@
 	"vetchtrail/standin/deployment"
 )
 
-// regularSeed is the seed that CI runs in addition to those that once failed.
+// regularSeed is the seed that is run in addition to the seeds that have broken a promise before.
 const regularSeed = 1
 
 // TestSoak guards against promises that are broken under random faults. It runs a short soak with the
@@ -24,11 +24,12 @@
 	for _, seed := range append([]uint64{regularSeed}, failedSeeds(t)...) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Logf("seed %d", seed)
-			spec, err := deployment.Sized(int(firstAddressSlot+addressSlots.Add(1)), 3, 2, 1)
+			spec, err := deployment.Sized(int(baseSubnet+fleetCount.Add(1)), 3, 2, 1)
 			assert.NilError(t, err)
 			report, err := soak.Run(context.Background(), soak.Config{
 				Seed: seed, RunLength: length, FaultRate: rate, CallersPerHost: callers, Spec: spec, Binaries: binaries, Directory: t.TempDir(),
-				PoisonRequests: seed == regularSeed, RateLimits: seed == regularSeed, Announcements: seed == regularSeed, // the failed seeds run with the configuration with which they failed
+				// The failed seeds run with the configuration with which they failed.
+				PoisonRequests: seed == regularSeed, RateLimits: seed == regularSeed, Announcements: seed == regularSeed,
 			})
 			assert.NilError(t, err)
 			assert.Equal(t, len(report.Violations), 0, "%v", report.Violations)
@@ -37,15 +38,16 @@
 	}
 }
 
-// failedSeeds reads the seeds that failed before. Each has a line of its own with the cause.
+// failedSeeds reads the seeds that have broken a promise before. Each has a line of its own with the
+// cause.
 func failedSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	text, err := os.ReadFile("../soak/testdata/seeds.txt")
 	assert.NilError(t, err)
 	var out []uint64
 	for line := range strings.SplitSeq(string(text), "\n") {
-		word, _, _ := strings.Cut(line, ":")
-		if n, err := strconv.ParseUint(word, 10, 64); err == nil {
+		number, _, _ := strings.Cut(line, ":")
+		if n, err := strconv.ParseUint(number, 10, 64); err == nil {
 			out = append(out, n)
 		}
 	}
--- a/scenario/waits_test.go
+++ b/scenario/waits_test.go
@@ -11,7 +11,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// sleep implements "sleep DURATION": it waits for a time that a promise names ("after a few
+// sleep implements "sleep DURATION": it waits for a period that a promise specifies ("after a few
 // seconds"). It must not be used to wait for an event: await, until and inforce do that.
 func (s *script) sleep(_ *testscript.TestScript, args []string) error {
 	d, err := time.ParseDuration(args[0])
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// firstReady implements "firstready HOST N": it waits until a host becomes ready, which must
-// already have revision N or a later one.
+// firstReady implements "firstready HOST N": it waits until a host becomes ready. The host must have
+// revision N or a later one by then.
 func (s *script) firstReady(_ *testscript.TestScript, args []string) error {
 	h, err := s.fleet.Settings(args[0])
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // inForceHost implements "inforcehost HOST N": it waits until one host has revision N or a later
-// one.
+// one, whether or not it is ready.
 func (s *script) inForceHost(_ *testscript.TestScript, args []string) error {
 	h, err := s.fleet.Settings(args[0])
 	if err != nil {
