--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,6 +1,6 @@
 // Command soak is a fault-injection test. It starts a deployment of the real programs on
 // loopback addresses, sends requests to it, injects random faults, and checks the
-// guarantees of docs/PROOFS.md. The package parses the command line and writes the
+// promises of docs/PROOFS.md. The package parses the command line and writes the
 // reports; the test itself is in package soak.
 package main
 
@@ -31,18 +31,18 @@
 	Engines  int     `default:"2" help:"Model engines in each region."`
 	Callers  int     `default:"2" help:"Callers for each host."`
 	Rates    bool    `default:"true" negatable:"" help:"Engines advertise rate limits in their responses."`
-	Words    bool    `default:"true" negatable:"" help:"Engines announce that they are leaving, or pause requests from hosts for a time."`
+	Words    bool    `default:"true" negatable:"" help:"Engines announce that they are leaving, or reject requests with a Retry-After."`
 	Deadly   bool    `default:"true" negatable:"" help:"A caller sends a poison request, which crashes engines."`
-	Slot     int     `default:"200" help:"Third number of the loopback addresses; it must differ from that of other deployments on the machine."`
+	Slot     int     `default:"200" help:"Subnet: third byte of the loopback addresses; it must differ from that of other deployments on the machine."`
 	Binaries string  `default:"target" type:"existingdir" help:"Directory of the programs vetchtraild, vetchtrail and standin."`
 	Out      string  `default:"soak-out" help:"Directory for logs, reports and timelines."`
 }
 
-// errViolations is returned if at least one run found a violated guarantee.
-var errViolations = errors.New("guarantees were violated; see the reports")
+// errViolations is returned if at least one run found a broken promise.
+var errViolations = errors.New("promises were broken; see the reports")
 
 // Run runs the test once for each seed. It continues with the next seed after a run that
-// found a violated guarantee, but not after a run that itself failed.
+// found a broken promise, but not after a run that itself failed.
 func (a *arguments) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -73,7 +73,7 @@
 	for _, path := range []*string{&a.Binaries, &a.Out} {
 		absolute, err := filepath.Abs(*path)
 		if err != nil {
-			return errors.Wrap(err, "soak: absolute path")
+			return errors.Wrapf(err, "soak: absolute path of %s", *path)
 		}
 		*path = absolute
 	}
@@ -81,7 +81,7 @@
 }
 
 // runSeed runs the test with one seed, and writes its timeline to the seed's directory and
-// its report to standard output. It reports whether all guarantees held.
+// its report to standard output. It returns false if the run found a broken promise.
 func (a *arguments) runSeed(ctx context.Context, seed uint64) (bool, error) {
 	dir := filepath.Join(a.Out, fmt.Sprint(seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -106,6 +106,6 @@
 
 func main() {
 	var a arguments
-	k := kong.Parse(&a, kong.Name("soak"), kong.Description("Run the real programs under random faults and check their guarantees."), kong.UsageOnError())
+	k := kong.Parse(&a, kong.Name("soak"), kong.Description("Run the real programs under random faults and check the promises of docs/PROOFS.md."), kong.UsageOnError())
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/soak/main_test.go
+++ b/cmd/soak/main_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPathsMadeAbsolute guards against relative paths in the flags. The programs run in
-// directories of their own, where a relative path, such as a default, means another
+// TestPathsMadeAbsolute guards against flags that stay relative, such as the defaults. The
+// programs run in directories of their own, where a relative path names another
 // directory. Each path must become absolute and keep its last element.
 func TestPathsMadeAbsolute(t *testing.T) {
 	cases := map[string]struct{ binaries, out string }{
--- a/cmd/standin/capacity.go
+++ b/cmd/standin/capacity.go
@@ -6,8 +6,7 @@
 	"vetchtrail/standin/capacity"
 )
 
-// capacityCommand writes the tables of docs/CAPACITY.md from the output of the
-// benchmarks.
+// capacityCommand writes the tables of docs/CAPACITY.md.
 type capacityCommand struct{}
 
 // Run reads benchmark output from standard input and writes the tables to standard
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -24,18 +24,19 @@
 	"vetchtrail/version/rules"
 )
 
-// demoCommand runs an example deployment in one process and sends requests to it: in
-// normal operation, with a region lost, after its return, and with keys and a quota. It
-// ends by itself, with an error if any answer was wrong.
+// demoCommand runs an example deployment in one process and sends requests to it in
+// steps: in normal operation, while the engines of one region refuse all requests, after
+// that region has recovered, and with workspace keys and a quota. It ends after the last
+// step, with an error if any answer was wrong.
 type demoCommand struct {
 	Verbose bool `help:"Also print the log lines of the hosts."`
 }
 
 const (
-	demoSlot            = 3                // address slot of the deployment
-	demoTimeout         = 28 * time.Second // for the whole demo
-	demoTokens          = 12               // length of a model answer
-	regionReturnTimeout = 10 * time.Second // until a recovered region must serve its bound requests again
+	demoSubnet            = 3                // of the deployment's loopback addresses
+	demoTimeout           = 28 * time.Second // for the whole demo
+	demoTokens            = 12               // length of a model answer
+	regionRecoveryTimeout = 10 * time.Second // within which a recovered region must serve its bound requests again
 )
 
 // demo is one run of the demo.
@@ -45,12 +46,13 @@
 	steps  []stepResult          // finished steps, and the current one last
 }
 
-// stepResult counts the requests of one step of the demo. Wrong are those that failed or
-// got a wrong answer, otherRegion those answered outside the caller's region, and refused
-// those that were refused as expected.
+// stepResult counts the requests of one step of the demo.
 type stepResult struct {
-	name                                  string
-	requests, wrong, otherRegion, refused int
+	name        string
+	requests    int
+	wrong       int // failed, or got a wrong answer
+	otherRegion int // answered correctly outside the caller's region
+	refused     int // refused, as expected
 }
 
 // currentStep returns the counts of the step in progress.
@@ -71,7 +73,7 @@
 // printSteps prints a table with a row for each step and one for all of them.
 func (m *demo) printSteps(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "\nSTEP\tREQUESTS\tRIGHT\tIN ANOTHER REGION\tREFUSED AS THEY HAD TO BE")
+	_, _ = fmt.Fprintln(w, "\nSTEP\tREQUESTS\tRIGHT\tIN ANOTHER REGION\tREFUSED AS EXPECTED")
 	for _, s := range append(slices.Clone(m.steps), m.total()) {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", s.name, s.requests, s.requests-s.wrong, s.otherRegion, s.refused)
 	}
@@ -82,7 +84,7 @@
 func (c *demoCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	layout := deployment.Build(deployment.Wycena(demoSlot))
+	layout := deployment.Build(deployment.Wycena(demoSubnet))
 	fmt.Printf("A deployment of %d entry hosts and %d endpoints in %d regions, on loopback addresses.\n",
 		len(layout.Hosts), len(layout.Document.Endpoints), len(layout.Spec.Regions))
 	system, err := world.Start(ctx, world.Config{
@@ -104,7 +106,7 @@
 		return err
 	}
 	all := m.total()
-	fmt.Printf("\n%d requests: %d right, %d wrong; %d ran in another region, %d were refused as they had to be.\n",
+	fmt.Printf("\n%d requests: %d right, %d wrong; %d ran in another region, %d were refused as expected.\n",
 		all.requests, all.requests-all.wrong, all.wrong, all.otherRegion, all.refused)
 	if all.wrong > 0 {
 		return errors.Errorf("demo: %d answers were wrong", all.wrong)
@@ -122,7 +124,7 @@
 
 // run runs the steps of the demo in order.
 func (m *demo) run(ctx context.Context) error {
-	m.beginStep("configuration", "The operators apply a configuration by one typed call.")
+	m.beginStep("configuration", "An operator applies the configuration by one call.")
 	revision, err := m.configure(ctx)
 	if err != nil {
 		return err
@@ -139,11 +141,11 @@
 	m.sendFromAllRegions(ctx, nil)
 
 	lost := m.layout.Spec.Regions[1]
-	m.beginStep("a region lost", "Region "+lost.Name+" loses its engines. Its callers are served elsewhere; the bound ones are refused.")
+	m.beginStep("region lost", "The engines of region "+lost.Name+" refuse all requests. Its callers are served by other regions; requests bound to it are refused.")
 	m.setEngineFaults(lost, engine.Faults{Refuse: true})
 	m.sendFromAllRegions(ctx, map[string]bool{lost.Name: true})
 
-	m.beginStep("back again", "The engines of "+lost.Name+" come back.")
+	m.beginStep("region recovered", "The engines of region "+lost.Name+" serve requests again.")
 	m.setEngineFaults(lost, engine.Faults{})
 	if err := m.awaitRegion(ctx, lost); err != nil {
 		return err
@@ -171,8 +173,8 @@
 	return m.propose(ctx, "first configuration", rules.Empty().Difference(wanted))
 }
 
-// propose proposes one change of the configuration and returns the revision that it was
-// accepted as.
+// propose proposes one change of the configuration and returns the revision that the
+// change made.
 func (m *demo) propose(ctx context.Context, reason string, edits []vetchtrail.Edit) (uint64, error) {
 	operatorClient, err := operator.Dial(ctx, operator.Config{Addr: m.layout.Hosts[0].Listen.Peers})
 	if err != nil {
@@ -199,9 +201,10 @@
 	}
 }
 
-// sendFromAllRegions sends requests of each kind from each region: a streamed and a
-// whole model answer, a request bound to its region, and a booking at the plain service.
-// lost contains the regions whose engines are lost, which must refuse bound requests.
+// sendFromAllRegions sends requests of each kind from each region: a model request whose
+// answer is streamed, one whose answer is not, one that is bound to the region, and a
+// booking at the plain service. lost contains the regions whose engines refuse requests;
+// requests that are bound to these regions must be refused.
 func (m *demo) sendFromAllRegions(ctx context.Context, lost map[string]bool) {
 	for i, r := range m.layout.Spec.Regions {
 		callerAddr := m.callerAddr(r)
@@ -241,7 +244,7 @@
 }
 
 // sendBoundRequest sends a request of a workspace whose requests may not leave region r.
-// If the region's engines are lost, the request must be refused.
+// If lost is set, the region's engines refuse requests, and so must the host.
 func (m *demo) sendBoundRequest(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort, lost bool) {
 	if !lost {
 		m.sendModelRequest(ctx, r, callerAddr, r.Name+": a bound drawing", r.Name+"-bound", true)
@@ -278,7 +281,7 @@
 		texts[i] = res.Text
 	}
 	if texts[0] != texts[1] {
-		m.recordWrong(r, client.Result{Detail: "the booking's repeat got another answer: " + texts[1]})
+		m.recordWrong(r, client.Result{Detail: "the repeated booking got another answer: " + texts[1]})
 	}
 }
 
@@ -299,10 +302,10 @@
 	return ""
 }
 
-// awaitRegion sends requests that are bound to a region until one is answered. Then the
-// hosts send requests to the region's engines again.
+// awaitRegion sends requests that are bound to a region until one is answered, which
+// shows that the hosts send requests to the region's engines again.
 func (m *demo) awaitRegion(ctx context.Context, r deployment.RegionSpec) error {
-	deadline := time.Now().Add(regionReturnTimeout)
+	deadline := time.Now().Add(regionRecoveryTimeout)
 	for time.Now().Before(deadline) {
 		res := m.system.Client.Do(ctx, client.Request{
 			Host: m.callerAddr(r), Service: m.layout.Spec.Model.Name, Workspace: r.Name + "-bound", Prompt: "back?", Tokens: 1,
--- a/cmd/standin/examples.go
+++ b/cmd/standin/examples.go
@@ -10,23 +10,23 @@
 )
 
 // examplesCommand writes the configuration and the settings files of the example
-// deployments, which are kept under examples/.
+// deployments. The repository contains its output under examples/.
 type examplesCommand struct {
 	Directory string `arg:"" default:"examples" help:"Directory to write to."`
 }
 
-// Address slots of the example deployments. The slot is a number in the loopback
-// addresses of a deployment; it must differ between the deployments on one machine.
+// Subnets of the example deployments. The subnet is the third byte of a deployment's
+// loopback addresses; it must differ between the deployments on one machine.
 const (
-	slotWycena    = 1
-	slotCadastral = 2
+	wycenaSubnet    = 1
+	cadastralSubnet = 2
 )
 
 // Run writes one directory for each example deployment.
 func (c *examplesCommand) Run() error {
 	for name, spec := range map[string]deployment.Spec{
-		"wycena":    deployment.Wycena(slotWycena),
-		"cadastral": deployment.Cadastral(slotCadastral),
+		"wycena":    deployment.Wycena(wycenaSubnet),
+		"cadastral": deployment.Cadastral(cadastralSubnet),
 	} {
 		if err := writeExample(filepath.Join(c.Directory, name), deployment.Build(spec)); err != nil {
 			return err
--- a/cmd/standin/keys.go
+++ b/cmd/standin/keys.go
@@ -12,19 +12,20 @@
 const (
 	demoWorkspace = "zaklad-nowak"
 	demoKey       = "a-key-of-the-demo"
-	// demoQuota is the scale of the quota step: the workspace has a burst of 4 × demoQuota
-	// requests, and the demo sends 8 × demoQuota requests.
-	demoQuota = 3
+	// quotaBurst is the burst of the workspace's quota, for all hosts together. The demo
+	// sends quotaRequests requests to one host, so that some exceed the quota.
+	quotaBurst    = 12
+	quotaRequests = 2 * quotaBurst
 )
 
 // runKeyStep checks authentication and quota of a workspace with a key. Requests without
 // a key, with a wrong key or with a removed key must be refused with status 401. With
 // the key, some requests must be served and those over the quota refused.
 func (m *demo) runKeyStep(ctx context.Context) error {
-	m.beginStep("keys and quota", "A workspace has a key and a quota: its callers are served up to it, others not.")
+	m.beginStep("keys and quota", "A workspace has a key and a quota: callers with the key are served up to the quota, others are refused.")
 	workspace := vetchtrail.Workspace{
 		Name: demoWorkspace, Keys: []vetchtrail.KeyHash{vetchtrail.HashKey(demoKey)}, Locked: true,
-		Quota: vetchtrail.Quota{Rate: 1, Burst: 4 * demoQuota},
+		Quota: vetchtrail.Quota{Rate: 1, Burst: quotaBurst},
 	}
 	if err := m.putWorkspace(ctx, "a workspace with a key", workspace); err != nil {
 		return err
@@ -33,7 +34,7 @@
 	m.expectRefusal(ctx, "no key", client.Request{Workspace: demoWorkspace}, http.StatusUnauthorized)
 	m.expectRefusal(ctx, "a wrong key", client.Request{Credential: "guess"}, http.StatusUnauthorized)
 	served := 0
-	for range 8 * demoQuota {
+	for range quotaRequests {
 		res := m.system.Client.Do(ctx, m.withDefaults(client.Request{Credential: demoKey}))
 		m.currentStep().requests++
 		switch {
@@ -46,14 +47,14 @@
 		}
 	}
 	fmt.Printf("   with the key: %d served, the rest beyond the quota\n", served)
-	if served == 0 || served == 8*demoQuota {
-		m.recordWrong(r, client.Result{Detail: fmt.Sprintf("%d of %d were served", served, 8*demoQuota)})
+	if served == 0 || served == quotaRequests {
+		m.recordWrong(r, client.Result{Detail: fmt.Sprintf("%d of %d were served", served, quotaRequests)})
 	}
 	workspace.Keys = nil
-	if err := m.putWorkspace(ctx, "its key is taken away", workspace); err != nil {
+	if err := m.putWorkspace(ctx, "remove the key", workspace); err != nil {
 		return err
 	}
-	m.expectRefusal(ctx, "a key that was taken away", client.Request{Credential: demoKey}, http.StatusUnauthorized)
+	m.expectRefusal(ctx, "a removed key", client.Request{Credential: demoKey}, http.StatusUnauthorized)
 	return nil
 }
 
@@ -73,8 +74,8 @@
 	return req
 }
 
-// expectRefusal sends a request that must be refused with the status and without having
-// run.
+// expectRefusal sends a request that must be refused with the given status, and must not
+// have run.
 func (m *demo) expectRefusal(ctx context.Context, label string, req client.Request, status int) {
 	res := m.system.Client.Do(ctx, m.withDefaults(req))
 	m.currentStep().requests++
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -16,21 +16,22 @@
 	"vetchtrail/standin/loadrun"
 )
 
-// loadCommand compares the policies on the same arrivals, with and without faults.
+// loadCommand compares policies under the same sequence of requests, with and without
+// faults.
 type loadCommand struct {
 	Deployment string                 `enum:"wycena,cadastral" default:"wycena" help:"Example deployment to run."`
 	Policies   []string               `default:"round-robin,least-in-flight,two-choices,weighted" help:"Policies to compare."`
 	Off        []vetchtrail.Mechanism `help:"Mechanisms of the policy to switch off, by their names in the settings."`
 	Cases      []string               `help:"Cases to run, by prefixes of their names; if none are given, all."`
-	Rate       float64                `default:"100" help:"Arrivals a second in the steady case."`
+	Rate       float64                `default:"100" help:"Requests a second in the steady case."`
 	Length     time.Duration          `default:"12s" help:"Length of one run."`
 	Deadline   time.Duration          `default:"6s" help:"Deadline of a request."`
 	Prefixes   int                    `default:"48" help:"Number of shared prompt prefixes, at least 2."`
-	Seed       uint64                 `default:"1" help:"Seed of the arrivals."`
+	Seed       uint64                 `default:"1" help:"Seed of the requests."`
 }
 
 const (
-	loadSlot       = 4                // address slot of the deployment
+	loadSubnet     = 4                // of the deployment's loopback addresses
 	maxTotalTime   = 30 * time.Minute // for all runs together
 	maxArrivalRate = 400              // arrivals a second
 	maxRunLength   = time.Minute
@@ -44,9 +45,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), maxTotalTime)
 	defer cancel()
-	spec := deployment.Wycena(loadSlot)
+	spec := deployment.Wycena(loadSubnet)
 	if c.Deployment == "cadastral" {
-		spec = deployment.Cadastral(loadSlot)
+		spec = deployment.Cadastral(loadSubnet)
 	}
 	fmt.Printf("%s: seed %d, %g arrivals/s at the steady case, runs of %s, deadline %s\n\n", c.Deployment, c.Seed, c.Rate, c.Length, c.Deadline)
 	var results []loadrun.Result
@@ -75,15 +76,15 @@
 }
 
 // tailFirst is the value of --policies for the weighted policy with the model weights of
-// the example deployment wycena. In these the time to the first token has the highest
-// weight. The weights of the other example, with which they are compared, avoid remote
-// regions.
+// the deployment wycena, which favour a short time to the first token. It allows to
+// compare them with the weights of the deployment cadastral, which avoid other regions.
 const tailFirst = "tail-first"
 
-// variant returns the deployment and the policy's name for a value of --policies.
+// variant returns the deployment to run and the name of its policy for a value of
+// --policies.
 func variant(spec deployment.Spec, name string) (deployment.Spec, string, error) {
 	if name == tailFirst {
-		spec.Model.Weights = deployment.Wycena(loadSlot).Model.Weights
+		spec.Model.Weights = deployment.Wycena(loadSubnet).Model.Weights
 		return spec, policy.NameWeighted, nil
 	}
 	if _, ok := policy.ByName(name, 0); !ok {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -14,9 +14,9 @@
 	Plain     plainCommand     `cmd:"" help:"Run a stand-in for a plain HTTP service."`
 	Store     storeCommand     `cmd:"" help:"Run a stand-in for the platform's key-value store."`
 	Hostlist  hostlistCommand  `cmd:"" help:"Run a stand-in for the platform's list of endpoints, which lags behind."`
-	Directory directoryCommand `cmd:"" help:"Run a stand-in for the directory that names entry hosts to clients."`
+	Directory directoryCommand `cmd:"" help:"Run a stand-in for the directory from which clients read the addresses of entry hosts."`
 	Link      linkCommand      `cmd:"" help:"Run a stand-in for the links between regions."`
-	Load      loadCommand      `cmd:"" help:"Compare the policies under load and faults, on the same arrivals."`
+	Load      loadCommand      `cmd:"" help:"Compare policies under load and faults, with the same requests for each."`
 	Capacity  capacityCommand  `cmd:"" help:"Write the tables of docs/CAPACITY.md from benchmark output on standard input."`
 	Examples  examplesCommand  `cmd:"" help:"Write the configuration and settings files of the example deployments."`
 }
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -106,7 +106,7 @@
 // addresses of the entry hosts.
 type directoryCommand struct {
 	Addr  netip.AddrPort   `arg:"" help:"Address to listen on."`
-	Hosts []netip.AddrPort `arg:"" help:"Addresses of the entry hosts to name."`
+	Hosts []netip.AddrPort `arg:"" help:"Addresses of the entry hosts to list."`
 }
 
 // Run serves the list of hosts until a signal stops it.
@@ -121,7 +121,7 @@
 }
 
 // linkCommand runs a stand-in for the slow links between regions: TCP relays that delay
-// what they carry and can be cut.
+// the bytes they forward and can be cut.
 type linkCommand struct {
 	Addr netip.AddrPort `arg:"" help:"Address of the control API, which cuts and restores links."`
 	File string         `arg:"" type:"existingfile" help:"JSON list of the relays: link name, listen address, target and delay."`
--- a/cmd/vetchtrail/config.go
+++ b/cmd/vetchtrail/config.go
@@ -45,11 +45,11 @@
 	}
 	if len(edits) == 0 {
 		return g.print(changeResult{Result: "UNCHANGED", Revision: current.Revision()}, func(w *tabwriter.Writer) {
-			_, _ = fmt.Fprintf(w, "nothing to change: revision %d is what the file says\n", current.Revision())
+			_, _ = fmt.Fprintf(w, "nothing to change: revision %d has the contents of the file\n", current.Revision())
 		})
 	}
 	if c.ExpectRevision == 0 {
-		c.ExpectRevision = current.Revision() // the edits are only right for the revision that was read
+		c.ExpectRevision = current.Revision() // the edits lead to the file's contents only from the revision that was read
 	}
 	return g.proposeOn(ctx, client, &c.changeFlags, edits)
 }
@@ -254,7 +254,7 @@
 // everywhere, it returns an error with the exit code for that.
 func (g *globals) printRevisionStatuses(revision uint64, statuses []revisionStatus, everywhere bool) error {
 	err := g.print(statuses, func(w *tabwriter.Writer) {
-		_, _ = fmt.Fprintln(w, "WHERE\tREGION\tREVISION\tIN FORCE\tHEARD")
+		_, _ = fmt.Fprintln(w, "WHERE\tREGION\tREVISION\tIN FORCE\tLAST SEEN")
 		for _, r := range statuses {
 			inForce := "yes"
 			if !r.InForce {
--- a/cmd/vetchtrail/decisions.go
+++ b/cmd/vetchtrail/decisions.go
@@ -10,8 +10,8 @@
 	"vetchtrail/schema"
 )
 
-// decisionsCommand shows the recent decisions of the daemon's host, and the outcomes of
-// the requests.
+// decisionsCommand shows the recent decisions of the daemon's host on where requests run,
+// and the outcomes of the requests.
 type decisionsCommand struct {
 	Service string `help:"Show only requests for this service."`
 	Outcome string `enum:",answered,not-run,unknown" default:"" help:"Show only requests with this outcome."`
@@ -60,7 +60,7 @@
 
 // explainCommand shows the decisions on one request and the reasons for them.
 type explainCommand struct {
-	Request string `arg:"" help:"Id of the request, as in X-Request-Id."`
+	Request string `arg:"" help:"Id of the request, from the header X-Request-Id."`
 }
 
 // Run prints the host's records of the request, oldest first. The daemon returns them
--- a/cmd/vetchtrail/globals.go
+++ b/cmd/vetchtrail/globals.go
@@ -39,7 +39,7 @@
 	Reason         string `short:"m" help:"Reason for the change; recorded in the history."`
 	Author         string `help:"Author of the change; by default the name of the current user."`
 	ChangeID       string `help:"Id of the change; to settle a change with an unknown outcome, repeat its command with its id."`
-	ExpectRevision uint64 `help:"Refuse the change if the current revision is another one."`
+	ExpectRevision uint64 `help:"Refuse the change unless this is the current revision."`
 	DryRun         bool   `help:"Validate the change without writing it."`
 }
 
@@ -123,9 +123,8 @@
 }
 
 // proposeOn proposes one change over an open connection and prints its result. If the
-// connection breaks, it is not known whether the change was accepted. The error then
-// contains the id of the change, with which the same command can be repeated to settle
-// the change.
+// connection breaks, the outcome of the change is unknown. The error then contains the
+// id of the change: an operator settles the change by the same command with this id.
 func (g *globals) proposeOn(ctx context.Context, client *operator.Client, f *changeFlags, edits []vetchtrail.Edit) error {
 	change := operator.NewChange(f.author(), f.Reason, f.ExpectRevision, edits)
 	if f.ChangeID != "" {
--- a/cmd/vetchtrail/host.go
+++ b/cmd/vetchtrail/host.go
@@ -10,7 +10,7 @@
 // hostCommand groups the subcommands for entry hosts.
 type hostCommand struct {
 	List  hostList  `cmd:"" help:"Show the hosts of the daemon's data centre."`
-	Drain hostDrain `cmd:"" help:"Make the daemon that --daemon names leave: it finishes the requests in flight and stops."`
+	Drain hostDrain `cmd:"" help:"Make the daemon at --daemon leave: it finishes the requests in flight and stops."`
 }
 
 // hostList shows the hosts of the daemon's data centre.
@@ -28,8 +28,8 @@
 // hostDrain makes the daemon leave the system and stop.
 type hostDrain struct{}
 
-// Run requests the daemon to leave and prints how many requests it still has in flight.
-// It doesn't wait for them.
+// Run makes the daemon leave and prints how many requests the daemon still has in flight.
+// It doesn't wait until they end.
 func (c *hostDrain) Run(g *globals) error {
 	ctx, client, cleanup, err := g.dial()
 	if err != nil {
--- a/cmd/vetchtrail/losses.go
+++ b/cmd/vetchtrail/losses.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// second counts the requests of one second. A request counts as lost with any cause but
+// second counts the requests of one second. A request counts as lost if its cause is not
 // journal.CauseNone; so late answers count as lost.
 type second struct {
 	second, all, lost int
--- a/cmd/vetchtrail/main.go
+++ b/cmd/vetchtrail/main.go
@@ -40,7 +40,7 @@
 	Status     statusCommand     `cmd:"" help:"Show hosts, endpoints and data centres."`
 	Quarantine quarantineCommand `cmd:"" help:"Poison requests: quarantined because endpoints crashed while running them."`
 	Decisions  decisionsCommand  `cmd:"" help:"Show a host's recent decisions."`
-	Explain    explainCommand    `cmd:"" help:"Explain why a request ran where it did."`
+	Explain    explainCommand    `cmd:"" help:"Show the decisions on a request and the reasons for them."`
 	Trace      traceCommand      `cmd:"" help:"Show a request's history from the logs of several hosts."`
 	Losses     lossesCommand     `cmd:"" help:"Summarise from the logs of all hosts which requests were lost or late, and why."`
 	Settings   settingsCommand   `cmd:"" help:"Settings files of daemons."`
--- a/cmd/vetchtrail/quarantine.go
+++ b/cmd/vetchtrail/quarantine.go
@@ -51,7 +51,7 @@
 func entryState(h *schema.Hold) string {
 	switch {
 	case h.GetReleased():
-		return "let go"
+		return "released"
 	case h.GetRemaining() <= 0:
 		return "over"
 	}
@@ -81,5 +81,5 @@
 	if !reply.GetReleased() {
 		return errors.Errorf("request %s is not in quarantine", contentHash)
 	}
-	return g.print(reply, func(w *tabwriter.Writer) { _, _ = fmt.Fprintf(w, "%s is let go\n", contentHash) })
+	return g.print(reply, func(w *tabwriter.Writer) { _, _ = fmt.Fprintf(w, "released request %s\n", contentHash) })
 }
--- a/cmd/vetchtrail/settings.go
+++ b/cmd/vetchtrail/settings.go
@@ -25,6 +25,6 @@
 		return exitError{exitInvalid, err}
 	}
 	return g.print(s, func(w *tabwriter.Writer) {
-		_, _ = fmt.Fprintf(w, "%s is good: host %s in %s, region %s\n", c.File, s.Host, s.DataCentre, s.Region)
+		_, _ = fmt.Fprintf(w, "%s is valid: host %s in %s, region %s\n", c.File, s.Host, s.DataCentre, s.Region)
 	})
 }
--- a/cmd/vetchtrail/trace.go
+++ b/cmd/vetchtrail/trace.go
@@ -103,7 +103,7 @@
 		return fmt.Sprintf("attempt %d: run at %s, first expected after %s, of it %s for prompts before; holds %d of %d tokens; said %s ago to run %d and hold back %d",
 			l.Attempt, l.Target, ms(l.Wait), ms(l.Backlog), l.Holds, l.Prompt, ms(l.ReportAge), l.Running, l.Queued)
 	case l.Decision == "run-elsewhere":
-		return fmt.Sprintf("attempt %d: pass on to %s, first expected after %s", l.Attempt, l.Target, ms(l.Wait))
+		return fmt.Sprintf("attempt %d: forward to %s, first expected after %s", l.Attempt, l.Target, ms(l.Wait))
 	}
 	return fmt.Sprintf("attempt %d: %s %s, of %d places, by configuration %d", l.Attempt, l.Decision, l.Reason, l.Looked, l.Revision)
 }
--- a/cmd/vetchtrail/workspace.go
+++ b/cmd/vetchtrail/workspace.go
@@ -149,7 +149,7 @@
 		return nil
 	})
 	if err == nil && c.New && !c.DryRun {
-		_, err = fmt.Fprintf(os.Stderr, "key %s (kept nowhere; its hash is %s)\n", key, hash)
+		_, err = fmt.Fprintf(os.Stderr, "key %s (not stored; its hash is %s)\n", key, hash)
 	}
 	return err
 }
--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -60,9 +60,9 @@
 // soft memory limit. The rest is for memory that the runtime doesn't count.
 const memoryLimitShare = 0.6
 
-// gcPercent is the heap growth, relative to the live heap, at which the garbage
-// collector runs. It is lower than Go's default of 100 because the hosts of a large
-// fleet have little memory and allocate little per second.
+// gcPercent is the heap growth, in percent of the live heap, at which the garbage
+// collector runs. It is lower than Go's default of 100: the hosts of a large fleet have
+// little memory, and they allocate so little that more frequent collections are cheap.
 const gcPercent = 50
 
 // limitMemory sets the garbage collector's target and the soft memory limit for a
@@ -74,8 +74,8 @@
 	}
 }
 
-// hostedPlatform returns the connections to a hosted platform, or nil if the settings
-// name no hosted platform.
+// hostedPlatform returns the connections to a hosted platform, which package platform
+// implements, or nil if the settings select another kind of platform.
 func hostedPlatform(s *settings.Settings, log *slog.Logger) *daemon.Hosted {
 	if s.Platform.Kind != settings.PlatformHosted {
 		return nil
