--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -99,7 +99,7 @@
 func (c *hostlistCommand) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
-	return serve(ctx, c.Addr, platform.NewHostList(c.Lag))
+	return serve(ctx, c.Addr, platform.NewEndpointList(c.Lag))
 }
 
 // directoryCommand runs a stand-in for the directory, from which clients read the
--- a/scenario/faults_test.go
+++ b/scenario/faults_test.go
@@ -59,5 +59,5 @@
 	for _, name := range args {
 		entries = append(entries, entry{name, "leaving"})
 	}
-	return s.fleet.Client.Put(context.Background(), s.d.HostList, "/hosts", entries)
+	return s.fleet.Client.Put(context.Background(), s.d.EndpointList, "/hosts", entries)
 }
--- a/standin/capacity/capacity.go
+++ b/standin/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity calculates what each role of a daemon costs at a given size of the
-// system: network traffic, processor time, memory and calls of the store. It fits
-// straight lines to the results of the repository's benchmarks and extrapolates
+// Package capacity calculates the resources that each role of a daemon uses at a given
+// size of the system: network traffic, processor time, memory and calls of the store. It
+// fits straight lines to the results of the repository's benchmarks and extrapolates
 // them. It runs no benchmarks itself.
 package capacity
 
@@ -17,8 +17,8 @@
 // Point is one line of benchmark output.
 type Point struct {
 	Benchmark string             // name without its cases
-	Params    map[string]float64 // sizes in the name of the case, such as hosts=20
-	Metrics   map[string]float64 // by unit, such as bytes/op
+	Params    map[string]float64 // parameters in the name of the case, such as hosts=20
+	Metrics   map[string]float64 // results by unit, such as bytes/op
 }
 
 // paramPattern matches a parameter in the name of a benchmark's case.
@@ -73,8 +73,8 @@
 // At returns the value of the line at a parameter.
 func (l LinearFit) At(param float64) float64 { return l.Intercept + l.Slope*param }
 
-// minPoints is the number of points from which a slope is trusted. Two points
-// always lie on a line.
+// minPoints is the smallest number of points that Fit accepts. Any two points lie on a
+// line, so that two don't show whether the metric is linear.
 const minPoints = 3
 
 // Fit fits a line by least squares to the points of a benchmark, over one parameter.
--- a/standin/capacity/capacity_test.go
+++ b/standin/capacity/capacity_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFit guards against wrong slopes in the capacity tables. Parse must not take the
-// processor suffix of a case's name for a part of its parameters. Fit must use only the
+// TestFit guards against wrong slopes in the capacity tables. Parse must ignore the
+// number of processors that go test appends to a case's name. Fit must use only the
 // points with the fixed parameters, and must fail with fewer than three.
 func TestFit(t *testing.T) {
 	points, err := Parse(strings.NewReader(`goos: linux
--- a/standin/capacity/model.go
+++ b/standin/capacity/model.go
@@ -22,11 +22,11 @@
 	RequestsPerSecond   float64
 	ChangesPerDay       float64 // of the configuration
 	HostsReplacedPerDay float64
-	AtMostOnceShare     float64 // of the requests that may run at most once, because they carry an idempotency key
+	AtMostOnceShare     float64 // share of the requests with an idempotency key, which may run at most once
 }
 
 // Sizes returns the present size, an intermediate one, and the largest one that is
-// required. Their names are those of the capacity page.
+// required. docs/CAPACITY.md uses their names.
 func Sizes() []Size {
 	return []Size{
 		{"today", 8, 15, 3, 1000, 150, 100, 8, 0.05},
@@ -36,7 +36,8 @@
 }
 
 const (
-	// Required limits on what a daemon uses for coordination, apart from requests.
+	// Required limits on the resources that a daemon uses for coordination, which excludes
+	// the handling of requests.
 	maxBytesPerSecond       = 4 << 10
 	maxCoreShare            = 0.024
 	maxMemoryBytes          = 32 << 20
@@ -48,7 +49,7 @@
 	keyRecordBytes = 512     // record of an idempotency key, without the response
 )
 
-// RoleCost is what one role costs a daemon.
+// RoleCost is the resources that one role uses.
 type RoleCost struct {
 	Role      string
 	Mechanism string
@@ -70,18 +71,18 @@
 	DigestCPU            LinearFit // of a heartbeat, over data centres
 	ExchangeCPU          LinearFit // of an exchange of messages, over the payload
 	ExchangeWireOverhead LinearFit // bytes of an exchange besides the payload, over the payload
-	PollCPU              LinearFit // of polling an endpoint, over endpoints
-	PollWireBytes        LinearFit // of polling an endpoint, over endpoints
-	Workspaces           LinearFit // heap of the configuration, over workspaces
+	PollCPU              LinearFit // of one poll of an endpoint, over endpoints
+	PollWireBytes        LinearFit // of one poll of an endpoint, over endpoints
+	ConfigurationHeap    LinearFit // over workspaces
 	ChangeCPU            LinearFit // of a change of the configuration, over workspaces
-	ChangeWrites         LinearFit // of the store for a change, over workspaces
+	ChangeWrites         LinearFit // writes to the store for a change, over workspaces
 	EndpointTableHeap    LinearFit // over endpoints
 	KeyRecordsAllocated  LinearFit // bytes allocated for idempotency keys, over records
 }
 
-// NewModel fits all lines. It fails if a benchmark has too few points. A heartbeat
-// depends on hosts, endpoints and data centres: each fit varies one of them and fixes
-// the others.
+// NewModel fits all lines. It fails if a benchmark has too few points. The cost of a
+// heartbeat depends on the numbers of hosts, endpoints and data centres: each fit varies
+// one of them and fixes the others.
 func NewModel(points []Point) (Model, error) {
 	var m Model
 	var failed error
@@ -105,7 +106,7 @@
 	m.ExchangeWireOverhead = fit("BenchmarkExchange", "wire-overhead/op", "payload", nil)
 	m.PollCPU = fit("BenchmarkPoll", "cpu-ns/poll", "endpoints", nil)
 	m.PollWireBytes = fit("BenchmarkPoll", "wire-bytes/poll", "endpoints", nil)
-	m.Workspaces = fit("BenchmarkWorkspaces", "heap-bytes", "workspaces", nil)
+	m.ConfigurationHeap = fit("BenchmarkWorkspaces", "heap-bytes", "workspaces", nil)
 	m.ChangeCPU = fit("BenchmarkWorkspaces", "ns/op", "workspaces", nil)
 	m.ChangeWrites = fit("BenchmarkPropose", "writes/op", "workspaces", nil)
 	m.EndpointTableHeap = fit("BenchmarkFill", "heap-bytes", "endpoints", nil)
@@ -117,27 +118,28 @@
 func (m Model) Fits() []LinearFit {
 	return []LinearFit{
 		m.HeartbeatBytes, m.LoadBytes, m.DigestBytes, m.HeartbeatCPU, m.LoadCPU, m.DigestCPU, m.ExchangeCPU, m.ExchangeWireOverhead,
-		m.PollCPU, m.PollWireBytes, m.Workspaces, m.ChangeCPU, m.ChangeWrites, m.EndpointTableHeap, m.KeyRecordsAllocated,
+		m.PollCPU, m.PollWireBytes, m.ConfigurationHeap, m.ChangeCPU, m.ChangeWrites, m.EndpointTableHeap, m.KeyRecordsAllocated,
 	}
 }
 
-// RoleCosts calculates what each role costs one daemon at a size. Exchanges, messages,
-// polls, digest swaps, digest relays and changes are numbers per second.
+// RoleCosts calculates the resources that each role of one daemon uses at a size. The
+// variables exchanges, messages, polls, digestExchanges, digestRelays and changes are
+// numbers per second.
 func (m Model) RoleCosts(s Size) []RoleCost {
 	hostsPerCentre := s.Hosts / s.DataCentres
 	endpointsPerCentre := s.Endpoints / s.DataCentres
 	pollSeconds := settings.Default().Timing.Poll.Seconds()
-	exchanges := min(membership.Fanout, hostsPerCentre-1) / membership.HeartbeatInterval.Seconds() // begun by this host; it answers as many
+	exchanges := min(membership.Fanout, hostsPerCentre-1) / membership.HeartbeatInterval.Seconds() // started by this host; other hosts start as many with it
 	messages := 2 * exchanges
 	polls := endpointsPerCentre / hostsPerCentre / pollSeconds
-	// A message to a peer contains only the load reports that are newer than the last
-	// message to it. reportShare is the share of messages that contain a new report of a
-	// given endpoint that this host polls.
+	// A message to a peer contains only the load reports that are newer than the previous
+	// message to this peer. Of the endpoints that this host polls, each has a new report in
+	// the share reportShare of the messages.
 	endpointsPerHost := endpointsPerCentre / hostsPerCentre
-	peers := min(hostsPerCentre-1, 2*membership.GossipPeersPerDoubling*math.Ceil(math.Log2(hostsPerCentre))) // those that this host chose, and those that chose it
+	peers := min(hostsPerCentre-1, 2*membership.GossipPeersPerDoubling*math.Ceil(math.Log2(hostsPerCentre))) // those that this host chose, and those that chose this host
 	messagesPerPeer := messages / max(peers, 1)
 	reportShare := min(1, 1/pollSeconds/max(messagesPerPeer, 1e-9))
-	digestSwaps := (s.DataCentres - 1) / hostsPerCentre / membership.SwapInterval.Seconds()
+	digestExchanges := (s.DataCentres - 1) / hostsPerCentre / membership.SwapInterval.Seconds()
 	digestRelays := (s.DataCentres - 1) * min(messages, min(membership.RelayFanout, hostsPerCentre-1)/membership.SwapInterval.Seconds())
 	changes := s.ChangesPerDay / secondsPerDay
 	return []RoleCost{
@@ -159,14 +161,14 @@
 			CPU:   polls * m.PollCPU.At(endpointsPerHost) / 2 / 1e9, // the benchmark measured both sides
 		},
 		{
-			Role: "region representative", Mechanism: "one host a data centre swaps digests, a second stands by; each host passes one on to four", Messages: 2 * digestSwaps,
-			Bytes:  2*digestSwaps*(m.DigestBytes.Slope+m.ExchangeWireOverhead.At(0)/2) + digestRelays*m.DigestBytes.Slope,
-			CPU:    digestSwaps*m.ExchangeCPU.At(m.DigestBytes.Slope)/1e9 + digestRelays*m.DigestCPU.Slope/1e9,
+			Role: "region representative", Mechanism: "one host a data centre swaps digests, a second stands by; each host passes one on to four", Messages: 2 * digestExchanges,
+			Bytes:  2*digestExchanges*(m.DigestBytes.Slope+m.ExchangeWireOverhead.At(0)/2) + digestRelays*m.DigestBytes.Slope,
+			CPU:    digestExchanges*m.ExchangeCPU.At(m.DigestBytes.Slope)/1e9 + digestRelays*m.DigestCPU.Slope/1e9,
 			Memory: s.DataCentres * hostsPerCentre * 256,
 		},
 		{
 			Role: "configuration watcher", Mechanism: "two hosts a data centre watch the next key; the rest pull from peers",
-			Messages: changes, Bytes: changes * 300, CPU: changes * m.ChangeCPU.At(s.Workspaces) / 1e9, Memory: m.Workspaces.At(s.Workspaces) + 512*1024,
+			Messages: changes, Bytes: changes * 300, CPU: changes * m.ChangeCPU.At(s.Workspaces) / 1e9, Memory: m.ConfigurationHeap.At(s.Workspaces) + 512*1024,
 			Reads: s.DataCentres * min(daemon.StoreWatchers, hostsPerCentre) * (2*changes + 2/changelog.WatchTimeout.Seconds()),
 		},
 		{
@@ -175,7 +177,7 @@
 		},
 		{
 			Role: "a host's start", Mechanism: "a snapshot and the changes after it",
-			Reads: s.HostsReplacedPerDay / secondsPerDay * (2 + m.Workspaces.At(s.Workspaces)/(900<<10) + changelog.SnapshotInterval/2),
+			Reads: s.HostsReplacedPerDay / secondsPerDay * (2 + m.ConfigurationHeap.At(s.Workspaces)/(900<<10) + changelog.SnapshotInterval/2),
 		},
 		{
 			Role: "at-most-once keeper", Mechanism: "keys bound to their issuer's incarnation; nothing shared",
@@ -187,10 +189,10 @@
 	}
 }
 
-// byteLimitExceededAt returns the first size, on the way from the smallest of Sizes to
-// the largest, at which a daemon's coordination sends more bytes than the limit. ok
-// is false if there is none. On the way, each quantity grows by a constant factor at
-// each step.
+// byteLimitExceededAt returns the smallest size at which a daemon's coordination sends
+// more bytes than the limit. It searches from the smallest of Sizes to the largest in
+// steps, in each of which every quantity but AtMostOnceShare is multiplied by a constant
+// factor. ok is false if no size exceeds the limit.
 func (m Model) byteLimitExceededAt() (at Size, ok bool) {
 	const steps = 1000
 	sizes := Sizes()
@@ -259,7 +261,7 @@
 		r.Role, r.Mechanism, r.Messages, r.Bytes, 100*r.CPU, r.Memory/1024, r.Reads, r.Writes)
 }
 
-// overLimit returns a note if a value is over its limit; empty: it is not.
+// overLimit returns a note for a value over its limit, or an empty string.
 func overLimit(x, limit float64) string {
 	if x > limit {
 		return fmt.Sprintf(" (over, ×%.1f)", x/limit)
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,7 +1,7 @@
-// Package client is an HTTP caller of the entry hosts, for the demo, the scenarios,
-// the soak and the load runs. It reads each answer to its end and compares
-// it with the one that a stand-in engine must return. It also sets the faults of the
-// stand-ins and reads their records.
+// Package client is an HTTP client of the entry hosts, for the demo, the scenarios, the
+// soak and the load runs. It reads each answer to its end; Request.IsCorrect compares an
+// answer with the one that the stand-in engine must return. The package also sets the
+// faults of the stand-ins and reads their records.
 package client
 
 import (
@@ -22,18 +22,18 @@
 	"vetchtrail/standin/engine"
 )
 
-// Result is what a caller saw of one request.
+// Result is the result of one request as its caller observed it.
 type Result struct {
 	Status           int    // HTTP status; 0: no answer
-	Outcome          string // of a problem document, as are Reason and Detail
+	Outcome          string // field of the problem document, as are Reason and Detail; empty: the answer is no problem document
 	Reason           string
 	Detail           string
-	RetryAt          time.Time     // when the Retry-After of a problem document ends; zero: it has none
+	RetryAt          time.Time     // end of the Retry-After of a problem document; zero: it has none
 	Complete         bool          // the answer was received to its end: the whole body, or the last event of a stream
 	Text             string        // content of the answer, as far as it was received
 	LastEventID      string        // id of the newest event
 	Endpoint         string        // name of the endpoint, from X-Vetchtrail-Endpoint
-	TimeToFirstToken time.Duration // until the first event, or the body of an answer that is not streamed
+	TimeToFirstToken time.Duration // until the first event, or the end of an answer that is not streamed
 	Took             time.Duration // from sending the request to the end of the answer
 	Err              error         // why the request could not be sent, or the answer could not be read
 }
@@ -53,7 +53,7 @@
 type Request struct {
 	Host                netip.AddrPort // entry host
 	Service             string
-	Workspace           string // empty: none is named
+	Workspace           string // sent as X-Workspace; empty: none is sent
 	Prompt              string
 	Tokens              int // of the answer
 	Stream              bool
@@ -65,8 +65,8 @@
 	Credential          string        // API key of a workspace; empty: none is sent
 }
 
-// rawPrompt returns the prompt as the engine sees it: the JSON of the message's
-// content.
+// rawPrompt returns the prompt in the form from which the engine derives its answer: the
+// JSON of the message's content.
 func (req Request) rawPrompt() string {
 	b, _ := json.Marshal(req.Prompt)
 	return string(b)
@@ -134,7 +134,8 @@
 	return c.send(ctx, method, "http://"+host.String()+"/services/"+service+path, h, []byte(text), 0)
 }
 
-// send sends a request and reads its answer by its content type.
+// send sends a request and reads its answer: a stream of events, a problem document or a
+// body, by the content type.
 func (c *Client) send(ctx context.Context, method, url string, h http.Header, text []byte, stopAfter int) Result {
 	began := time.Now()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(text))
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -1,7 +1,8 @@
 // Package deployment describes whole deployments of the system on loopback
 // addresses: hosts, endpoints, services, the platform's services and the links
-// between regions. It starts nothing: the example files, the demo, the scenarios,
-// the soak and the load runs are all made from the same description.
+// between regions. The example files, the demo, the scenarios, the soak and the load
+// runs use these descriptions. The package starts no process: packages fleet and world
+// do.
 package deployment
 
 import (
@@ -33,12 +34,12 @@
 )
 
 // All addresses are 127.N.S.x, where S is the deployment's subnet. N is the number of
-// a region, from 1, or one of the numbers below. The addresses on which a link accepts
-// connections are in the network of that link.
+// a region, from 1, or one of the network numbers below. A link has a network of its own,
+// with the addresses on which it accepts connections.
 const (
 	platformNetwork   = 20
-	firstLinkNetwork  = 40 // links between regions: + maxRegions × index of the origin + index of the destination
-	firstStoreNetwork = 30 // links to the store: + index of the origin
+	firstStoreNetwork = 30 // of the links to the store: + index of the origin region
+	firstLinkNetwork  = 40 // of the links between regions: + maxRegions × index of the origin + index of the destination
 )
 
 // Spec is the size of a deployment and its services.
@@ -65,23 +66,23 @@
 	Weights document.Weights
 	Slots   int           // of each endpoint
 	Within  time.Duration // time limit of a request whose caller sets no deadline
-	Queue   int           // limit of the service's queue
+	Queue   int           // maximum number of requests that one host queues for the service
 }
 
-// Deployment holds all that is needed to start a deployment.
+// Deployment holds the settings, the configuration and the addresses of a deployment.
 type Deployment struct {
-	Spec        Spec
-	Hosts       []settings.Settings
-	Document    document.Document // configuration
-	Store       netip.AddrPort
-	HostList    netip.AddrPort
-	Directory   netip.AddrPort
-	LinkControl netip.AddrPort // where the faults of the links are set
-	Pipes       []link.Pipe    // of all links
+	Spec         Spec
+	Hosts        []settings.Settings
+	Document     document.Document // configuration
+	Store        netip.AddrPort
+	EndpointList netip.AddrPort
+	Directory    netip.AddrPort
+	LinkControl  netip.AddrPort // where the faults of the links are set
+	Pipes        []link.Pipe    // of all links
 }
 
-// Wycena returns a deployment of three regions. By its weights, a short time to the
-// first token is more important than to stay in the caller's region.
+// Wycena returns a deployment of three regions. Its weights favour a short time to the
+// first token over staying in the caller's region.
 func Wycena(subnet int) Spec {
 	return Spec{
 		Subnet: subnet, Delay: 20 * time.Millisecond,
@@ -95,8 +96,8 @@
 	}
 }
 
-// Cadastral returns a deployment of three regions. By its weights, a high cost is
-// added to each endpoint outside the caller's region.
+// Cadastral returns a deployment of three regions. Its weights add a high cost to
+// endpoints outside the caller's region.
 func Cadastral(subnet int) Spec {
 	return Spec{
 		Subnet: subnet, Delay: 25 * time.Millisecond,
@@ -144,14 +145,14 @@
 // Build returns the deployment that a spec describes.
 func Build(s Spec) Deployment {
 	d := Deployment{
-		Spec:     s,
-		Store:    addr(platformNetwork, s.Subnet, 1, portPlatform),
-		HostList: addr(platformNetwork, s.Subnet, 2, portPlatform), Directory: addr(platformNetwork, s.Subnet, 3, portPlatform),
+		Spec:         s,
+		Store:        addr(platformNetwork, s.Subnet, 1, portPlatform),
+		EndpointList: addr(platformNetwork, s.Subnet, 2, portPlatform), Directory: addr(platformNetwork, s.Subnet, 3, portPlatform),
 		LinkControl: addr(platformNetwork, s.Subnet, 4, portControl),
 	}
-	d.addServices()
+	d.addRegionsAndServices()
 	for i := range s.Regions {
-		d.addRegion(i)
+		d.addEndpointsAndHosts(i)
 		d.addLinks(i)
 	}
 	return d
@@ -167,8 +168,8 @@
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(number), byte(subnet), 0}), 24)
 }
 
-// addServices adds the regions and the services to the configuration.
-func (d *Deployment) addServices() {
+// addRegionsAndServices adds the regions and the services to the configuration.
+func (d *Deployment) addRegionsAndServices() {
 	var all []string
 	for _, r := range d.Spec.Regions {
 		all = append(all, r.Name)
@@ -184,9 +185,9 @@
 	}
 }
 
-// addRegion adds the endpoints and hosts of a region, and a workspace that may be
-// served there only.
-func (d *Deployment) addRegion(i int) {
+// addEndpointsAndHosts adds the endpoints and hosts of a region, and a workspace whose
+// requests may run in this region only.
+func (d *Deployment) addEndpointsAndHosts(i int) {
 	r := d.Spec.Regions[i]
 	for n := range r.Engines {
 		d.addEndpoint(r, d.Spec.Model, fmt.Sprintf("%s-engine-%d", r.DataCentre, n+1), addr(i+1, d.Spec.Subnet, firstEngineNumber+n, portEngine))
@@ -209,9 +210,9 @@
 	})
 }
 
-// hostSettings returns the settings of the host of index n of a region. All other
-// hosts are its seeds. Translate maps the networks of the other regions to those
-// of the links, so that the host connects to them through a link.
+// hostSettings returns the settings of host n, from 0, of a region. All other hosts are
+// its seeds. Its setting Translate maps the networks of the other regions to those of
+// the links, so that the host connects to the other regions through the links.
 func (d *Deployment) hostSettings(region, n int) settings.Settings {
 	r := d.Spec.Regions[region]
 	s := settings.Default()
@@ -220,7 +221,7 @@
 	s.Listen.Callers = addr(region+1, d.Spec.Subnet, firstHostNumber+n, portCallers)
 	s.Listen.Peers = addr(region+1, d.Spec.Subnet, firstHostNumber+n, portPeers)
 	s.Platform.Store = addr(firstStoreNetwork+region, d.Spec.Subnet, 1, portPlatform)
-	s.Platform.Hosts = d.HostList
+	s.Platform.Hosts = d.EndpointList
 	for other := range d.Spec.Regions {
 		for k := range d.Spec.Regions[other].Hosts {
 			if seed := addr(other+1, d.Spec.Subnet, firstHostNumber+k, portPeers); seed != s.Listen.Peers {
--- a/standin/engine/announcement.go
+++ b/standin/engine/announcement.go
@@ -14,7 +14,7 @@
 type Announcement struct {
 	Leaving       string `json:"leaving"` // value of the header X-Leaving in all answers; empty: no header
 	RejectSeconds string `json:"away"`    // Retry-After, in seconds, with which it rejects all requests; empty: it accepts them
-	// NewInstance makes the engine act as a process that has just started: its uptime starts again.
+	// NewInstance makes the engine report the uptime of a process that has just started.
 	NewInstance bool `json:"anew"`
 }
 
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -93,15 +93,15 @@
 	}
 }
 
-// addReader counts a reader.
+// addReader registers a reader.
 func (st *stream) addReader() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.readers++
 }
 
-// removeReader counts a reader that has gone. If it was the last one, the generation
-// is cancelled at the end of the resume window, unless there is a reader then.
+// removeReader unregisters a reader. If it was the last one, the generation is cancelled
+// at the end of the resume window, unless the stream has a reader again by then.
 func (st *stream) removeReader() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -154,7 +154,7 @@
 	s.sendWhole(ctx, st)
 }
 
-// consumeFaults returns the faults for one request and counts down Reset.
+// consumeFaults returns the faults for one request and decrements Reset.
 func (s *Server) consumeFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +186,8 @@
 	return true
 }
 
-// storeStream makes a stream available to be resumed, by its request id.
+// storeStream stores a stream by its request id for streamRetention, so that callers can
+// resume it.
 func (s *Server) storeStream(requestID string, st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -10,7 +10,8 @@
 	"vetchtrail/standin/listen"
 )
 
-// CrashConfig sets when an engine crashes under a poison request, and when it restarts.
+// CrashConfig sets which requests crash an engine (poison requests), when the engine
+// crashes and when it restarts.
 type CrashConfig struct {
 	PoisonText   string        // a request is a poison request if its prompt contains this text; empty: none is
 	CrashDelay   time.Duration // from the start of the request to the crash
@@ -23,8 +24,8 @@
 	// InFlight contains the number of requests at each crash, running and queued, the
 	// poison request included.
 	InFlight []int `json:"beside"`
-	// PoisonRequests contains the time at which each poison request was started. Not each of
-	// them caused a crash: the engine may have crashed under an earlier one first.
+	// PoisonRequests contains the time at which each poison request was started. Not every
+	// one caused a crash: a crash that another poison request caused may have ended it first.
 	PoisonRequests []time.Time `json:"deadly"`
 }
 
@@ -76,8 +77,8 @@
 	time.AfterFunc(s.cfg.Crash.CrashDelay, func() { s.crash(instance) })
 }
 
-// crash ends a process instance, unless it has crashed already. An instance's
-// number is the number of crashes before it.
+// crash simulates the crash of a process instance, unless the instance has already
+// crashed. An instance's number is the number of crashes before it.
 func (s *Server) crash(instance int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,14 +1,14 @@
-// Package engine is a stand-in for a model engine. It decodes several requests at
-// once, caches prompt prefixes in limited memory, slows down as its batch fills,
-// reports its load with a lag, and resumes and cancels streams. Its answers are a
-// function of the prompt, so that a test can detect a wrong or truncated one. It
-// imitates the timing of an engine and runs no model.
+// Package engine is a stand-in for a model engine: it simulates the timing of an engine
+// and runs no model. It decodes several requests at once, caches prompt prefixes in
+// limited memory, slows down as its batch fills, reports its load with a lag, and
+// resumes and cancels streams. Its answers are a function of the prompt, so that a test
+// can detect a wrong or truncated answer.
 //
 // Its paths besides /v1/ are:
 //
 //	PUT /faults       injects faults, a JSON Faults
 //	PUT /rate         sets the rate limit that it advertises, a JSON string
-//	GET, PUT /words   what else it announces in its answers, a JSON Announcement
+//	GET, PUT /words   the availability that it announces, a JSON Announcement
 //	GET /load         its load report
 //	GET /arrivals     completion requests that arrived, rejected ones included
 //	GET /executions   completion requests that it started
@@ -47,13 +47,13 @@
 type Faults struct {
 	Slow      float64       `json:"slow"`       // factor on all times; 0: 1
 	Refuse    bool          `json:"refuse"`     // answer with status 503, and X-Not-Started, as nothing was executed
-	Reset     int           `json:"reset"`      // for how many more requests the connection is closed without an answer
+	Reset     int           `json:"reset"`      // number of further requests whose connection is closed without an answer
 	CutAfter  int           `json:"cut_after"`  // events after which the connection of a stream is closed; 0: never
-	EndEarly  int           `json:"end_early"`  // events after which the body of a stream ends in order, without its last event; 0: never
+	EndEarly  int           `json:"end_early"`  // events after which a stream ends without an error and without its last event; 0: never
 	Nonsense  bool          `json:"nonsense"`   // answer with bytes that are not HTTP
 	Silent    bool          `json:"silent"`     // start requests and never answer, until the caller closes the connection
 	NoReports bool          `json:"no_reports"` // answer /load with status 503
-	Leaving   bool          `json:"leaving"`    // report in /load that it leaves; it still executes requests
+	Leaving   bool          `json:"leaving"`    // report in /load that the engine is leaving; it still executes requests
 	Delay     time.Duration `json:"delay"`      // before a request is started, in nanoseconds
 }
 
@@ -81,7 +81,7 @@
 // Stats are an engine's totals since its first start.
 type Stats struct {
 	Started   int           `json:"started"`   // generations
-	Cancelled int           `json:"cancelled"` // generations that were cancelled, as they had no reader
+	Cancelled int           `json:"cancelled"` // generations that were cancelled because they had no reader
 	Prompt    int           `json:"prompt"`    // prompt tokens
 	Cached    int           `json:"cached"`    // prompt tokens found in the prefix cache
 	SlotTime  time.Duration `json:"busy"`      // sum over all slots of the time in use, in nanoseconds
@@ -167,8 +167,7 @@
 	s.SetFaults(f)
 }
 
-// handleRateLimit replaces the rate limit that the engine advertises by the one in the
-// body.
+// handleRateLimit replaces the advertised rate limit by the one in the body.
 func (s *Server) handleRateLimit(ctx *fasthttp.RequestCtx) {
 	var rateLimit string
 	if err := json.Unmarshal(ctx.PostBody(), &rateLimit); err != nil {
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -65,8 +65,8 @@
 }
 
 // acquireSlot takes a slot. If none is free, it waits in the queue for one. It returns
-// false, without a slot, if ctx ends first. It does not check the queue's limit: see
-// queueFull.
+// false, without a slot, if ctx ends first. It does not check the queue's limit:
+// handleCompletion rejects requests by queueFull.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	s.mu.Lock()
 	if s.running < s.cfg.Slots && len(s.waiting) == 0 {
@@ -90,7 +90,7 @@
 			return false
 		}
 	}
-	s.releaseSlot() // the slot was granted at the same time as ctx ended
+	s.releaseSlot() // the request got its slot when ctx had just ended
 	return false
 }
 
@@ -101,8 +101,8 @@
 	return s.running >= s.cfg.Slots && len(s.waiting) >= s.cfg.Queue
 }
 
-// releaseSlot hands a slot to the oldest waiting request, or frees it if none
-// waits. The caller holds the lock.
+// releaseSlot gives a slot to the oldest queued request, or frees the slot if the queue
+// is empty. The caller holds the lock.
 func (s *Server) releaseSlot() {
 	if len(s.waiting) > 0 {
 		close(s.waiting[0])
@@ -174,9 +174,9 @@
 	order          list.List // most recently used first; the values are the blocks' hashes
 }
 
-// lookUpAndAdd returns how many tokens of a prompt's beginning were cached, and
-// caches all its whole blocks. If the cache is over its capacity then, it drops the
-// blocks that were used longest ago.
+// lookUpAndAdd returns the number of tokens at a prompt's beginning that were cached, and
+// caches all whole blocks of the prompt. If this exceeds the capacity, it evicts the
+// least recently used blocks.
 func (c *prefixCache) lookUpAndAdd(prompt string) int {
 	if c.blocks == nil {
 		c.blocks = map[uint64]*list.Element{}
--- a/standin/eventqueue/eventqueue.go
+++ b/standin/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue is the event queue of discrete-event simulations that run on
-// virtual time. It has no clock and no goroutine: the simulation takes the next
-// event and sets its own clock to the event's time.
+// Package eventqueue is the event queue of discrete-event simulations. It has no clock
+// and no goroutine: a simulation takes the next event, sets its own virtual clock to the
+// event's time and runs the event.
 package eventqueue
 
 import (
@@ -18,7 +18,7 @@
 // event is a function to call at a virtual time.
 type event struct {
 	at       time.Time
-	sequence int // order of scheduling, which decides between events of the same time
+	sequence int // position in the order of scheduling, which orders events of the same time
 	do       func()
 }
 
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet runs a deployment as separate processes on loopback addresses: the
 // real daemons and the stand-ins. A test can kill, stop, suspend and resume
-// processes and inject faults. All processes are killed when the process that started
-// them ends. Package world runs a deployment in one process instead.
+// processes and inject faults. If the test's process ends, the kernel kills all of them.
+// Package world runs a deployment in one process instead.
 package fleet
 
 import (
@@ -89,7 +89,7 @@
 	}
 	for name, args := range map[string][]string{
 		"store":    {"store", d.Store.String()},
-		"hostlist": {"hostlist", d.HostList.String()},
+		"hostlist": {"hostlist", d.EndpointList.String()},
 		"link":     {"link", d.LinkControl.String(), pipes},
 	} {
 		if err := f.startProcess(name, "standin", args...); err != nil {
@@ -136,8 +136,9 @@
 	})
 }
 
-// Await waits until done returns true. It fails after a timeout that is long enough
-// for a busy machine; the error contains what, the description of the condition.
+// Await waits until done returns true. It fails when ctx ends, or after awaitTimeout,
+// which is long enough for a busy machine. The error contains what, a description of
+// the condition.
 func (f *Fleet) Await(ctx context.Context, what string, done func() bool) error {
 	deadline := time.Now().Add(awaitTimeout)
 	for !done() {
@@ -186,7 +187,8 @@
 	return errors.Errorf("fleet: unknown endpoint %s", name)
 }
 
-// Settings returns the settings with which the daemon of a host is started.
+// Settings returns the settings with which the daemon of a host is started, except for
+// the log level, which StartHost sets.
 func (f *Fleet) Settings(name string) (settings.Settings, error) {
 	for _, s := range f.cfg.Deployment.Hosts {
 		if s.Host == name {
@@ -319,9 +321,9 @@
 	out := map[string][]ledger.Execution{}
 	for _, e := range f.cfg.Deployment.Document.Endpoints {
 		f.mu.Lock()
-		_, runs := f.processes[e.Name]
+		_, running := f.processes[e.Name]
 		f.mu.Unlock()
-		if !runs {
+		if !running {
 			continue
 		}
 		var list []ledger.Execution
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRacesAndPanics guards against data races and panics in the processes that stay
-// unnoticed. RacesAndPanics must find them in the logs, and nothing in a clean log.
+// TestRacesAndPanics guards against undetected data races and panics in the processes.
+// RacesAndPanics must find them in the logs, and nothing in a clean log.
 func TestRacesAndPanics(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		want int
 	}{
-		"quiet": {"level=INFO msg=ready\n", 0},
+		"clean": {"level=INFO msg=ready\n", 0},
 		"race":  {"level=INFO\nWARNING: DATA RACE\nRead at\n", 1},
 		"panic": {"level=INFO\npanic: index out of range\n", 1},
 	}
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -24,7 +24,7 @@
 type Faults struct {
 	Outage      bool          `json:"outage"`       // answer every call with status 500
 	Silent      bool          `json:"silent"`       // answer every call only after a minute
-	LoseAnswers int           `json:"lose_answers"` // number of further writes that take effect but get no answer: the connection is closed
+	LoseAnswers int           `json:"lose_answers"` // number of further writes that take effect, but whose connection is closed without an answer
 	Delay       time.Duration `json:"delay"`        // before each answer, in nanoseconds
 	Writes      int           `json:"writes"`       // limit per second; 0: no limit; negative: no write is allowed
 	Reads       int           `json:"reads"`        // limit per second; 0: no limit; negative: no read is allowed
@@ -123,7 +123,7 @@
 		time.Sleep(f.Delay)
 	}
 	if f.Outage {
-		ctx.Error("out of order", fasthttp.StatusInternalServerError)
+		ctx.Error("injected outage", fasthttp.StatusInternalServerError)
 		return
 	}
 	if !ok {
@@ -171,8 +171,8 @@
 	return s.faults, ok
 }
 
-// get returns a key's value in Consul's JSON form. It waits for a change first if the
-// query sets an index and a wait time.
+// get returns a key's value in Consul's JSON form. If the query sets an index and a wait
+// time (a blocking query), it first waits for a change.
 func (s *Server) get(ctx *fasthttp.RequestCtx, key string) {
 	args := ctx.QueryArgs()
 	index, _ := strconv.ParseUint(string(args.Peek("index")), 10, 64)
@@ -191,9 +191,9 @@
 	ctx.SetBody(body)
 }
 
-// waitForChange returns a key's item and the index of the newest change. It waits
-// until the item's index is higher than the given one, or until the deadline. It does
-// not wait if the given index is 0.
+// waitForChange returns a key's item, whether the key exists, and the index of the newest
+// change. It waits until the item's index is higher than the given one, or until the
+// deadline. It does not wait if the given index is 0.
 func (s *Server) waitForChange(key string, index uint64, deadline time.Time) (item, bool, uint64) {
 	for {
 		s.mu.Lock()
@@ -210,8 +210,8 @@
 	}
 }
 
-// put stores the body as a key's value. With the query parameter cas it does so only if
-// the key's index is the given one; 0 means that the key must not exist.
+// put stores the body as a key's value. The query parameter cas makes the write
+// conditional: the key's index must be its value; 0 means that the key must not exist.
 func (s *Server) put(ctx *fasthttp.RequestCtx, key string) {
 	args := ctx.QueryArgs()
 	expect, _ := strconv.ParseUint(string(args.Peek("cas")), 10, 64)
--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger records which requests a stand-in executed. Tests compare these
-// records with the outcomes that the gateway reports. So they find requests that ran
-// twice, or that ran although the gateway reported that they did not.
+// records with the outcomes that the hosts report to callers. The comparison shows
+// requests that ran twice, or that ran although a host reported that they did not.
 package ledger
 
 import (
@@ -20,7 +20,8 @@
 	At        time.Time `json:"at"`        // when it was started
 }
 
-// Ledger is the list of executions. It is safe for concurrent use.
+// Ledger is a list of executions, or of arrivals if the stand-in records each request
+// when it arrives. It is safe for concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	executions []Execution
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,7 +1,7 @@
 // Package link is a stand-in for the slow network links between regions. It
 // relays TCP connections, delays the bytes in both directions and injects faults.
-// While a link is cut, it refuses new connections and buffers the bytes of open
-// connections; once the link is restored, it delivers these bytes.
+// While a link is cut, the relay refuses new connections and buffers the bytes of open
+// connections; once the link is restored, the relay delivers these bytes.
 package link
 
 import (
@@ -19,7 +19,7 @@
 
 // Pipe relays the connections to one address to another address.
 type Pipe struct {
-	Link   string         `json:"link"`   // name of the link that carries the pipe; a link may carry several
+	Link   string         `json:"link"`   // name of the link that the pipe belongs to; a link may have several pipes
 	Listen netip.AddrPort `json:"listen"` // where callers connect
 	To     netip.AddrPort `json:"to"`     // where the relay connects
 	Delay  time.Duration  `json:"delay"`  // in each direction, in nanoseconds
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// acceptConns accepts a pipe's connections until its link is cut, which closes
-// the listener. When the link is restored it opens a new listener, and tries again
-// if that fails.
+// acceptConns accepts a pipe's connections until its link is cut, which closes the
+// listener. When the link is restored, it opens a new listener with a new acceptConns,
+// and retries if that fails.
 func (r *Relay) acceptConns(ctx context.Context, p Pipe, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -99,15 +99,15 @@
 	_ = l.Close()
 }
 
-// isOpen reports whether new connections are accepted, and bytes delivered to the side
-// that opened a connection.
+// isOpen reports whether the link is not cut. It then accepts new connections, and
+// delivers bytes to the side that opened a connection.
 func isOpen(f Fault) bool { return !f.Cut }
 
-// isOutboundOpen reports whether bytes from the side that opened a connection are
-// delivered.
+// isOutboundOpen reports whether the link delivers bytes from the side that opened a
+// connection.
 func isOutboundOpen(f Fault) bool { return !f.Cut && !f.HoldOutbound }
 
-// waitUntil waits until a link's fault meets the condition. It returns false if ctx
+// waitUntil waits until a link's fault satisfies the condition. It returns false if ctx
 // ends first.
 func (r *Relay) waitUntil(ctx context.Context, link string, condition func(Fault) bool) bool {
 	for {
@@ -145,8 +145,8 @@
 	r.faultsChanged = make(chan struct{})
 }
 
-// trackConn adds a link's connection when it is opened and removes it when it is
-// closed, so that SetFault can reset the open ones.
+// trackConn adds or removes one of the open connections of a link, which SetFault can
+// reset.
 func (r *Relay) trackConn(link string, c net.Conn, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,7 +201,7 @@
 
 // copyDelayed copies one direction of a connection. It reads ahead, and writes each
 // chunk when its delay is over and mayPass returns true for the link's fault. It sends
-// to done when the direction has ended.
+// to done after the last chunk.
 func (r *Relay) copyDelayed(ctx context.Context, p Pipe, from, to net.Conn, mayPass func(Fault) bool, done chan<- struct{}) {
 	chunks := make(chan chunk, maxChunksHeld)
 	go func() {
@@ -226,7 +226,7 @@
 			break
 		}
 	}
-	r.waitUntil(ctx, p.Link, mayPass) // the end of a connection is delayed as its bytes are
+	r.waitUntil(ctx, p.Link, mayPass) // a cut link delays the end of a connection too
 	done <- struct{}{}
 	for range chunks { //nolint:revive // drains the channel, so that the reading goroutine ends
 	}
--- a/standin/loadrun/faults.go
+++ b/standin/loadrun/faults.go
@@ -11,37 +11,37 @@
 // addrPort is the address of a host.
 type addrPort = netip.AddrPort
 
-// lostRegionIndex is the region that is lost in RegionLostAndBack and
-// RegionLostForGood: the second busiest.
+// lostRegionIndex is the index of the region that is lost in RegionLostTemporarily and
+// RegionLostPermanently: the second busiest.
 const lostRegionIndex = 1
 
-// injectFaults injects the faults of the run's case. A lost region that comes back
-// and cut links last for the middle third of the run; the other faults last for the
+// injectFaults injects the faults of the run's case. The faults of RegionLostTemporarily
+// and LinksCut last for the middle third of the run, those of the other cases for the
 // whole run.
 func (r *run) injectFaults(began time.Time) {
-	first := began.Add(r.cfg.Length / 3)
-	second := began.Add(2 * r.cfg.Length / 3)
+	faultStart := began.Add(r.cfg.Length / 3)
+	faultEnd := began.Add(2 * r.cfg.Length / 3)
 	switch r.cfg.Case {
 	case OneEngineSlow:
 		r.slowOneEngine()
 	case NoReports:
 		r.eachEngine(func(e *engine.Server, _ string) { e.SetFaults(engine.Faults{NoReports: true}) })
-	case RegionLostAndBack:
-		time.Sleep(time.Until(first))
+	case RegionLostTemporarily:
+		time.Sleep(time.Until(faultStart))
 		r.loseRegion()
-		time.Sleep(time.Until(second))
+		time.Sleep(time.Until(faultEnd))
 		r.restoreRegion()
-	case RegionLostForGood:
+	case RegionLostPermanently:
 		r.loseRegion()
 	case LinksCut:
-		time.Sleep(time.Until(first))
+		time.Sleep(time.Until(faultStart))
 		r.cutLinks(true)
-		time.Sleep(time.Until(second))
+		time.Sleep(time.Until(faultEnd))
 		r.cutLinks(false)
 	}
 }
 
-// eachEngine calls do for all engines, with their region, in the order of the
+// eachEngine calls do for each engine, with its region, in the order of the
 // configuration.
 func (r *run) eachEngine(do func(e *engine.Server, region string)) {
 	for _, endpoint := range r.d.Document.Endpoints {
@@ -62,8 +62,8 @@
 	})
 }
 
-// loseRegion stops the hosts of the lost region, makes its engines refuse requests, and
-// makes its callers use the hosts of the next region.
+// loseRegion ends the hosts of the lost region at once, makes its engines refuse
+// requests, and makes its callers use the hosts of the next region.
 func (r *run) loseRegion() {
 	name := r.d.Spec.Regions[lostRegionIndex].Name
 	r.mu.Lock()
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -1,8 +1,9 @@
-// Package loadrun compares request policies: it sends the same arrivals to a
-// deployment under each policy, injects the faults of a case and measures what the
-// callers saw. Daemons, engines and callers share one process and machine. So its
-// figures compare policies with each other, but do not predict those of real hosts. A
-// run ends by itself after its length and the deadlines of its last requests.
+// Package loadrun compares request policies. A run sends requests to a deployment under
+// one policy, injects the faults of a case and measures the responses from the callers'
+// side; the same seed gives the same requests under each policy. Daemons, engines and
+// callers share one process and machine, so the figures compare policies with each other,
+// but do not predict those of real hosts. A run ends when the last of its requests has
+// ended.
 package loadrun
 
 import (
@@ -29,23 +30,24 @@
 	"vetchtrail/version/rules"
 )
 
-// Case is what happens during a run.
+// Case is the fault or load that a run tests. Its text names it in the results and on the
+// command line.
 type Case string
 
-// Cases. The values name them in the results and on the command line.
+// Cases of a run.
 const (
-	Steady            Case = "steady"
-	OneEngineSlow     Case = "one engine five times slower"
-	RegionLostAndBack Case = "a region lost and back, cold"
-	RegionLostForGood Case = "a region lost for good"
-	LinksCut          Case = "links between regions cut"
-	TripleLoad        Case = "three times the load"
-	NoReports         Case = "reports stopped"
+	Steady                Case = "steady"
+	OneEngineSlow         Case = "one engine five times slower"
+	RegionLostTemporarily Case = "a region lost and back, cold" // its engines recover with empty caches
+	RegionLostPermanently Case = "a region lost for good"
+	LinksCut              Case = "links between regions cut"
+	TripleLoad            Case = "three times the load"
+	NoReports             Case = "reports stopped" // the engines return no load reports
 )
 
 // Cases returns all cases.
 func Cases() []Case {
-	return []Case{Steady, OneEngineSlow, RegionLostAndBack, RegionLostForGood, LinksCut, TripleLoad, NoReports}
+	return []Case{Steady, OneEngineSlow, RegionLostTemporarily, RegionLostPermanently, LinksCut, TripleLoad, NoReports}
 }
 
 // Config is what a run needs.
@@ -65,7 +67,7 @@
 
 const (
 	warmUpShare       = 0.15 // beginning of a run, as a share of its length, that is not measured
-	boundShare        = 0.12 // share of the requests whose workspace may be served in its region only
+	boundShare        = 0.12 // share of the requests of workspaces that are bound to a region
 	prefixSkew        = 1.1  // exponent of the Zipf distribution of the prefixes
 	prefixBytes       = 1200
 	uniqueBytes       = 400 // of a prompt, after the shared prefix
@@ -76,7 +78,7 @@
 	maxInFlight       = 4000 // requests at the same time, which bounds the memory; further arrivals wait
 )
 
-// regionShares are the shares of the arrivals by region. They differ, as the regions
+// regionShares are the shares of the arrivals by region. They differ because real regions
 // have their peaks at different hours.
 var regionShares = []float64{0.45, 0.35, 0.20}
 
@@ -90,10 +92,10 @@
 type arrival struct {
 	at         time.Duration // after the start of the run
 	region     int           // index of the caller's region
-	bound      bool          // its workspace may be served in its region only
+	bound      bool          // its workspace is bound to the region
 	prompt     string
 	tokens     int // of the answer
-	hostChoice int // selects one of the region's hosts, modulo their number
+	hostChoice int // selects one of the region's hosts: taken modulo their number
 }
 
 // generateArrivals returns the arrivals of a run, with exponentially distributed
@@ -126,7 +128,8 @@
 	return len(regionShares) - 1
 }
 
-// prompt returns a prompt of a shared prefix, given by its number, and a unique rest.
+// prompt returns a prompt that consists of a shared prefix, given by its number, and a
+// unique rest.
 func prompt(prefix uint64, rnd *rand.Rand) string {
 	text := make([]byte, 0, prefixBytes+uniqueBytes)
 	shared := rand.New(rand.NewPCG(prefix, 7))
@@ -139,17 +142,17 @@
 	return string(text)
 }
 
-// Result is what a run measured. The warm-up is left out, except from Duplicates,
+// Result holds the measurements of a run. They exclude the warm-up, except for Duplicates,
 // Retries, SlotTime, Stall and Cached.
 type Result struct {
 	Policy           string // Config.Name
 	Case             Case
 	Sent             int
 	Answered         int                     // complete and correct
-	Truncated        int                     // broken off in a way that the caller noticed
+	Truncated        int                     // broken off with an error that the caller could detect
 	Wrong            int                     // wrong answers, and truncated ones that look complete
-	NotRun           int                     // refused: the gateway reports that they were not executed
-	Unknown          int                     // no answer, or the gateway reports that it does not know whether they were executed
+	NotRun           int                     // refused: the host reported that the request was not executed
+	Unknown          int                     // no answer, or the host reported that the request may have been executed
 	OtherRegion      int                     // answered in another region than the caller's
 	Duplicates       int                     // executions in excess of one for each request
 	Retries          int                     // by the daemons
@@ -157,7 +160,7 @@
 	TimeToAnswer     *hdrhistogram.Histogram // microseconds to the end of the answer
 	TimeToRefusal    *hdrhistogram.Histogram // microseconds
 	SlotTime         time.Duration           // of all engines together
-	Stall            time.Duration           // longest time by which a goroutine ran later than it should have, as the machine was busy
+	Stall            time.Duration           // longest delay with which a busy machine woke a sleeping goroutine
 	Cached           float64                 // share of the prompt tokens found in the engines' prefix caches
 }
 
@@ -172,7 +175,8 @@
 	res Result
 }
 
-// Run starts a deployment, applies its configuration and makes one run on it.
+// Run starts a deployment, applies its configuration, and sends the requests and injects
+// the faults of one run.
 func Run(ctx context.Context, c Config) (Result, error) {
 	d := deployment.Build(c.Spec)
 	w, err := world.Start(ctx, world.Config{Deployment: d, Engine: engineConfig, Policy: c.Policy, SwitchedOff: c.SwitchedOff, Log: c.Log})
@@ -250,8 +254,8 @@
 	running.Wait()
 }
 
-// measureStall measures the longest time by which a short sleep took too long. The
-// results of a run on a machine that stalled do not show much about the policy.
+// measureStall measures by how much a short sleep took too long at most. After a long
+// stall of the machine, the results of the run show little about the policy.
 func (r *run) measureStall(began time.Time) {
 	const sleepTime = 5 * time.Millisecond
 	longest := time.Duration(0)
@@ -265,8 +269,8 @@
 	r.res.Stall = longest
 }
 
-// sendArrival sends one arrival's request to a host of its region, and counts the
-// result unless it arrived during the warm-up.
+// sendArrival sends one arrival's request, and counts its result unless it arrived
+// during the warm-up.
 func (r *run) sendArrival(ctx context.Context, a arrival) {
 	from := r.d.Spec.Regions[a.region]
 	request := client.Request{
@@ -307,8 +311,8 @@
 	}
 }
 
-// entryHost returns the host that the caller uses: one of its region, or of the next
-// region while its own is lost.
+// entryHost returns the address of the host that the caller uses: one of its region, or
+// of the next region while its own is lost.
 func (r *run) entryHost(a arrival) (addr addrPort) {
 	r.mu.Lock()
 	region := a.region
--- a/standin/meter/meter.go
+++ b/standin/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter measures for benchmarks what their wall time does not show: the
+// Package meter provides measurements for benchmarks in addition to their wall time: the
 // processor time and the heap of this process, and the bytes of its connections.
 package meter
 
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -19,10 +19,10 @@
 
 // Faults are the faults that the service injects into its requests.
 type Faults struct {
-	LoseAnswers int           `json:"lose_answers"` // number of further requests that are executed but get no answer: the connection is closed
+	LoseAnswers int           `json:"lose_answers"` // number of further requests that are executed, but whose connection is closed without an answer
 	Refuse      bool          `json:"refuse"`       // answer with status 503, and X-Not-Started, as nothing was executed
 	Delay       time.Duration `json:"delay"`        // how long an execution takes, in nanoseconds
-	Leaving     bool          `json:"leaving"`      // report in /load that it leaves; it still executes requests
+	Leaving     bool          `json:"leaving"`      // report in /load that the service is leaving; it still executes requests
 }
 
 // Echo is the answer to an executed request.
@@ -40,7 +40,7 @@
 
 	mu       sync.Mutex
 	faults   Faults
-	running  int // executions under way
+	running  int // executions in progress
 	executed int // executions started
 }
 
@@ -62,8 +62,8 @@
 	s.faults = f
 }
 
-// handle answers a request by its path. All paths but those of the stand-in itself are
-// requests to the service.
+// handle answers a request by its path. Requests to all paths but /faults, /load and
+// /executions are executed.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/faults":
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,7 +1,8 @@
-// Package platform holds stand-ins for two small services of the platform: the
-// list of live and leaving endpoints, which lags behind changes, and the
-// directory, from which callers read the addresses of the entry hosts. A PUT to the list replaces
-// it with a JSON array of the form that GET returns; the directory is read-only.
+// Package platform provides stand-ins for two small services of the platform: the list
+// of live and leaving endpoints, which lags behind changes, and the directory, from which
+// callers read the addresses of the entry hosts. A PUT request to the list replaces it by
+// the JSON array in the body, which has the form that GET returns; the directory is
+// read-only.
 package platform
 
 import (
@@ -22,28 +23,28 @@
 	State    string `json:"state"` // "live" or "leaving"
 }
 
-// HostList serves the list, under any path. GET returns a change only after the lag.
-type HostList struct {
+// EndpointList serves the list, under any path. GET returns a change only after the lag.
+type EndpointList struct {
 	lag time.Duration // from a change until GET returns it
 
 	mu      sync.Mutex
 	entries []Entry // as GET returns them
 }
 
-// NewHostList returns an empty list with the given lag.
-func NewHostList(lag time.Duration) *HostList { return &HostList{lag: lag} }
+// NewEndpointList returns an empty list with the given lag.
+func NewEndpointList(lag time.Duration) *EndpointList { return &EndpointList{lag: lag} }
 
 // Set replaces the list. GET returns the new one after the lag.
-func (h *HostList) Set(entries []Entry) {
-	time.AfterFunc(h.lag, func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.entries = entries
+func (e *EndpointList) Set(entries []Entry) {
+	time.AfterFunc(e.lag, func() {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.entries = entries
 	})
 }
 
 // Serve handles the requests on a listener until ctx ends.
-func (h *HostList) Serve(ctx context.Context, l net.Listener) error {
+func (e *EndpointList) Serve(ctx context.Context, l net.Listener) error {
 	return listen.Serve(ctx, l, func(c *fasthttp.RequestCtx) {
 		if c.IsPut() {
 			var entries []Entry
@@ -51,12 +52,12 @@
 				c.Error(err.Error(), fasthttp.StatusBadRequest)
 				return
 			}
-			h.Set(entries)
+			e.Set(entries)
 			return
 		}
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		body, _ := json.Marshal(h.entries)
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		body, _ := json.Marshal(e.entries)
 		c.SetBody(body)
 	})
 }
--- a/standin/seeded/seeded.go
+++ b/standin/seeded/seeded.go
@@ -1,6 +1,6 @@
-// Package seeded fixes the seed of the property tests that import it, so that
-// each run of the whole test suite checks the same cases. To check other cases:
-// go test PACKAGE -rapid.seed N -rapid.checks M.
+// Package seeded fixes the seed of the property tests (rapid) of the packages whose tests
+// import it, so that each run of the test suite checks the same cases. To check other
+// cases: go test PACKAGE -rapid.seed N -rapid.checks M.
 package seeded
 
 import (
@@ -9,7 +9,7 @@
 	_ "pgregory.net/rapid" // registers the flag rapid.seed
 )
 
-// seed is the default of the flag rapid.seed for the importing tests.
+// seed is the default of the flag rapid.seed.
 const seed = "1"
 
 func init() {
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -1,6 +1,6 @@
-// Package world runs a whole deployment in one process: real daemons and
-// stand-ins, each on its own loopback address. The demo and the load runs use it.
-// Package fleet runs separate processes instead.
+// Package world runs a whole deployment in one process: real daemons and stand-ins, each
+// on its own loopback address. The demo and the load runs use it. Package fleet runs a
+// deployment as separate processes instead.
 package world
 
 import (
@@ -25,8 +25,8 @@
 	"vetchtrail/standin/platform"
 )
 
-// startTimeout bounds the time until the daemons answer, are ready, or reach the
-// other data centres.
+// startTimeout bounds each wait for the daemons: until they answer, are ready, or reach
+// the other data centres.
 const startTimeout = 15 * time.Second
 
 // Config is what a World needs.
@@ -49,7 +49,7 @@
 	Engines      map[string]*engine.Server // by endpoint
 	Plains       map[string]*plain.Server  // by endpoint
 	Store        *kv.Server
-	EndpointList *platform.HostList
+	EndpointList *platform.EndpointList
 	Link         *link.Relay
 	Client       *client.Client
 
@@ -74,7 +74,7 @@
 func Start(ctx context.Context, c Config) (*World, error) {
 	w := &World{
 		cfg: c, Engines: map[string]*engine.Server{}, Plains: map[string]*plain.Server{}, Store: kv.New(),
-		EndpointList: platform.NewHostList(c.EndpointListLag), Link: link.New(c.Deployment.Pipes), Client: client.New(), daemons: map[string]*runningHost{},
+		EndpointList: platform.NewEndpointList(c.EndpointListLag), Link: link.New(c.Deployment.Pipes), Client: client.New(), daemons: map[string]*runningHost{},
 	}
 	w.ctx, w.stop = context.WithCancel(ctx)
 	if err := w.startAll(); err != nil {
@@ -91,7 +91,7 @@
 	if err := w.serve(d.Store, w.Store); err != nil {
 		return err
 	}
-	if err := w.serve(d.HostList, w.EndpointList); err != nil {
+	if err := w.serve(d.EndpointList, w.EndpointList); err != nil {
 		return err
 	}
 	if err := w.Link.Start(w.ctx); err != nil {
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// Settings returns the settings of a host as the deployment has them. StartHost starts
-// the host with these and with those of Config, such as the policy.
+// Settings returns the settings of a host in the deployment. StartHost overrides some of
+// them, such as the policy, by those of Config.
 func (w *World) Settings(name string) settings.Settings {
 	for _, s := range w.cfg.Deployment.Hosts {
 		if s.Host == name {
@@ -180,13 +180,13 @@
 	return nil
 }
 
-// StopHost stops the daemon of a host and waits until it has ended. If orderly is
+// StopHost stops the daemon of a host and waits until it has ended. If gracefully is
 // set, the daemon leaves the system first; otherwise it ends at once.
-func (w *World) StopHost(name string, orderly bool) {
+func (w *World) StopHost(name string, gracefully bool) {
 	w.mu.Lock()
 	h := w.daemons[name]
 	w.mu.Unlock()
-	if orderly {
+	if gracefully {
 		h.daemon.Leave()
 	} else {
 		h.kill()
@@ -194,8 +194,8 @@
 	<-h.done
 }
 
-// AwaitReady waits until every host reports that it is ready and has at least the given
-// revision of the configuration.
+// AwaitReady waits until every host is ready and has at least the given revision of the
+// configuration.
 func (w *World) AwaitReady(revision uint64) error {
 	deadline := time.Now().Add(startTimeout)
 	for _, s := range w.cfg.Deployment.Hosts {
@@ -206,7 +206,8 @@
 	return nil
 }
 
-// awaitHostReady waits for one host as AwaitReady does for all, until a deadline.
+// awaitHostReady waits until one host is ready and has at least the given revision, or
+// until the deadline.
 func (w *World) awaitHostReady(s settings.Settings, revision uint64, deadline time.Time) error {
 	for {
 		err := w.Client.Get(w.ctx, s.Listen.Callers, "/readyz", nil)
