--- a/soak/announcements.go
+++ b/soak/announcements.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// leavingPropagation is the time that the hosts of an engine's region may take until they no
-	// longer send requests to the engine, after it announced that it is leaving.
+	// leavingPropagation is how long hosts may continue to send requests to an engine after the
+	// engine announced that it is leaving.
 	leavingPropagation = 3 * time.Second
 	// minLeavingDuration and maxLeavingDuration bound the time for which an engine announces
-	// that it is leaving. leavingPause is the time until the next engine announces something.
+	// that it is leaving. announcementGap is the time until the next engine announces something.
 	minLeavingDuration = 6 * time.Second
 	maxLeavingDuration = 12 * time.Second
-	leavingPause       = 2 * time.Second
+	announcementGap    = 2 * time.Second
 	// pauseSeconds is the Retry-After of an engine that rejects requests. Hosts must send
 	// requests to other engines for that time.
 	pauseSeconds = "3"
 )
 
 // announceAvailability makes one engine at a time announce that it is leaving, or reject requests
-// with a pause, until ctx ends. Afterwards the engine acts as a process that has just started
-// and announces nothing.
+// with a Retry-After, until ctx ends. After its announcement each engine reports the uptime of a
+// process that has just started, and announces nothing.
 func (c *checker) announceAvailability(ctx context.Context, rnd *rand.Rand) {
 	modelEngines := c.modelEngines()
 	for ctx.Err() == nil {
@@ -39,7 +39,7 @@
 			c.checkLeavingEngine(context.WithoutCancel(ctx), name, from)
 		}
 		c.announce(context.WithoutCancel(ctx), name, engine.Announcement{NewInstance: true})
-		sleep(ctx, leavingPause)
+		sleep(ctx, announcementGap)
 	}
 }
 
@@ -54,8 +54,8 @@
 	return out
 }
 
-// announce makes an engine announce its availability in its responses. It returns false if the
-// engine could not be reached.
+// announce makes an engine announce its availability in its responses from now on. It returns
+// false if the engine could not be reached.
 func (c *checker) announce(ctx context.Context, name string, announcement engine.Announcement) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -73,7 +73,7 @@
 // no new requests once leavingPropagation has passed.
 func (c *checker) checkLeavingEngine(ctx context.Context, name string, from time.Time) {
 	until := time.Now()
-	if c.engineInterrupted(advertised{engine: name, from: from, until: until}) {
+	if c.engineInterrupted(advertisement{engine: name, from: from, until: until}) {
 		c.note("leaving engine not checked: it was killed or frozen")
 		return
 	}
@@ -88,7 +88,7 @@
 	if err == nil {
 		err = c.fleet.Client.Get(ctx, addr, "/arrivals", &list)
 	}
-	if err != nil || announced.Leaving == "" { // the poison request crashed the engine meanwhile, and it restarted
+	if err != nil || announced.Leaving == "" { // the engine crashed under the poison request, and restarted without the announcement
 		c.note("leaving engine not checked: it crashed or was not reached")
 		return
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -31,12 +31,12 @@
 
 // process describes a host's current process.
 type process struct {
-	number   int    // number of the host's processes that ended before; it distinguishes reports of earlier processes
+	number   int    // number of the host's processes that have ended; it identifies the process that sent a report
 	revision uint64 // newest configuration revision that the process reported
 }
 
-// checker collects what callers, endpoints and hosts report, and checks the promises against it.
-// It is safe for concurrent use.
+// checker collects the results of callers and the records of endpoints and hosts, and checks the
+// promises against them. It is safe for concurrent use.
 type checker struct {
 	fleet     *fleet.Fleet
 	d         *deployment.Deployment
@@ -47,10 +47,10 @@
 	violations        []Violation
 	notes             map[string]int                // observations that break no promise, counted
 	keys              map[string][]attempt          // by idempotency key
-	earlierExecutions map[string][]ledger.Execution // by endpoint, of processes that were killed since
+	earlierExecutions map[string][]ledger.Execution // by endpoint, of its killed processes
 	processes         map[string]process            // by host
-	advertised        []advertised                  // rate limits that engines advertised
-	poisonArrivals    int                           // of the poison request at engines, as far as they were read
+	rateLimits        []advertisement               // rate limits that engines advertised
+	poisonArrivals    int                           // of the poison request at engines, as far as their records were read
 }
 
 // newChecker returns a checker of a run that starts now.
@@ -119,9 +119,9 @@
 	return len(list), err
 }
 
-// noPropagationFault reports whether no fault was active in a span that may delay the change by
-// which an endpoint is drained on its way to the hosts: a fault of the store, of links or of
-// hosts.
+// noPropagationFault reports whether the span is free of faults that may delay the propagation of
+// a configuration change to the hosts, such as a drain. These are the faults of the store, of
+// hosts, and of links except for resets.
 func (c *checker) noPropagationFault(from, until time.Time) bool {
 	for _, f := range c.faults {
 		switch f.Kind {
@@ -135,8 +135,8 @@
 	return true
 }
 
-// hostAffected reports whether a fault on a host, or on a link or all hosts of its region, was
-// active in a span.
+// hostAffected reports whether a fault of a host was active in a span. Faults of the links of the
+// host's region, and stops of all hosts of the region, count too.
 func (c *checker) hostAffected(host string, from, until time.Time) bool {
 	region := ""
 	for _, h := range c.d.Hosts {
@@ -145,8 +145,8 @@
 		}
 	}
 	for _, f := range c.faults {
-		mine := f.Target == host || f.Target == region || f.To == region
-		if mine && c.startedAt.Add(f.Start).Before(until) && c.startedAt.Add(f.End()+settleTime).After(from) {
+		affects := f.Target == host || f.Target == region || f.To == region
+		if affects && c.startedAt.Add(f.Start).Before(until) && c.startedAt.Add(f.End()+settleTime).After(from) {
 			return true
 		}
 	}
@@ -213,9 +213,10 @@
 	c.recordRevision(host, before, reply.GetRevision())
 }
 
-// recordRevision records a revision that a host reported, and checks that it is not older than the
-// one in before, the state of the host's process as it was before the call. If the process has
-// ended since, it ignores the revision: either process may have sent it.
+// recordRevision records a revision that a host reported in reply to a call, and checks that it is
+// not older than the revision in before. before is the state of the host's process when the call
+// began. If the process has ended since then, the revision is ignored, as it may be that of the old
+// or of the new process.
 func (c *checker) recordRevision(host string, before process, revision uint64) {
 	c.mu.Lock()
 	current := c.processes[host]
@@ -228,8 +229,8 @@
 	}
 }
 
-// checkExecutions checks how often each request ran, and where. It is called at the end of the
-// run, when the endpoints' records are complete.
+// checkExecutions checks how many times each request ran, and where. It is called at the end of
+// the run, when the endpoints' records are complete.
 func (c *checker) checkExecutions(ctx context.Context) error {
 	all, err := c.fleet.Executions(ctx)
 	if err != nil {
@@ -277,8 +278,8 @@
 }
 
 // checkKeyedRequest checks the attempts with one idempotency key against the number of times that
-// the request ran. Only the last attempt is checked for a false "not run": after an earlier one
-// that did not run, a later one may have.
+// the request ran. Only the last attempt is checked for a false "not run": if an earlier attempt
+// was reported as not run, a later one may have run the request.
 func (c *checker) checkKeyedRequest(key string, list []attempt, runs int) {
 	answer := ""
 	for _, a := range list {
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -23,9 +23,9 @@
 	return &d
 }
 
-// TestPromiseChecks guards against checks that miss a broken promise, or report a promise as broken
-// that holds. Each case passes to the checker what a caller, an endpoint or a host may report, and
-// has the name of the promise that this breaks; empty: none.
+// TestPromiseChecks guards against checks that miss a broken promise, or that report a promise as
+// broken although it holds. Each case passes results to the checker, and names the promise that
+// they break; empty: none.
 func TestPromiseChecks(t *testing.T) {
 	req := client.Request{Prompt: "p", Tokens: 3, Timeout: time.Second}
 	want := req.ExpectedText()
@@ -74,7 +74,7 @@
 			c.processEnded("h")
 			c.recordRevision("h", process{number: 1}, 0)
 		}, ""},
-		"late report of the process before": {func(c *checker) {
+		"late report of the ended process": {func(c *checker) {
 			c.recordRevision("h", process{}, 4)
 			c.processEnded("h")
 			c.recordRevision("h", process{revision: 4}, 4)
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestSchedule guards against a schedule that differs from run to run, so that a failed seed can't
-// be repeated. It also guards against two faults on one resource at a time, as the end of one would
-// clear the other, and against kinds of fault that never occur.
+// TestSchedule guards against a schedule that differs between runs of one seed, so that a failed
+// run can't be reproduced. It also guards against two faults on one resource at a time, as the end
+// of one would clear the other, and against kinds of fault that never occur.
 func TestSchedule(t *testing.T) {
 	const seed, length, rate = 7, 30 * time.Minute, 1
 	d := smallDeployment(t)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// addedDelay is the delay that a slow link adds to each transfer, and a slow store to each
-	// call.
+	// addedDelay is the delay that the fault of a slow link adds in each direction, and that of a
+	// slow store to each call.
 	addedDelay = 300 * time.Millisecond
 	// eventsBeforeCut is the number of events after which an engine cuts its streams or ends them
 	// early.
@@ -107,8 +107,8 @@
 	return unknown, unknown
 }
 
-// putFaults sets the faults of an endpoint. It retries for twice poisonRestartDelay, in case the
-// poison request has just crashed the endpoint: it listens again after poisonRestartDelay.
+// putFaults sets the faults of an endpoint. It retries for about twice poisonRestartDelay, as an
+// endpoint that the poison request has just crashed listens again only after poisonRestartDelay.
 func (j *injector) putFaults(ctx context.Context, addr netip.AddrPort, f any) error {
 	for attempts := 0; ; attempts++ {
 		err := j.fleet.Client.Put(ctx, addr, "/faults", f)
@@ -174,8 +174,8 @@
 	return j.fleet.Resume(fault.Target)
 }
 
-// killEngine kills an engine and starts it again. It first reads the engine's records of its
-// requests, as the new process starts with empty records.
+// killEngine kills an engine and starts it again after the fault's duration. It first reads the
+// engine's records of its requests, as the new process starts with empty records.
 func (j *injector) killEngine(ctx context.Context, fault Fault) error {
 	if err := j.checks.keepExecutions(ctx, fault.Target); err != nil {
 		return err
@@ -189,15 +189,15 @@
 }
 
 const (
-	// drainPropagation is the time after an accepted drain from which on the endpoint must get no
-	// new requests: the users' bound of 5 s, and an allowance for a busy machine.
+	// drainPropagation is how long an endpoint may still get new requests after its drain was
+	// accepted: the users' bound of 5 s, and an allowance for a busy machine.
 	drainPropagation = 6500 * time.Millisecond
-	// drainObservation is how long the endpoint is then observed.
+	// drainObservation is how long the endpoint's requests are then counted.
 	drainObservation = 1500 * time.Millisecond
 )
 
-// drain drains an endpoint by the operators' tool, checks that it gets no new requests, and
-// undrains it.
+// drain drains an endpoint by the operators' tool, checks that the endpoint gets no new requests,
+// and undrains it.
 func (j *injector) drain(ctx context.Context, fault Fault) error {
 	began := time.Now()
 	if out, err := j.fleet.Tool(ctx, j.d.Hosts[0].Host, "endpoint", "drain", fault.Target); err != nil {
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -14,35 +14,35 @@
 	// engine takes to listen again.
 	poisonPrompt       = "the drawing that ends its reader"
 	poisonRestartDelay = 700 * time.Millisecond
-	// poisonRetryInterval is the pause between two attempts of the caller of the poison request.
-	// An injector also waits so long between two attempts to set the faults of an endpoint.
+	// poisonRetryInterval is the pause between two attempts of the caller of the poison request,
+	// and between two attempts of an injector to set the faults of an endpoint.
 	poisonRetryInterval = 300 * time.Millisecond
 	// crashesPerRegion is the number of crashes after which a region quarantines the request
 	// without information from the other regions.
 	crashesPerRegion = 3
 )
 
-// sendPoisonRequests sends the poison request to random hosts until ctx ends, and checks how it
-// is rejected once it is quarantined.
-func (v *driver) sendPoisonRequests(ctx context.Context) {
+// sendPoisonRequests sends the poison request to random hosts until ctx ends, and checks the
+// responses with which hosts reject it once it is quarantined.
+func (c *caller) sendPoisonRequests(ctx context.Context) {
 	for ctx.Err() == nil {
-		h := v.d.Hosts[v.rnd.IntN(len(v.d.Hosts))]
-		r := v.client.Do(ctx, client.Request{
-			Host: h.Listen.Callers, Service: v.d.Spec.Model.Name, Stream: true, Timeout: modelTimeout, Prompt: poisonPrompt, Tokens: maxTokens,
+		h := c.d.Hosts[c.rnd.IntN(len(c.d.Hosts))]
+		r := c.client.Do(ctx, client.Request{
+			Host: h.Listen.Callers, Service: c.d.Spec.Model.Name, Stream: true, Timeout: modelTimeout, Prompt: poisonPrompt, Tokens: maxTokens,
 		})
 		switch {
 		case r.Reason == "held-back" && (r.Status != http.StatusServiceUnavailable || !r.RetryAt.IsZero()):
-			v.checks.recordViolation("a quarantined request is rejected with 503 and no retry time", "status %d, %s", r.Status, r.Detail)
+			c.checks.recordViolation("a quarantined request is rejected with 503 and no retry time", "status %d, %s", r.Status, r.Detail)
 		case r.Reason == "held-back":
-			v.checks.note("poison request quarantined")
+			c.checks.note("poison request quarantined")
 		}
 		sleep(ctx, poisonRetryInterval)
 	}
 }
 
 // keepPoisonArrivals adds the arrivals of the poison request at an engine's process to the total.
-// It is called before the engine is killed, as the next process starts without them, and at the
-// end of the run.
+// It is called before the engine is killed, as the next process starts with empty records, and at
+// the end of the run.
 func (c *checker) keepPoisonArrivals(ctx context.Context, endpoint string) {
 	n := c.poisonArrivalsAt(ctx, endpoint)
 	c.mu.Lock()
@@ -50,7 +50,8 @@
 	c.poisonArrivals += n
 }
 
-// poisonArrivalsAt returns how often the poison request reached an engine's process.
+// poisonArrivalsAt returns how many times the poison request reached an engine's process, or 0 if
+// the engine can't be reached.
 func (c *checker) poisonArrivalsAt(ctx context.Context, endpoint string) int {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -65,9 +66,9 @@
 	return len(history.PoisonRequests)
 }
 
-// checkPoisonArrivals checks how often the poison request reached engines. Each region may need
-// crashesPerRegion crashes to quarantine it by itself. Each fault by which a host may lose its
-// state, or miss a message about the quarantine, allows one arrival more.
+// checkPoisonArrivals checks how many times the poison request reached engines. Each region may
+// need crashesPerRegion crashes until it quarantines the request by itself. Each fault by which a
+// host may lose its state, or miss a message about the quarantine, allows one more arrival.
 func (c *checker) checkPoisonArrivals(ctx context.Context) {
 	for _, e := range c.d.Document.Endpoints {
 		if e.Service == c.d.Spec.Model.Name {
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -20,42 +20,42 @@
 	// limit: one host receives it with a response, the others with that host's next heartbeat.
 	ratePropagation = 2 * time.Second
 	// minRateDuration and maxRateDuration bound the time for which an engine advertises a rate
-	// limit. ratePause is the time until the next engine advertises one.
+	// limit. rateGap is the time until the next engine advertises one.
 	minRateDuration = 8 * time.Second
 	maxRateDuration = 14 * time.Second
-	ratePause       = time.Second
+	rateGap         = time.Second
 	// newHostAllowance is the number of requests that a host that has just started may send in
 	// addition: it receives the rate limit, or the announcement that an engine is leaving, only
 	// with its first response or with the first heartbeat of another host.
 	newHostAllowance = 5
 )
 
-// advertised is what an engine advertised for a time: a rate limit, or, with rate 0, that it is
-// leaving.
-type advertised struct {
+// advertisement is what an engine advertised in a span of time: a rate limit, or, if rate is 0,
+// that it is leaving.
+type advertisement struct {
 	engine      string
 	rate        float64 // requests a second
 	from, until time.Time
 }
 
-// advertiseRateLimits makes one engine at a time advertise a rate limit, until ctx ends. After that
-// no engine advertises one.
+// advertiseRateLimits makes one engine at a time advertise a rate limit until ctx ends, and records
+// the advertisements. It removes the last engine's limit before it returns.
 func (c *checker) advertiseRateLimits(ctx context.Context, rnd *rand.Rand) {
 	modelEngines := c.modelEngines()
 	for ctx.Err() == nil {
-		n := advertised{engine: modelEngines[rnd.IntN(len(modelEngines))], rate: []float64{0.5, 1, 2, 5}[rnd.IntN(4)]}
+		a := advertisement{engine: modelEngines[rnd.IntN(len(modelEngines))], rate: []float64{0.5, 1, 2, 5}[rnd.IntN(4)]}
 		length := minRateDuration + time.Duration(rnd.Float64()*float64(maxRateDuration-minRateDuration))
-		if c.setRateLimit(ctx, n.engine, strconv.FormatFloat(n.rate, 'g', -1, 64)) {
-			n.from = time.Now()
+		if c.setRateLimit(ctx, a.engine, strconv.FormatFloat(a.rate, 'g', -1, 64)) {
+			a.from = time.Now()
 			sleep(ctx, length)
-			n.until = time.Now()
-			if c.setRateLimit(context.WithoutCancel(ctx), n.engine, "") {
+			a.until = time.Now()
+			if c.setRateLimit(context.WithoutCancel(ctx), a.engine, "") {
 				c.mu.Lock()
-				c.advertised = append(c.advertised, n)
+				c.rateLimits = append(c.rateLimits, a)
 				c.mu.Unlock()
 			}
 		}
-		sleep(ctx, ratePause)
+		sleep(ctx, rateGap)
 	}
 }
 
@@ -75,29 +75,29 @@
 }
 
 // checkRateLimits checks each rate limit that was advertised against the requests that its
-// engine started. It leaves out engines that were interrupted meanwhile.
+// engine started. It skips rate limits during which the engine was killed or frozen.
 func (c *checker) checkRateLimits(ctx context.Context) {
-	for _, n := range c.advertised {
-		if c.engineInterrupted(n) {
+	for _, a := range c.rateLimits {
+		if c.engineInterrupted(a) {
 			c.note("rate limit not checked: engine was killed or frozen")
 			continue
 		}
-		list, err := c.executions(ctx, n.engine)
+		list, err := c.executions(ctx, a.engine)
 		if err != nil {
 			c.note("rate limit not checked: executions not read")
 			continue
 		}
 		c.note("rate limit checked")
-		c.checkRateLimit(n, append(slices.Clone(c.earlierExecutions[n.engine]), list...))
+		c.checkRateLimit(a, append(slices.Clone(c.earlierExecutions[a.engine]), list...))
 	}
 }
 
-// checkRateLimit checks one rate limit in each rateWindow, from ratePropagation after its first
-// advertisement to its last.
-func (c *checker) checkRateLimit(n advertised, runs []ledger.Execution) {
+// checkRateLimit checks one rate limit against the requests that its engine started. It counts them
+// in each window of length rateWindow, from ratePropagation after the limit was set until its end.
+func (c *checker) checkRateLimit(a advertisement, runs []ledger.Execution) {
 	var starts []time.Time
 	for _, e := range runs {
-		if e.At.After(n.from.Add(ratePropagation)) && e.At.Before(n.until) {
+		if e.At.After(a.from.Add(ratePropagation)) && e.At.Before(a.until) {
 			starts = append(starts, e.At)
 		}
 	}
@@ -107,21 +107,21 @@
 		for now.Sub(starts[first]) >= rateWindow {
 			first++
 		}
-		bound := rateTolerance*n.rate*rateWindow.Seconds() + rateAllowance + float64(newHostAllowance*c.hostStarts(starts[first].Add(-ratePropagation), now))
+		bound := rateTolerance*a.rate*rateWindow.Seconds() + rateAllowance + float64(newHostAllowance*c.hostStarts(starts[first].Add(-ratePropagation), now))
 		if got := last - first + 1; float64(got) > bound {
-			c.recordViolation("an endpoint gets no more than its advertised rate limit", "%s started %d requests within %s at a limit of %g a second; allowed: %g", n.engine, got, rateWindow, n.rate, bound)
+			c.recordViolation("an endpoint gets no more than its advertised rate limit", "%s started %d requests within %s at a limit of %g a second; allowed: %g", a.engine, got, rateWindow, a.rate, bound)
 			return
 		}
 	}
 }
 
-// engineInterrupted reports whether an engine was killed or frozen in the span of n. A frozen
-// engine records the requests that it received meanwhile all at once when it resumes. The check
-// would take this burst for a violation of the limit.
-func (c *checker) engineInterrupted(n advertised) bool {
+// engineInterrupted reports whether an engine was killed or frozen during its advertisement. A
+// frozen engine records all requests that it received meanwhile when it resumes, and the check would
+// regard this burst as a violation of the limit.
+func (c *checker) engineInterrupted(a advertisement) bool {
 	return slices.ContainsFunc(c.faults, func(f Fault) bool {
-		hit := f.Target == n.engine && (f.Kind == EngineKill || f.Kind == EngineFreeze)
-		return hit && c.startedAt.Add(f.Start).Before(n.until) && c.startedAt.Add(f.End()+settleTime).After(n.from)
+		interrupts := f.Target == a.engine && (f.Kind == EngineKill || f.Kind == EngineFreeze)
+		return interrupts && c.startedAt.Add(f.Start).Before(a.until) && c.startedAt.Add(f.End()+settleTime).After(a.from)
 	})
 }
 
--- a/soak/report.go
+++ b/soak/report.go
@@ -14,7 +14,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Write writes the report as text: counts of faults, requests and notes, then the violations.
+// Write writes the report as text: the numbers of faults, requests and notes by name, then the
+// violations.
 func (r *Report) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(w, "seed\t%d\nfaults\t%d\n", r.Seed, len(r.Faults))
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -12,7 +12,8 @@
 // Kind is a kind of fault; its text is shown in reports and timelines.
 type Kind string
 
-// Kinds of fault. The engines are the stand-ins for model endpoints.
+// Kinds of fault. Engines are the stand-ins for endpoints of the model service, plain services
+// those for other endpoints.
 const (
 	HostKill            Kind = "host killed"
 	HostStop            Kind = "host stopped gracefully"
@@ -51,8 +52,8 @@
 	Start    time.Duration // into the run
 	Duration time.Duration
 	Kind     Kind
-	Target   string // a host, an endpoint, or a region: the one to stop, or the one where a link starts
-	To       string // where a link ends: a region or the platform; for RegionStop, the data centre of the region
+	Target   string // a host, an endpoint, a region to stop, or the region where a link starts; empty: the store
+	To       string // the region or platform where a link ends; for RegionStop, the data centre of the region
 }
 
 // End returns the time into the run at which the fault is cleared.
@@ -69,9 +70,9 @@
 	drainDuration = 9 * time.Second
 )
 
-// Schedule draws the faults of a run at random, at an average of faultsPerSecond. It drops a fault
-// that would affect a resource while another fault affects it; faults of different resources may
-// overlap in time. The same seed and deployment give the same schedule.
+// Schedule draws the faults of a run at random, faultsPerSecond on average. Faults of different
+// resources may overlap in time; of two faults that would affect one resource at the same time, it
+// drops the later one. The same arguments give the same schedule.
 func Schedule(seed uint64, length time.Duration, faultsPerSecond float64, d *deployment.Deployment) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, seed>>7))
 	total := 0
@@ -136,28 +137,26 @@
 	return names[rnd.IntN(len(names))]
 }
 
-// overlaps reports whether f affects a resource that another fault still affects, or did less
-// than settleTime ago. Two faults on one resource don't work: a stopped process can't be frozen,
-// and clearing one link fault would clear the other too.
+// overlaps reports whether f affects a resource that a scheduled fault still affects, or affected
+// less than settleTime before. Two faults on one resource at a time don't work: a stopped process
+// can't be frozen, and clearing one link fault would clear the other too.
 func overlaps(scheduled []Fault, f Fault) bool {
 	return slices.ContainsFunc(scheduled, func(other Fault) bool {
 		return f.Start < other.End()+settleTime && (other.resource() == f.resource() || other.stopsTargetOf(f) || f.stopsTargetOf(other))
 	})
 }
 
-// settleTime is the time after the end of a fault in which no other fault affects the same
-// resource, and in which checks still count the fault as active. It covers a graceful stop, which
-// takes about a second.
+// settleTime is how long after the end of a fault no other fault affects the same resource, and
+// checks still regard the fault as active. It covers a graceful stop, which takes about a second.
 const settleTime = 2 * time.Second
 
-// stopsTargetOf reports whether f stops all hosts of a region and other affects one of these
-// hosts, or is such a stop too: only one region is stopped at a time.
+// stopsTargetOf reports whether f stops all hosts of a region, and other affects a host or an
+// endpoint of this region or stops a region too: only one region is stopped at a time.
 func (f Fault) stopsTargetOf(other Fault) bool {
 	return f.Kind == RegionStop && (other.Kind == RegionStop || strings.HasPrefix(other.Target, f.To+"-"))
 }
 
-// resource returns the process, link or store that a fault affects. Only one fault at a time affects
-// a resource.
+// resource returns the name of the process, link or store that a fault affects.
 func (f Fault) resource() string {
 	switch f.Kind {
 	case LinkCut, LinkCutOneWay, LinkReset, LinkSlow:
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -33,16 +33,16 @@
 	Binaries       string    // directory of the programs
 	Directory      string    // for settings files and logs
 	Progress       io.Writer // receives a line every few seconds; nil: none
-	// PoisonRequests makes one caller send a poison request, which crashes engines, again and again.
+	// PoisonRequests makes one caller repeat a poison request, which crashes engines.
 	PoisonRequests bool
 	// RateLimits makes engines advertise a rate limit in their responses, one engine at a time.
 	RateLimits bool
-	// Announcements makes engines announce that they are leaving, or reject requests and ask hosts to
-	// pause, one engine at a time.
+	// Announcements makes engines announce that they are leaving, or reject requests with a
+	// Retry-After, one engine at a time.
 	Announcements bool
 }
 
-// These limits of a run let one machine run the processes, and a person wait for the result.
+// Limits of a run, so that one machine can run the processes in an acceptable time.
 const (
 	maxRunLength      = 2 * time.Hour
 	maxProcesses      = 200
@@ -52,7 +52,7 @@
 
 // Check returns an error that names the first value that is out of bounds.
 func (c *Config) Check() error {
-	processes := 3
+	processes := 3 // store, list of endpoints and links
 	for _, r := range c.Spec.Regions {
 		processes += r.Hosts + r.Engines + r.PlainEndpoints
 	}
@@ -105,8 +105,7 @@
 	return r.report, nil
 }
 
-// engineArgs returns the flags of the stand-in engines. An engine that a poison request crashed
-// listens again after poisonRestartDelay.
+// engineArgs returns the flags of the stand-in engines.
 func (c *Config) engineArgs() []string {
 	args := []string{"--step=5ms"}
 	if c.PoisonRequests {
@@ -116,7 +115,7 @@
 }
 
 const (
-	leaveDelay   = 500 * time.Millisecond // time in which a stopping host announces that it is leaving, before it closes
+	leaveDelay   = 500 * time.Millisecond // how long a stopping host announces that it is leaving, before it closes its listeners
 	pollInterval = 200 * time.Millisecond // between two load reports that a host reads from an endpoint
 )
 
@@ -162,35 +161,35 @@
 func (r *run) execute(ctx context.Context) error {
 	callersCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var callers, faults conc.WaitGroup
-	var drivers []*driver
+	var callerGroup, faultGroup conc.WaitGroup
+	var callers []*caller
 	for host := range r.d.Hosts {
 		for n := range r.cfg.CallersPerHost {
-			v := &driver{
+			c := &caller{
 				d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, uint64(host*maxCallersPerHost+n))),
 				homeHost: host, outcomes: Tally{}, recordOutcome: r.recordOutcome,
 			}
-			drivers = append(drivers, v)
-			callers.Go(func() { v.run(callersCtx) })
+			callers = append(callers, c)
+			callerGroup.Go(func() { c.run(callersCtx) })
 		}
 	}
 	if r.cfg.PoisonRequests {
-		v := &driver{d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, 1<<20)), outcomes: Tally{}, recordOutcome: func(time.Time, string) {}}
-		callers.Go(func() { v.sendPoisonRequests(callersCtx) })
+		c := &caller{d: r.d, checks: r.checks, client: client.New(), rnd: rand.New(rand.NewPCG(r.cfg.Seed, 1<<20)), outcomes: Tally{}, recordOutcome: func(time.Time, string) {}}
+		callerGroup.Go(func() { c.sendPoisonRequests(callersCtx) })
 	}
-	callers.Go(func() { r.checks.watchRevisions(callersCtx) })
-	callers.Go(func() { r.writeProgress(callersCtx) })
+	callerGroup.Go(func() { r.checks.watchRevisions(callersCtx) })
+	callerGroup.Go(func() { r.writeProgress(callersCtx) })
 	announceCtx, stopAnnouncing := context.WithDeadline(ctx, r.checks.startedAt.Add(r.cfg.RunLength))
 	defer stopAnnouncing()
 	if r.cfg.RateLimits {
-		faults.Go(func() { r.checks.advertiseRateLimits(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<21))) })
+		faultGroup.Go(func() { r.checks.advertiseRateLimits(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<21))) })
 	}
 	if r.cfg.Announcements {
-		faults.Go(func() { r.checks.announceAvailability(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<22))) })
+		faultGroup.Go(func() { r.checks.announceAvailability(announceCtx, rand.New(rand.NewPCG(r.cfg.Seed, 1<<22))) })
 	}
 	errs := make(chan error, len(r.report.Faults)+1)
 	for _, f := range r.report.Faults {
-		faults.Go(func() {
+		faultGroup.Go(func() {
 			sleep(ctx, time.Until(r.checks.startedAt.Add(f.Start)))
 			if err := (&injector{r.fleet, r.d, r.checks}).run(ctx, f); err != nil {
 				errs <- errors.Wrapf(err, "soak: %s %s", f.Kind, f.Target)
@@ -198,10 +197,10 @@
 		})
 	}
 	sleep(ctx, time.Until(r.checks.startedAt.Add(r.cfg.RunLength)))
-	faults.Wait()
+	faultGroup.Wait()
 	errs <- r.checkRecovery(ctx)
 	stop()
-	callers.Wait()
+	callerGroup.Wait()
 	if r.cfg.PoisonRequests {
 		sleep(ctx, 2*poisonRestartDelay) // until the engines that crashed last listen again
 	}
@@ -212,8 +211,8 @@
 		r.checks.checkPoisonArrivals(ctx)
 	}
 	r.checks.checkRateLimits(ctx)
-	for _, v := range drivers {
-		for outcome, n := range v.outcomes {
+	for _, c := range callers {
+		for outcome, n := range c.outcomes {
 			r.report.Outcomes[outcome] += n
 		}
 	}
@@ -248,18 +247,17 @@
 }
 
 const (
-	// recoveryTime is the time that the system may take to recover from the last fault: hosts
-	// remove a dead host after some seconds, and send a request to a failed endpoint again after
-	// up to 8 s.
+	// recoveryTime is how long the system may take to recover from the last fault: hosts remove a
+	// dead host after some seconds, and retry a failed endpoint after up to 8 s.
 	recoveryTime = 15 * time.Second
 	// minAnsweredShare is the share of requests that must be answered after recoveryTime.
 	minAnsweredShare = 0.95
-	// recoverySample is the time for which requests are counted for that share.
+	// recoverySample is how long requests are counted for that share.
 	recoverySample = 3 * time.Second
 )
 
-// checkRecovery waits for recoveryTime after the last fault, then checks that the deployment
-// answers at least minAnsweredShare of the requests.
+// checkRecovery waits until all hosts respond and then for recoveryTime, and checks that the
+// deployment then answers at least minAnsweredShare of the requests.
 func (r *run) checkRecovery(ctx context.Context) error {
 	for _, h := range r.d.Hosts {
 		if err := r.fleet.AwaitHost(ctx, h.Host); err != nil {
