--- a/standin/loadrun/faults.go
+++ b/standin/loadrun/faults.go
@@ -8,8 +8,8 @@
 	"vetchtrail/standin/engine"
 )
 
-// addrPort is the address of a host.
-type addrPort = netip.AddrPort
+// hostAddr is the address on which a host accepts callers.
+type hostAddr = netip.AddrPort
 
 // lostRegionIndex is the index of the region that is lost in RegionLostTemporarily and
 // RegionLostPermanently: the second busiest.
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -313,14 +313,14 @@
 
 // entryHost returns the address of the host that the caller uses: one of its region, or
 // of the next region while its own is lost.
-func (r *run) entryHost(a arrival) (addr addrPort) {
+func (r *run) entryHost(a arrival) (addr hostAddr) {
 	r.mu.Lock()
 	region := a.region
 	if r.regionLost && region == lostRegionIndex {
 		region = (region + 1) % len(r.d.Spec.Regions)
 	}
 	r.mu.Unlock()
-	var hosts []addrPort
+	var hosts []hostAddr
 	for _, s := range r.d.Hosts {
 		if s.Region == r.d.Spec.Regions[region].Name {
 			hosts = append(hosts, s.Listen.Callers)
