--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -73,7 +73,7 @@
 	for _, path := range []*string{&a.Binaries, &a.Out} {
 		absolute, err := filepath.Abs(*path)
 		if err != nil {
-			return errors.Wrapf(err, "soak: absolute path of %s", *path)
+			return errors.Wrap(err, "soak: absolute path")
 		}
 		*path = absolute
 	}
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -46,13 +46,12 @@
 	steps  []stepResult          // finished steps, and the current one last
 }
 
-// stepResult counts the requests of one step of the demo.
+// stepResult counts the requests of one step of the demo. Wrong are those that failed or
+// got a wrong answer, otherRegion those answered correctly outside the caller's region,
+// and refused those that were refused as expected.
 type stepResult struct {
-	name        string
-	requests    int
-	wrong       int // failed, or got a wrong answer
-	otherRegion int // answered correctly outside the caller's region
-	refused     int // refused, as expected
+	name                                  string
+	requests, wrong, otherRegion, refused int
 }
 
 // currentStep returns the counts of the step in progress.
--- a/cmd/vetchtrail/config.go
+++ b/cmd/vetchtrail/config.go
@@ -254,7 +254,7 @@
 // everywhere, it returns an error with the exit code for that.
 func (g *globals) printRevisionStatuses(revision uint64, statuses []revisionStatus, everywhere bool) error {
 	err := g.print(statuses, func(w *tabwriter.Writer) {
-		_, _ = fmt.Fprintln(w, "WHERE\tREGION\tREVISION\tIN FORCE\tLAST SEEN")
+		_, _ = fmt.Fprintln(w, "WHERE\tREGION\tREVISION\tIN FORCE\tHEARD")
 		for _, r := range statuses {
 			inForce := "yes"
 			if !r.InForce {
--- a/cmd/vetchtrail/quarantine.go
+++ b/cmd/vetchtrail/quarantine.go
@@ -46,12 +46,12 @@
 	})
 }
 
-// entryState returns the state column of a quarantine entry: released, expired or
-// in force.
+// entryState returns the state column of a quarantine entry: "let go",
+// "over" or "held back".
 func entryState(h *schema.Hold) string {
 	switch {
 	case h.GetReleased():
-		return "released"
+		return "let go"
 	case h.GetRemaining() <= 0:
 		return "over"
 	}
--- a/cmd/vetchtrail/status.go
+++ b/cmd/vetchtrail/status.go
@@ -33,7 +33,7 @@
 	return g.print(s, func(w *tabwriter.Writer) {
 		_, _ = fmt.Fprintf(w, "seen from %s, revision %d, the store last answered %s\n\n", s.GetHost(), s.GetRevision(), formatAge(s.GetStoreHeard()))
 		printHosts(w, s)
-		_, _ = fmt.Fprintln(w, "\nDATA CENTRE\tREGION\tREVISION\tREACHABLE\tLAST SEEN")
+		_, _ = fmt.Fprintln(w, "\nDATA CENTRE\tREGION\tREVISION\tREACHABLE\tHEARD")
 		for _, d := range s.GetDataCentres() {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%t\t%s\n", d.GetName(), d.GetRegion(), d.GetRevision(), d.GetReachable(), formatAge(d.GetHeard()))
 		}
@@ -73,7 +73,7 @@
 
 // printHosts prints a table of the hosts of the daemon's data centre.
 func printHosts(w *tabwriter.Writer, s *schema.StatusReply) {
-	_, _ = fmt.Fprintln(w, "HOST\tREGION\tDATA CENTRE\tSTATE\tREVISION\tCALLERS\tLAST SEEN")
+	_, _ = fmt.Fprintln(w, "HOST\tREGION\tDATA CENTRE\tSTATE\tREVISION\tCALLERS\tHEARD")
 	for _, h := range s.GetHosts() {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", h.GetName(), h.GetRegion(), h.GetDataCentre(),
 			h.GetState(), h.GetRevision(), h.GetCallers(), formatAge(h.GetHeard()))
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -31,10 +31,10 @@
 	CauseEndpointFailed      Cause = "failed at its endpoint"
 	CauseCallerGone          Cause = "left by its caller"
 	CauseNoOutcome           Cause = "no end in the logs: its host ended, or lines were dropped"
-)
 
-// minServerErrorStatus is the lowest HTTP status of a server error.
-const minServerErrorStatus = 500
+	// minServerErrorStatus is the lowest HTTP status of a server error.
+	minServerErrorStatus = 500
+)
 
 // reasonQuarantined is the reason for refusing a quarantined request.
 const reasonQuarantined = "held-back"
--- a/process/lists/region_test.go
+++ b/process/lists/region_test.go
@@ -277,8 +277,8 @@
 					time.Sleep(5 * time.Second)
 				})
 			}
-			const meanSeconds = 14.5 // 4.5 s on average before the change, and 10 s after it
-			t.Logf("known within %s, %.1f calls a second", worstDelay, float64(platformCalls)/seeds/meanSeconds)
+			// 14.5 s are counted in each run: 4.5 s on average before the change, and 10 s after it.
+			t.Logf("known within %s, %.1f calls a second", worstDelay, float64(platformCalls)/seeds/14.5)
 			assert.Assert(t, worstDelay <= 4500*time.Millisecond, "%s", worstDelay)
 		})
 	}
--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if r.Running < 0 || r.Queued < 0 || r.Up < 0 || r.Up > maxUptime.Milliseconds() {
-		p.cfg.Log.Warn("load report out of range", "endpoint", e.Name, "running", r.Running, "queued", r.Queued, "up", r.Up)
+		p.cfg.Log.Warn("load report out of range", "endpoint", e.Name)
 		return
 	}
 	at := time.UnixMilli(r.At)
--- a/scenario/availability_test.go
+++ b/scenario/availability_test.go
@@ -60,7 +60,7 @@
 	assert.Assert(t, len(firstRelayedAt) > 0, "no host relayed the announcement")
 	assert.Equal(t, late, 0)
 	assert.Assert(t, countAfter(arrivals, restartedAt) > 0, "the endpoint got no requests after its restart")
-	assert.DeepEqual(t, x.outcomes, map[string]int{answeredOutcome: len(x.relayed)})
+	assert.DeepEqual(t, x.outcomes, map[string]int{" ": len(x.relayed)})
 }
 
 const (
@@ -107,5 +107,5 @@
 	assert.Equal(t, len(loggedAt), 3, "hosts that logged the pause")
 	assert.Assert(t, duringPause <= maxRequestsInPause*len(loggedAt), "%d requests during the pause", duringPause)
 	assert.Assert(t, afterPause > 0, "the endpoint got no requests after the pause")
-	assert.DeepEqual(t, x.outcomes, map[string]int{answeredOutcome: len(x.relayed)})
+	assert.DeepEqual(t, x.outcomes, map[string]int{" ": len(x.relayed)})
 }
--- a/scenario/config_history_test.go
+++ b/scenario/config_history_test.go
@@ -86,7 +86,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if revision < x.newest[host] {
-		x.regressions = append(x.regressions, fmt.Sprintf("%s: revision %d after %d", host, revision, x.newest[host]))
+		x.regressions = append(x.regressions, fmt.Sprintf("%s went back from revision %d to %d", host, x.newest[host], revision))
 	}
 	x.newest[host] = max(revision, x.newest[host])
 }
--- a/scenario/engine_run_test.go
+++ b/scenario/engine_run_test.go
@@ -33,14 +33,10 @@
 	ctx    context.Context
 
 	mu       sync.Mutex
-	outcomes map[string]int    // number of requests by outcome and reason; see answeredOutcome
+	outcomes map[string]int    // number of requests by outcome and reason; " " for answered requests, which have neither
 	relayed  []relayedResponse // complete responses
 }
 
-// answeredOutcome is the key in outcomes of the answered requests: their responses have neither an
-// outcome nor a reason, which a space separates.
-const answeredOutcome = " "
-
 // relayedResponse is a response that a host relayed to a caller, with the times at which the caller
 // sent the request and had received the whole response.
 type relayedResponse struct {
--- a/schema/convert.go
+++ b/schema/convert.go
@@ -152,7 +152,7 @@
 	}
 	for _, k := range m.GetKeyHashes() {
 		if len(k) != len(vetchtrail.KeyHash{}) {
-			return w, errors.Errorf("workspace %s: a key hash has %d bytes instead of %d", m.GetName(), len(k), len(vetchtrail.KeyHash{}))
+			return w, errors.Errorf("workspace %s: a key hash has %d bytes", m.GetName(), len(k))
 		}
 		w.Keys = append(w.Keys, vetchtrail.KeyHash(k))
 	}
@@ -263,7 +263,7 @@
 // the wrong length is ignored, and is then computed again when it is needed.
 func ToRequest(m *ForwardRequest, now time.Time) (*vetchtrail.Request, error) {
 	if m.GetHome() >= vetchtrail.MaxRegions || m.GetEntry() >= vetchtrail.MaxRegions {
-		return nil, errors.Errorf("schema.ToRequest: region ids %d (home) and %d (entry) must be below %d", m.GetHome(), m.GetEntry(), vetchtrail.MaxRegions)
+		return nil, errors.New("schema.ToRequest: region id out of range")
 	}
 	resume := m.GetResume()
 	r := &vetchtrail.Request{
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -60,7 +60,7 @@
 		return vetchtrail.QuarantineEntry{}, errors.Wrap(err, "schema.ToHold")
 	}
 	if m.GetStrike() == 0 || m.GetStrike() > maxTimesQuarantined {
-		return vetchtrail.QuarantineEntry{}, errors.Errorf("schema.ToHold: strike %d is not from 1 to %d", m.GetStrike(), maxTimesQuarantined)
+		return vetchtrail.QuarantineEntry{}, errors.Errorf("schema.ToHold: strike %d is out of range", m.GetStrike())
 	}
 	return vetchtrail.QuarantineEntry{
 		ContentHash: hash, Count: m.GetStrike(), Crashes: int(m.GetEnds()), Since: now.Add(-time.Duration(max(0, m.GetAge()))),
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -38,8 +38,8 @@
 // with the addresses on which it accepts connections.
 const (
 	platformNetwork   = 20
-	firstStoreNetwork = 30 // of the links to the store: + index of the origin region
 	firstLinkNetwork  = 40 // of the links between regions: + maxRegions × index of the origin + index of the destination
+	firstStoreNetwork = 30 // of the links to the store: + index of the origin region
 )
 
 // Spec is the size of a deployment and its services.
--- a/workspace.go
+++ b/workspace.go
@@ -72,7 +72,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) || len(text)%2 != 0 {
-		return errors.Errorf("key hash has %d characters instead of %d hexadecimal digits", len(text), hex.EncodedLen(len(h)))
+		return errors.Errorf("key hash must have %d hexadecimal digits", hex.EncodedLen(len(h)))
 	}
 	if _, err := hex.Decode(h[:], text); err != nil {
 		return errors.Wrap(err, "key hash")
