--- a/process/daemon/hosted_test.go
+++ b/process/daemon/hosted_test.go
@@ -81,11 +81,11 @@
 	return runUntilTestEnd(t, d)
 }
 
-// TestListsFetchedFromPeer guards against a host that never becomes ready because the platform
+// TestListingFetchedFromPeer guards against a host that never becomes ready because the platform
 // doesn't answer it: it must fetch the configuration and the listing from a peer. It also guards
 // against a newer listing that is replaced by an older one, as the host's own feed may deliver an
 // older one later.
-func TestListsFetchedFromPeer(t *testing.T) {
+func TestListingFetchedFromPeer(t *testing.T) {
 	listed, silent := manualFeed{make(chan vetchtrail.Listing, 1)}, manualFeed{make(chan vetchtrail.Listing, 1)}
 	a := startHostedDaemon(t, "a", 11, listed)
 	b := startHostedDaemon(t, "b", 12, silent, a)
@@ -102,10 +102,10 @@
 	assert.Equal(t, b.lists.Listing().Revision, uint64(41))
 }
 
-// TestUnchangedListsAreCheap guards against work that grows with the number of endpoints and is
+// TestUnchangedListingIsCheap guards against work that grows with the number of endpoints and is
 // repeated each second, or for each reply of a peer that has nothing newer. The host may iterate
 // over all endpoints only when the listing or the configuration has changed.
-func TestUnchangedListsAreCheap(t *testing.T) {
+func TestUnchangedListingIsCheap(t *testing.T) {
 	const maxBytes = 16 << 10 // allocated for one update, with either number of endpoints
 	for _, endpoints := range []int{1000, 2000} {
 		t.Run(fmt.Sprint(endpoints, " endpoints"), func(t *testing.T) {
--- a/process/quarantines/partition_test.go
+++ b/process/quarantines/partition_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAggregatorsMeetAfterPartition guards against a poison request that some host has not
+// TestReportsAfterPartition guards against a poison request that some host has not
 // quarantined 30 seconds after a partition, although it crashed three endpoints. This happens if
 // the partition began before the hosts of the region had discovered each other: each is then its own
 // aggregator and counts only its own crashes, which are too few. The hosts have to report their
@@ -17,7 +17,7 @@
 // Without that, with a caller that retries every second or two, 8 to 68 of a hundred runs failed.
 // Lost exchanges aren't the cause: TestOneExchangeLost and TestAllExchangesLostBetween show that all
 // hosts receive an existing entry within this time.
-func TestAggregatorsMeetAfterPartition(t *testing.T) {
+func TestReportsAfterPartition(t *testing.T) {
 	cases := map[string]time.Duration{"every second": time.Second, "every 1.5 s": 1500 * time.Millisecond, "every 2 s": 2 * time.Second}
 	for name, interval := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestAPIKeyRemoved checks that a request no longer runs once its key is removed from the
+// TestWorkspaceKeyRemoved checks that a request no longer runs once its key is removed from the
 // workspace, also between two attempts. If the first attempt may have run, the outcome must
 // not become "not run".
-func TestAPIKeyRemoved(t *testing.T) {
+func TestWorkspaceKeyRemoved(t *testing.T) {
 	removeKey := func(applyEdits func(...vetchtrail.Edit)) {
 		applyEdits(vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w"}})
 	}
