--- a/contenthash.go
+++ b/contenthash.go
@@ -59,10 +59,10 @@
 func ParseContentHash(s string) (ContentHash, error) {
 	var h ContentHash
 	if hex.DecodedLen(len(s)) != len(h) || len(s)%2 != 0 {
-		return h, errors.Errorf("vetchtrail.ParseDigest: %q is not %d hexadecimal digits", s, hex.EncodedLen(len(h)))
+		return h, errors.Errorf("vetchtrail.ParseContentHash: %q is not %d hexadecimal digits", s, hex.EncodedLen(len(h)))
 	}
 	if _, err := hex.Decode(h[:], []byte(s)); err != nil {
-		return h, errors.Wrap(err, "vetchtrail.ParseDigest")
+		return h, errors.Wrap(err, "vetchtrail.ParseContentHash")
 	}
 	return h, nil
 }
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -206,7 +206,7 @@
 // Quarantine implements schema.DRPCOperatorsServer.
 func (o *operatorServer) Quarantine(context.Context, *schema.QuarantineRequest) (*schema.QuarantineReply, error) {
 	entries, suspects := o.d.quarantines.Entries()
-	out := &schema.QuarantineReply{Holds: schema.FromHolds(entries, clock.Boot())}
+	out := &schema.QuarantineReply{Holds: schema.FromQuarantineEntries(entries, clock.Boot())}
 	for _, s := range suspects {
 		out.Suspects = append(out.Suspects, &schema.Suspect{Digest: s.ContentHash[:], Ends: uint32(s.Crashes)})
 	}
@@ -220,5 +220,5 @@
 		return nil, err
 	}
 	entry, ok := o.d.quarantines.Release(d)
-	return &schema.ReleaseReply{Hold: schema.FromHold(entry, clock.Boot()), Released: ok}, nil
+	return &schema.ReleaseReply{Hold: schema.FromQuarantineEntry(entry, clock.Boot()), Released: ok}, nil
 }
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -24,7 +24,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, want)
 	entry := vetchtrail.QuarantineEntry{ContentHash: vetchtrail.ContentHash{3}, Count: 2, Crashes: 4, Since: testNow.Add(-time.Minute), Until: testNow.Add(time.Minute), Released: true}
-	back, err := schema.ToHold(schema.FromHold(entry, testNow), testNow)
+	back, err := schema.ToQuarantineEntry(schema.FromQuarantineEntry(entry, testNow), testNow)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, back, entry)
 }
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -102,7 +102,7 @@
 // forwarded the suspects that they received, hosts that had already dropped these would receive them
 // again. The caller holds the lock.
 func (q *Quarantines) entriesMessage(entries []vetchtrail.QuarantineEntry, now time.Time) *schema.Holds {
-	m := &schema.Holds{From: q.cfg.Self.Name, Version: q.entries.Version(now), Holds: schema.FromHolds(entries, now)}
+	m := &schema.Holds{From: q.cfg.Self.Name, Version: q.entries.Version(now), Holds: schema.FromQuarantineEntries(entries, now)}
 	if q.isAggregator() {
 		m.Suspects = fromSuspects(q.suspects)
 	}
@@ -132,7 +132,7 @@
 // versions differ. An aggregator forwards changes to the hosts of its region.
 func (q *Quarantines) HandleEntries(m *schema.Holds) (*schema.Holds, error) {
 	now := q.cfg.Clock()
-	entries, err := schema.ToHolds(m.GetHolds(), now)
+	entries, err := schema.ToQuarantineEntries(m.GetHolds(), now)
 	if err != nil {
 		return nil, err
 	}
@@ -143,7 +143,7 @@
 	q.mergeAndForward(entries, isAggregator, now)
 	reply := q.entriesMessage(nil, now)
 	if m.GetVersion() != reply.GetVersion() {
-		reply.Holds = schema.FromHolds(q.entries.All(now), now)
+		reply.Holds = schema.FromQuarantineEntries(q.entries.All(now), now)
 	}
 	return reply, nil
 }
@@ -204,7 +204,7 @@
 		q.cfg.Log.Debug("quarantine entries not exchanged", "peer", h.Name, "error", err)
 		return
 	}
-	entries, err := schema.ToHolds(reply.GetHolds(), q.cfg.Clock())
+	entries, err := schema.ToQuarantineEntries(reply.GetHolds(), q.cfg.Clock())
 	if err != nil {
 		q.cfg.Log.Error("invalid quarantine entries from another host", "peer", h.Name, "error", err)
 		return
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -30,12 +30,12 @@
 func ParsePersistedEntries(text []byte) (PersistedEntries, error) {
 	var in, out PersistedEntries
 	if err := json.Unmarshal(text, &in); err != nil {
-		return out, errors.Wrap(err, "quarantine.ParseKept")
+		return out, errors.Wrap(err, "quarantine.ParsePersistedEntries")
 	}
 	var bad error
 	for _, entry := range in.Entries {
 		if _, err := vetchtrail.ParseContentHash(entry.ContentHash); err != nil || entry.Count == 0 {
-			bad = errors.Errorf("quarantine.ParseKept: invalid entry: content hash %q, count %d", entry.ContentHash, entry.Count)
+			bad = errors.Errorf("quarantine.ParsePersistedEntries: invalid entry: content hash %q, count %d", entry.ContentHash, entry.Count)
 			continue
 		}
 		out.Entries = append(out.Entries, entry)
--- a/schema/listing.go
+++ b/schema/listing.go
@@ -16,7 +16,7 @@
 func FromListing(l *vetchtrail.Listing, now, bootNow time.Time) *Listing {
 	m := &Listing{Revision: l.Revision, Seen: l.ConfirmedRevision, Age: int64(now.Sub(l.ReadAt))}
 	m.setEndpoints(l.Endpoints, now)
-	m.Holds = FromHolds(l.Quarantined, bootNow)
+	m.Holds = FromQuarantineEntries(l.Quarantined, bootNow)
 	for _, h := range l.Hosts {
 		m.Hosts = append(m.Hosts, &ListedHost{Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Peers: h.PeerAddr.String()})
 	}
@@ -77,7 +77,7 @@
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	var err error
-	if l.Quarantined, err = ToHolds(m.GetHolds(), bootNow); err != nil {
+	if l.Quarantined, err = ToQuarantineEntries(m.GetHolds(), bootNow); err != nil {
 		return l, errors.Wrap(err, "schema.ToListing")
 	}
 	for _, listed := range m.GetHosts() {
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -20,31 +20,31 @@
 // ErrContentHash means that a content hash has the wrong length.
 var ErrContentHash = errors.Errorf("a content hash must have %d bytes", contentHashBytes)
 
-// FromHolds returns the messages for quarantine entries. Their times are sent as
+// FromQuarantineEntries returns the messages for quarantine entries. Their times are sent as
 // the difference from now, a time of the boot-time clock (process/clock), as the
 // times of the entries are.
-func FromHolds(entries []vetchtrail.QuarantineEntry, now time.Time) []*Hold {
+func FromQuarantineEntries(entries []vetchtrail.QuarantineEntry, now time.Time) []*Hold {
 	out := make([]*Hold, 0, len(entries))
 	for _, e := range entries {
-		out = append(out, FromHold(e, now))
+		out = append(out, FromQuarantineEntry(e, now))
 	}
 	return out
 }
 
-// FromHold returns the message for a quarantine entry, as FromHolds does.
-func FromHold(e vetchtrail.QuarantineEntry, now time.Time) *Hold {
+// FromQuarantineEntry returns the message for a quarantine entry, as FromQuarantineEntries does.
+func FromQuarantineEntry(e vetchtrail.QuarantineEntry, now time.Time) *Hold {
 	return &Hold{
 		Digest: e.ContentHash[:], Strike: e.Count, Ends: uint32(e.Crashes), Age: int64(now.Sub(e.Since)),
 		Remaining: int64(e.Until.Sub(now)), Released: e.Released,
 	}
 }
 
-// ToHolds returns the quarantine entries of messages that arrived now. If one of
+// ToQuarantineEntries returns the quarantine entries of messages that arrived now. If one of
 // them is invalid, it returns an error and no entries.
-func ToHolds(in []*Hold, now time.Time) ([]vetchtrail.QuarantineEntry, error) {
+func ToQuarantineEntries(in []*Hold, now time.Time) ([]vetchtrail.QuarantineEntry, error) {
 	out := make([]vetchtrail.QuarantineEntry, 0, len(in))
 	for _, m := range in {
-		e, err := ToHold(m, now)
+		e, err := ToQuarantineEntry(m, now)
 		if err != nil {
 			return nil, err
 		}
@@ -53,14 +53,14 @@
 	return out, nil
 }
 
-// ToHold returns the quarantine entry of a message that arrived now.
-func ToHold(m *Hold, now time.Time) (vetchtrail.QuarantineEntry, error) {
+// ToQuarantineEntry returns the quarantine entry of a message that arrived now.
+func ToQuarantineEntry(m *Hold, now time.Time) (vetchtrail.QuarantineEntry, error) {
 	hash, err := ToContentHash(m.GetDigest())
 	if err != nil {
-		return vetchtrail.QuarantineEntry{}, errors.Wrap(err, "schema.ToHold")
+		return vetchtrail.QuarantineEntry{}, errors.Wrap(err, "schema.ToQuarantineEntry")
 	}
 	if m.GetStrike() == 0 || m.GetStrike() > maxTimesQuarantined {
-		return vetchtrail.QuarantineEntry{}, errors.Errorf("schema.ToHold: strike %d is out of range", m.GetStrike())
+		return vetchtrail.QuarantineEntry{}, errors.Errorf("schema.ToQuarantineEntry: strike %d is out of range", m.GetStrike())
 	}
 	return vetchtrail.QuarantineEntry{
 		ContentHash: hash, Count: m.GetStrike(), Crashes: int(m.GetEnds()), Since: now.Add(-time.Duration(max(0, m.GetAge()))),
