--- a/connection/store/store_test.go
+++ b/connection/store/store_test.go
@@ -37,7 +37,7 @@
 		err     error // nil: any but ErrConflict
 		written bool
 	}{
-		"lost response": {kv.Faults{LoseAnswers: 1}, nil, true},
+		"lost response": {kv.Faults{LoseResponses: 1}, nil, true},
 		"outage":        {kv.Faults{Outage: true}, nil, false},
 		"rate limit":    {kv.Faults{Writes: -1}, vetchtrail.ErrRateLimited, false},
 	}
--- a/scenario/config_history_test.go
+++ b/scenario/config_history_test.go
@@ -232,7 +232,7 @@
 		}
 		switch n % 5 {
 		case 0:
-			setStoreFaults(kv.Faults{LoseAnswers: 2})
+			setStoreFaults(kv.Faults{LoseResponses: 2})
 			injected["lost responses"]++
 		case 1:
 			setStoreFaults(kv.Faults{Writes: 3, Reads: 60})
--- a/scenario/keyed_history_test.go
+++ b/scenario/keyed_history_test.go
@@ -130,7 +130,7 @@
 		case 4:
 			for _, e := range x.d.Document.Endpoints {
 				if e.Service == x.d.Spec.Plain.Name {
-					assert.NilError(x.t, x.f.Client.Put(x.ctx, e.Addr, "/faults", plain.Faults{LoseAnswers: 3, Delay: 20 * time.Millisecond}))
+					assert.NilError(x.t, x.f.Client.Put(x.ctx, e.Addr, "/faults", plain.Faults{LoseResponses: 3, Delay: 20 * time.Millisecond}))
 				}
 			}
 			x.count["lost responses"]++
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -91,7 +91,7 @@
 	case StoreSlow:
 		return storeFault(kv.Faults{Delay: addedDelay}), storeFault(kv.Faults{})
 	case StoreLosesResponses:
-		return storeFault(kv.Faults{LoseAnswers: responsesLost}), storeFault(kv.Faults{})
+		return storeFault(kv.Faults{LoseResponses: responsesLost}), storeFault(kv.Faults{})
 	case EngineRefuses:
 		return endpointFault(engine.Faults{Refuse: true}), endpointFault(engine.Faults{})
 	case EngineCutsStreams:
@@ -101,7 +101,7 @@
 	case EngineNonsense:
 		return endpointFault(engine.Faults{Nonsense: true}), endpointFault(engine.Faults{})
 	case PlainLosesResponses:
-		return endpointFault(plain.Faults{LoseAnswers: responsesLost}), endpointFault(plain.Faults{})
+		return endpointFault(plain.Faults{LoseResponses: responsesLost}), endpointFault(plain.Faults{})
 	}
 	unknown := func() error { return errors.Errorf("soak: unknown fault %s", fault.Kind) }
 	return unknown, unknown
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -22,12 +22,12 @@
 
 // Faults are the faults that the store injects into its calls.
 type Faults struct {
-	Outage      bool          `json:"outage"`       // answer every call with status 500
-	Silent      bool          `json:"silent"`       // answer every call only after a minute
-	LoseAnswers int           `json:"lose_answers"` // number of further writes that take effect, but whose connection is closed without an answer
-	Delay       time.Duration `json:"delay"`        // before each answer, in nanoseconds
-	Writes      int           `json:"writes"`       // limit per second; 0: no limit; negative: no write is allowed
-	Reads       int           `json:"reads"`        // limit per second; 0: no limit; negative: no read is allowed
+	Outage        bool          `json:"outage"`       // answer every call with status 500
+	Silent        bool          `json:"silent"`       // answer every call only after a minute
+	LoseResponses int           `json:"lose_answers"` // number of further writes that take effect, but whose connection is closed without a response
+	Delay         time.Duration `json:"delay"`        // before each answer, in nanoseconds
+	Writes        int           `json:"writes"`       // limit per second; 0: no limit; negative: no write is allowed
+	Reads         int           `json:"reads"`        // limit per second; 0: no limit; negative: no read is allowed
 }
 
 // Counts are the numbers of calls since the start.
@@ -233,8 +233,8 @@
 	}
 	s.recordChange()
 	s.items[key] = item{value: value, index: s.index}
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.LoseResponses > 0 {
+		s.faults.LoseResponses--
 		s.counts.Lost++
 		return true, true
 	}
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -19,10 +19,10 @@
 
 // Faults are the faults that the service injects into its requests.
 type Faults struct {
-	LoseAnswers int           `json:"lose_answers"` // number of further requests that are executed, but whose connection is closed without an answer
-	Refuse      bool          `json:"refuse"`       // answer with status 503, and X-Not-Started, as nothing was executed
-	Delay       time.Duration `json:"delay"`        // how long an execution takes, in nanoseconds
-	Leaving     bool          `json:"leaving"`      // report in /load that the service is leaving; it still executes requests
+	LoseResponses int           `json:"lose_answers"` // number of further requests that are executed, but whose connection is closed without a response
+	Refuse        bool          `json:"refuse"`       // answer with status 503, and X-Not-Started, as nothing was executed
+	Delay         time.Duration `json:"delay"`        // how long an execution takes, in nanoseconds
+	Leaving       bool          `json:"leaving"`      // report in /load that the service is leaving; it still executes requests
 }
 
 // Echo is the answer to an executed request.
@@ -115,9 +115,9 @@
 	s.running++
 	s.executed++
 	number := s.executed
-	loseAnswer := f.LoseAnswers > 0
-	if loseAnswer {
-		s.faults.LoseAnswers--
+	loseResponse := f.LoseResponses > 0
+	if loseResponse {
+		s.faults.LoseResponses--
 	}
 	s.mu.Unlock()
 	s.executions.Record(&ctx.Request.Header)
@@ -125,7 +125,7 @@
 	s.mu.Lock()
 	s.running--
 	s.mu.Unlock()
-	if loseAnswer {
+	if loseResponse {
 		_ = ctx.Conn().Close()
 		return
 	}
