--- a/cmd/vetchtrail/trace.go
+++ b/cmd/vetchtrail/trace.go
@@ -98,12 +98,12 @@
 			l.Outcome, l.Peer, l.Step, l.Reason, l.Status, ms(l.First), l.Events, ms(l.Took), l.Error)
 	case l.Msg == journal.MsgLost:
 		return fmt.Sprintf("attempt %d at %s lost, step %s %s, after %s, %d events; the request's digest is %s %s",
-			l.Attempt, l.Peer, l.Step, l.Reason, ms(l.Took), l.Events, l.Digest, l.Error)
+			l.Attempt, l.Peer, l.Step, l.Reason, ms(l.Took), l.Events, l.ContentHash, l.Error)
 	case l.Decision == "run-here":
 		return fmt.Sprintf("attempt %d: run at %s, first expected after %s, of it %s for prompts before; holds %d of %d tokens; said %s ago to run %d and hold back %d",
-			l.Attempt, l.Target, ms(l.Wait), ms(l.Backlog), l.Holds, l.Prompt, ms(l.ReportAge), l.Running, l.Queued)
+			l.Attempt, l.Target, ms(l.Wait), ms(l.Backlog), l.CachedTokens, l.PromptTokens, ms(l.ReportAge), l.Running, l.Queued)
 	case l.Decision == "run-elsewhere":
 		return fmt.Sprintf("attempt %d: forward to %s, first expected after %s", l.Attempt, l.Target, ms(l.Wait))
 	}
-	return fmt.Sprintf("attempt %d: %s %s, of %d places, by configuration %d", l.Attempt, l.Decision, l.Reason, l.Looked, l.Revision)
+	return fmt.Sprintf("attempt %d: %s %s, of %d places, by configuration %d", l.Attempt, l.Decision, l.Reason, l.Considered, l.Revision)
 }
--- a/process/journal/journal.go
+++ b/process/journal/journal.go
@@ -46,10 +46,10 @@
 	return &Journal{log: c.Log, wake: make(chan struct{}, 1)}
 }
 
-// Note implements vetchtrail.Recorder: it queues a record for the log and, unless the record
+// Record implements vetchtrail.Recorder: it queues a record for the log and, unless the record
 // describes a lost attempt, keeps it for operators. It doesn't block: if the queue is full, the
 // record is not logged.
-func (j *Journal) Note(r vetchtrail.JournalRecord) {
+func (j *Journal) Record(r vetchtrail.JournalRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !r.Lost {
--- a/process/journal/lines.go
+++ b/process/journal/lines.go
@@ -43,15 +43,15 @@
 	Target         string            `json:"target,omitempty"` // endpoint, host or data centre that was chosen
 	Home           string            `json:"home,omitempty"`   // the workspace's home region, or the region in which the request arrived
 	Attempt        int               `json:"attempt,omitempty"`
-	Prompt         int               `json:"prompt,omitempty"`     // tokens
+	PromptTokens   int               `json:"prompt,omitempty"`     // tokens
 	Wait           time.Duration     `json:"wait,omitempty"`       // predicted time to the first byte of the answer; of wait-here: until there is capacity
 	Backlog        time.Duration     `json:"backlog,omitempty"`    // until the target has read the prompts sent to it before
-	Holds          int               `json:"holds,omitempty"`      // prompt tokens that the target probably has cached
+	CachedTokens   int               `json:"holds,omitempty"`      // prompt tokens that the target probably has cached
 	EventInterval  time.Duration     `json:"gap,omitempty"`        // interval between events of the target's streams
 	ReportAge      time.Duration     `json:"report_age,omitempty"` // age of the target's load report; negative: it has sent none
 	Running        int               `json:"running,omitempty"`    // requests running at the target, as reported
 	Queued         int               `json:"queued,omitempty"`     // requests queued at the target, as reported
-	Looked         int               `json:"looked,omitempty"`     // candidates considered
+	Considered     int               `json:"looked,omitempty"`     // candidates considered
 	Candidates     []loggedCandidate `json:"candidates,omitempty"` // some of those that were not chosen
 	Goal           time.Duration     `json:"goal,omitempty"`       // from the decision to the request's latency goal
 	Left           time.Duration     `json:"left,omitempty"`       // from the decision to the request's deadline
@@ -77,9 +77,9 @@
 	HostLost bool   `json:"host_lost,omitempty"`
 	Error    string `json:"error,omitempty"`
 
-	// Digest is the content hash of the request of a lost attempt. Requests with the same hash
+	// ContentHash is the content hash of the request of a lost attempt. Requests with the same hash
 	// are repeats of each other.
-	Digest string `json:"digest,omitempty"`
+	ContentHash string `json:"digest,omitempty"`
 
 	// Fields of a line about an endpoint, a data centre or the platform.
 	Endpoint      string `json:"endpoint,omitempty"`
--- a/record.go
+++ b/record.go
@@ -28,7 +28,7 @@
 	Took           time.Duration
 }
 
-// Recorder stores journal records. Note doesn't block.
+// Recorder stores journal records. Record doesn't block.
 type Recorder interface {
-	Note(r JournalRecord)
+	Record(r JournalRecord)
 }
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -99,7 +99,7 @@
 	defer d.inFlight.Add(-1)
 	started := time.Now()
 	o := d.run(ctx, r, w)
-	d.cfg.Journal.Note(vetchtrail.JournalRecord{
+	d.cfg.Journal.Record(vetchtrail.JournalRecord{
 		At: started, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, Hops: r.Hops,
 		Ended: true, Outcome: o, Took: time.Since(started),
 	})
@@ -111,7 +111,7 @@
 // its caller sent no valid workspace key.
 func (d *Dispatcher) RecordRejection(r *vetchtrail.Request, o vetchtrail.Outcome) {
 	o.Peer = d.cfg.Self.Name
-	d.cfg.Journal.Note(vetchtrail.JournalRecord{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
+	d.cfg.Journal.Record(vetchtrail.JournalRecord{At: time.Now(), Request: r.ID, Route: r.Route, Ended: true, Outcome: o})
 	countRequest(r, o, 0)
 }
 
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -191,7 +191,7 @@
 
 // recordDecision records a decision on an attempt in the journal.
 func (d *Dispatcher) recordDecision(r *vetchtrail.Request, dec vetchtrail.Decision, attempt int) {
-	d.cfg.Journal.Note(vetchtrail.JournalRecord{
+	d.cfg.Journal.Record(vetchtrail.JournalRecord{
 		At: time.Now(), Request: r.ID, Service: r.Service, Route: r.Route, PromptTokens: r.PromptTokens(), Workspace: r.Workspace,
 		Home: d.cfg.Rules().RegionName(r.HomeRegion), Decision: dec, Attempt: attempt, Hops: r.Hops, Revision: r.Revision,
 		Goal: r.Goal, Deadline: r.Deadline, CallerCanRetry: r.CallerCanRetry, Cost: r.Cost, Quota: r.Quota,
--- a/request/dispatch/quarantine.go
+++ b/request/dispatch/quarantine.go
@@ -50,7 +50,7 @@
 // response was lost. These records show which requests an endpoint was running when
 // it crashed, and whether their callers retried them.
 func (d *Dispatcher) recordLostAttempt(r *vetchtrail.Request, o vetchtrail.Outcome, sent time.Time, attempt int) {
-	d.cfg.Journal.Note(vetchtrail.JournalRecord{
+	d.cfg.Journal.Record(vetchtrail.JournalRecord{
 		At: sent, Request: r.ID, Service: r.Service, Route: r.Route, Workspace: r.Workspace, PromptTokens: r.PromptTokens(),
 		Hops: r.Hops, Attempt: attempt, Lost: true, Outcome: o, Took: time.Since(sent), ContentHash: r.ContentHash(),
 	})
