--- a/connection/caller/responses.go
+++ b/connection/caller/responses.go
@@ -81,7 +81,7 @@
 func (s *Server) handleHosts(c fiber.Ctx) error {
 	now := time.Now()
 	list := hostsResponse{RefreshAt: now.Add(hostListTTL), Key: s.cfg.IssuedKeys.Issue(now).String()}
-	for _, h := range s.cfg.Membership.Hosts(now) {
+	for _, h := range s.cfg.Membership.LocalHosts(now) {
 		if h.State == vetchtrail.HostReady {
 			list.Hosts = append(list.Hosts, newHostEntry(h, weightLocal))
 		}
--- a/process/availability/availability.go
+++ b/process/availability/availability.go
@@ -23,16 +23,16 @@
 	RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) load.AnnouncementNews
 }
 
-// Config configures Notices.
+// Config configures an Observer.
 type Config struct {
 	Observer vetchtrail.Observer // receives all other observations
 	Table    Table
 	Log      *slog.Logger
 }
 
-// Notices is a vetchtrail.Observer that logs and counts announcements and unknown fields, and forwards all other
+// Observer is a vetchtrail.Observer that logs and counts announcements and unknown fields, and forwards all other
 // observations to Config.Observer. It is safe for concurrent use.
-type Notices struct {
+type Observer struct {
 	vetchtrail.Observer
 	cfg        Config
 	logLimiter logs.Throttle // by endpoint
@@ -41,43 +41,43 @@
 	unknownFields map[string]bool // names that were logged
 }
 
-// New returns a Notices.
-func New(c Config) *Notices {
-	return &Notices{Observer: c.Observer, cfg: c, unknownFields: map[string]bool{}}
+// New returns an Observer.
+func New(c Config) *Observer {
+	return &Observer{Observer: c.Observer, cfg: c, unknownFields: map[string]bool{}}
 }
 
 // AvailabilityReported implements vetchtrail.Observer.
-func (n *Notices) AvailabilityReported(e vetchtrail.Endpoint, availability vetchtrail.Availability, err error) {
+func (o *Observer) AvailabilityReported(e vetchtrail.Endpoint, availability vetchtrail.Availability, err error) {
 	if err != nil {
 		countAnnouncement("misread")
-		if n.logLimiter.Allow(e.Name, availability.ReceivedAt) {
-			n.cfg.Log.Warn("endpoint's availability can't be parsed", "endpoint", e.Name, "error", err)
+		if o.logLimiter.Allow(e.Name, availability.ReceivedAt) {
+			o.cfg.Log.Warn("endpoint's availability can't be parsed", "endpoint", e.Name, "error", err)
 		}
 	}
-	news := n.cfg.Table.RecordAnnouncement(e.Name, e.Born, availability)
+	news := o.cfg.Table.RecordAnnouncement(e.Name, e.Born, availability)
 	if news.Leaving {
 		countAnnouncement("leaving")
-		n.cfg.Log.Info("endpoint says that it leaves", "endpoint", e.Name, "service", e.Service)
+		o.cfg.Log.Info("endpoint says that it leaves", "endpoint", e.Name, "service", e.Service)
 	}
 	if news.Paused {
 		countAnnouncement("paused")
-		if n.logLimiter.Allow(e.Name, availability.ReceivedAt) {
-			n.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", availability.PausedUntil.Sub(availability.ReceivedAt))
+		if o.logLimiter.Allow(e.Name, availability.ReceivedAt) {
+			o.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", availability.PausedUntil.Sub(availability.ReceivedAt))
 		}
 	}
 }
 
 // RecordFromPeer records another host's message that an endpoint is leaving.
-func (n *Notices) RecordFromPeer(from string, m *schema.EndpointLeaves) {
+func (o *Observer) RecordFromPeer(from string, m *schema.EndpointLeaves) {
 	now := time.Now()
 	availability, startedAt := schema.ToLeaving(m, now)
-	news := n.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, availability, now)
+	news := o.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, availability, now)
 	if !news.Leaving {
 		return
 	}
 	countAnnouncement("leaving, told by a host")
 	if news.Endpoint != "" {
-		n.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(availability.ReceivedAt))
+		o.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(availability.ReceivedAt))
 	}
 }
 
@@ -90,17 +90,17 @@
 
 // UnknownField implements vetchtrail.Observer. It logs each unknown field once and counts it by its name. Fields
 // beyond maxUnknownFields are only counted, together.
-func (n *Notices) UnknownField(e vetchtrail.Endpoint, field string) {
+func (o *Observer) UnknownField(e vetchtrail.Endpoint, field string) {
 	field = field[:min(len(field), maxFieldNameBytes)]
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if !n.unknownFields[field] {
-		if len(n.unknownFields) >= maxUnknownFields {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if !o.unknownFields[field] {
+		if len(o.unknownFields) >= maxUnknownFields {
 			countUnknownField("other")
 			return
 		}
-		n.unknownFields[field] = true
-		n.cfg.Log.Warn("endpoint says what nobody reads", "endpoint", e.Name, "service", e.Service, "field", field)
+		o.unknownFields[field] = true
+		o.cfg.Log.Warn("endpoint says what nobody reads", "endpoint", e.Name, "service", e.Service, "field", field)
 	}
 	countUnknownField(field)
 }
--- a/process/availability/metrics.go
+++ b/process/availability/metrics.go
@@ -8,13 +8,13 @@
 
 // Names of the metrics that count announcements of endpoints and unknown fields of answers.
 const (
-	NoticesMetric       = "vetchtrail_endpoint_notices_total"
+	AnnouncementsMetric = "vetchtrail_endpoint_notices_total"
 	UnknownFieldsMetric = "vetchtrail_endpoint_fields_unknown_total"
 )
 
 // countAnnouncement counts an announcement by its content.
 func countAnnouncement(content string) {
-	metrics.GetOrCreateCounter(NoticesMetric + `{says="` + content + `"}`).Inc()
+	metrics.GetOrCreateCounter(AnnouncementsMetric + `{says="` + content + `"}`).Inc()
 }
 
 // countUnknownField counts an unknown field by its name, without the characters that a metric's label can't
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -106,7 +106,7 @@
 	dispatcher      *dispatch.Dispatcher
 	quotas          *quotas.Quotas
 	rateLimits      *ratelimits.RateLimits
-	availability    *availability.Notices // availability that endpoints announce: leaving, paused
+	availability    *availability.Observer // availability that endpoints announce: leaving, paused
 	quarantines     *quarantines.Quarantines
 	quarantineStore *quarantines.Store // persists quarantine entries unless the platform is hosted
 	lists           *lists.Lists       // the hosted platform's listing
@@ -219,7 +219,7 @@
 // compare all of them.
 func (d *Daemon) Reload(s settings.Settings) []string {
 	d.timing.Store(&s.Timing)
-	d.dispatcher.SetBudget(d.budget(s.Retries))
+	d.dispatcher.SetRetryBudget(d.budget(s.Retries))
 	var needRestart []string
 	for name, unchanged := range map[string]bool{
 		"host": s.Host == d.cfg.Host, "region": s.Region == d.cfg.Region, "data_centre": s.DataCentre == d.cfg.DataCentre,
@@ -407,8 +407,8 @@
 // Revision returns the revision of the newest configuration that the host has.
 func (d *Daemon) Revision() uint64 { return d.changes.Revision() }
 
-// Reachable returns the number of remote data centres that the host can reach.
-func (d *Daemon) Reachable() int {
+// ReachableDataCentres returns the number of remote data centres that the host can reach.
+func (d *Daemon) ReachableDataCentres() int {
 	n := 0
 	for _, c := range d.membership.DataCentres(time.Now()) {
 		if c.Reachable {
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -117,7 +117,7 @@
 func (o *operatorServer) Status(context.Context, *schema.StatusRequest) (*schema.StatusReply, error) {
 	now := time.Now()
 	out := &schema.StatusReply{Host: o.d.self.Name, Revision: o.d.changes.Revision(), StoreHeard: unixNanos(o.d.changes.LastStoreAnswer())}
-	for _, h := range o.d.membership.Hosts(now) {
+	for _, h := range o.d.membership.LocalHosts(now) {
 		out.Hosts = append(out.Hosts, &schema.HostStatus{
 			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Callers: h.CallerAddr.String(), Peers: h.PeerAddr.String(),
 			Revision: h.Revision, State: h.State.String(), Heard: unixNanos(h.LastSeen),
--- a/process/daemon/ratelimits.go
+++ b/process/daemon/ratelimits.go
@@ -17,8 +17,8 @@
 // rateReceiver receives the endpoints' rate limits that other hosts report in heartbeats.
 type rateReceiver struct{ d *Daemon }
 
-// Learn implements membership.RateLimits.
-func (r rateReceiver) Learn(m *schema.EndpointRate) { r.d.rateLimits.Learn(m) }
+// RecordFromPeer implements membership.RateLimits.
+func (r rateReceiver) RecordFromPeer(m *schema.EndpointRate) { r.d.rateLimits.RecordFromPeer(m) }
 
 // leavingReceiver receives the leaving endpoints that other hosts report.
 type leavingReceiver struct{ d *Daemon }
--- a/process/daemon/tls_test.go
+++ b/process/daemon/tls_test.go
@@ -95,12 +95,12 @@
 	b := startDaemon(t, "b", 2, trusted, a.self.PeerAddr)
 	c := startDaemon(t, "c", 3, untrusted, a.self.PeerAddr)
 	deadline := time.Now().Add(30 * time.Second)
-	for len(a.membership.Hosts(time.Now())) < 2 || len(b.membership.Hosts(time.Now())) < 2 {
+	for len(a.membership.LocalHosts(time.Now())) < 2 || len(b.membership.LocalHosts(time.Now())) < 2 {
 		assert.Assert(t, time.Now().Before(deadline), "hosts with the same authority do not learn of each other")
 		time.Sleep(10 * time.Millisecond)
 	}
-	assert.Equal(t, len(c.membership.Hosts(time.Now())), 1)
-	assert.Equal(t, len(a.membership.Hosts(time.Now())), 2)
+	assert.Equal(t, len(c.membership.LocalHosts(time.Now())), 1)
+	assert.Equal(t, len(a.membership.LocalHosts(time.Now())), 2)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	op, err := operator.Dial(ctx, operator.Config{Addr: a.self.PeerAddr})
--- a/process/lists/poll_test.go
+++ b/process/lists/poll_test.go
@@ -98,7 +98,7 @@
 		fmt.Sprintf("waits for an answer for %s", slowCallThreshold),
 		fmt.Sprintf("took over reads for %s", takeoverDuration),
 		fmt.Sprintf("In a host's first %s", settleTime),
-		fmt.Sprintf("heartbeats (%s) and digests (%s)", membership.HeartbeatInterval, membership.SwapInterval),
+		fmt.Sprintf("heartbeats (%s) and digests (%s)", membership.HeartbeatInterval, membership.DigestInterval),
 	} {
 		assert.Assert(t, strings.Contains(string(page), want), "the page lacks %q", want)
 	}
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -96,7 +96,7 @@
 	nameHash             uint64
 	report               vetchtrail.LoadReport // the newest
 	hasReport            bool
-	fetchedHere          bool                    // this host received the report from the endpoint
+	receivedHere         bool                    // this host received the report from the endpoint
 	reportNumber         uint64                  // Table.reportNumber when the report was accepted
 	inFlight             int                     // this host's requests in flight
 	inFlightHistory      []inFlightChange        // a ring once it is full
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -32,11 +32,11 @@
 
 // acceptReport records a report if it is newer than the known one, and reports whether it was. The caller holds
 // the lock.
-func (t *Table) acceptReport(s *endpointState, r vetchtrail.LoadReport, fetchedHere bool, leavingUntil time.Time) bool {
+func (t *Table) acceptReport(s *endpointState, r vetchtrail.LoadReport, receivedHere bool, leavingUntil time.Time) bool {
 	if s.hasReport && !r.ReceivedAt.After(s.report.ReceivedAt) {
 		return false
 	}
-	s.report, s.hasReport, s.fetchedHere = r, true, fetchedHere
+	s.report, s.hasReport, s.receivedHere = r, true, receivedHere
 	t.logReport(s)
 	if s.backOffReason == vetchtrail.ReasonUnreachable {
 		s.backOffUntil = time.Time{} // it can be reached again
--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -35,7 +35,7 @@
 	if recentlyStarted && (listingAwaited || len(m.unknownDataCentres()) > 0) {
 		return discoveryInterval
 	}
-	return SwapInterval
+	return DigestInterval
 }
 
 // discoveryInterval is the pause between digest exchanges while the digest of a listed
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -197,7 +197,7 @@
 // to another host.
 //
 // Where hosts are assigned to poll the endpoints, it returns only the reports that this
-// host fetched itself, and those of leaving endpoints. Where load reports come only with
+// host received itself, and those of leaving endpoints. Where load reports come only with
 // responses (Config.CallsWholeRegion), it also returns those that other hosts relayed: one
 // of a hundred hosts in a region may get a response from an endpoint only once in ten
 // seconds, and would decide by outdated reports.
@@ -213,7 +213,7 @@
 	reports, to.loadsUpTo = m.cfg.Load.ReportsAfter(to.loadsUpTo, after)
 	var out []*schema.Load
 	for _, r := range reports {
-		if !m.cfg.CallsWholeRegion && !r.FetchedHere && !r.Report.Leaving {
+		if !m.cfg.CallsWholeRegion && !r.ReceivedHere && !r.Report.Leaving {
 			continue
 		}
 		out = append(out, &schema.Load{
@@ -331,7 +331,7 @@
 	}
 	for _, r := range h.GetRates() {
 		if m.cfg.RateLimits != nil {
-			m.cfg.RateLimits.Learn(r)
+			m.cfg.RateLimits.RecordFromPeer(r)
 		}
 	}
 	m.recordLeaving(h.GetFrom(), h.GetLeaves())
--- a/process/membership/hosts.go
+++ b/process/membership/hosts.go
@@ -15,7 +15,7 @@
 // back to all ready hosts that can be reached.
 func (m *Membership) NearestReady(region, dataCentre string, homes []string, now time.Time) []vetchtrail.Host {
 	var all []vetchtrail.Host
-	for _, h := range append(m.Hosts(now), m.ReadyRemoteHosts(now)...) {
+	for _, h := range append(m.LocalHosts(now), m.ReadyRemoteHosts(now)...) {
 		if h.State == vetchtrail.HostReady {
 			all = append(all, h)
 		}
--- a/process/membership/hosts_test.go
+++ b/process/membership/hosts_test.go
@@ -25,7 +25,7 @@
 func TestUnknownDataCentres(t *testing.T) {
 	a, x := newMembership("a", "dc", 1), newMembership("x", "other", 9)
 	a.startedAt = now
-	assert.Equal(t, a.digestPause(now), SwapInterval, "no platform that lists hosts")
+	assert.Equal(t, a.digestPause(now), DigestInterval, "no platform that lists hosts")
 	a.cfg.CallsWholeRegion = true
 	assert.Equal(t, a.digestPause(now), discoveryInterval, "no listing yet")
 	host := func(name, dataCentre string, last byte) vetchtrail.Host {
@@ -42,7 +42,7 @@
 	got := targets()
 	assert.Assert(t, got["10.0.0.11:1"] && (got["10.0.0.9:1"] || got["10.0.0.10:1"]) && len(got) == 2, "%v", got)
 	assert.Equal(t, a.digestPause(now), discoveryInterval)
-	assert.Equal(t, a.digestPause(now.Add(discoveryTime)), SwapInterval, "discovery ends")
+	assert.Equal(t, a.digestPause(now.Add(discoveryTime)), DigestInterval, "discovery ends")
 	a.mergeDigestReply(&schema.Digests{Digest: x.localDigest(now)}, now, now)
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(a.unknownDataCentres())), []string{"other", "third"}) // the digest has no services
 	x.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 10}}})
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -38,14 +38,14 @@
 	suspectAfter      = 2 * time.Second        // time without a newer heartbeat after which a host is suspect
 	deadAfter         = 4 * time.Second        // time without a newer heartbeat after which a host counts as dead
 	forgetAfter       = time.Minute            // time without a newer heartbeat after which a host is removed
-	SwapInterval      = time.Second            // between digest exchanges with a remote data centre
+	DigestInterval    = time.Second            // between digest exchanges with a remote data centre
 	// RelayInterval is the minimum time between two relays of one data centre's
 	// digest to the same host, unless the digest reports a newer configuration.
 	RelayInterval = 2 * time.Second
 	// standbyAfter is the age of a data centre's digest from which a second host
 	// exchanges digests with that data centre too: the first may be slow or cut
 	// off from it.
-	standbyAfter     = 5 * SwapInterval / 2
+	standbyAfter     = 5 * DigestInterval / 2
 	reachableFor     = 3 * time.Second  // age of its digest from which a data centre counts as unreachable
 	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after a host sent such a load report
 	avoidTime        = 2 * time.Second  // how long nothing is forwarded to a host after a forward to it was lost
@@ -72,7 +72,7 @@
 
 // RateLimits receives the rate limit of an endpoint that another host reports.
 type RateLimits interface {
-	Learn(m *schema.EndpointRate)
+	RecordFromPeer(m *schema.EndpointRate)
 }
 
 // LeavingEndpoints receives a leaving endpoint that the host named from reports.
@@ -197,15 +197,15 @@
 	m.counter++
 }
 
-// Hosts returns the hosts of this data centre: this one first, then the others
+// LocalHosts returns the hosts of this data centre: this one first, then the others
 // by name. Dead hosts are among them until they are forgotten.
-func (m *Membership) Hosts(now time.Time) []vetchtrail.Host {
+func (m *Membership) LocalHosts(now time.Time) []vetchtrail.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hosts(now)
 }
 
-// hosts is Hosts for a caller that holds the lock.
+// hosts is LocalHosts for a caller that holds the lock.
 func (m *Membership) hosts(now time.Time) []vetchtrail.Host {
 	out := []vetchtrail.Host{m.selfNow()}
 	for _, b := range m.members {
--- a/process/membership/rate_limits_test.go
+++ b/process/membership/rate_limits_test.go
@@ -20,8 +20,8 @@
 	received int
 }
 
-// Learn implements RateLimits.
-func (l *rateLimitRecorder) Learn(m *schema.EndpointRate) {
+// RecordFromPeer implements RateLimits.
+func (l *rateLimitRecorder) RecordFromPeer(m *schema.EndpointRate) {
 	l.received++
 	limit, startedAt, err := schema.ToRateLimit(m, l.at)
 	assert.NilError(l.t, err)
--- a/process/membership/relay_test.go
+++ b/process/membership/relay_test.go
@@ -38,7 +38,7 @@
 	other.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "far", Service: "s", Slots: 4}}})
 	for n := range int((settleTime + observedTime) / HeartbeatInterval) {
 		s.tick()
-		if n%int(SwapInterval/HeartbeatInterval) == 0 {
+		if n%int(DigestInterval/HeartbeatInterval) == 0 {
 			s.deliverDigest(other)
 		}
 		if r.reachedAfter == 0 && s.allReach("other") {
--- a/process/ratelimits/metrics.go
+++ b/process/ratelimits/metrics.go
@@ -4,12 +4,12 @@
 
 // Names of the metrics.
 const (
-	UnreadableRatesMetric = "vetchtrail_rates_misread_total"
-	ReservationsMetric    = "vetchtrail_permits_total"
+	InvalidRatesMetric = "vetchtrail_rates_misread_total"
+	ReservationsMetric = "vetchtrail_permits_total"
 )
 
-// countUnreadable counts a response whose rate limit cannot be parsed.
-func countUnreadable() { metrics.GetOrCreateCounter(UnreadableRatesMetric).Inc() }
+// countInvalid counts a response whose rate limit cannot be parsed.
+func countInvalid() { metrics.GetOrCreateCounter(InvalidRatesMetric).Inc() }
 
 // countReservation counts a request for a reservation by its result, granted or refused.
 func countReservation(result string) {
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -86,7 +86,7 @@
 // RateLimitReported implements vetchtrail.Observer.
 func (l *RateLimits) RateLimitReported(e vetchtrail.Endpoint, report vetchtrail.RateLimit, err error) {
 	if err != nil {
-		countUnreadable()
+		countInvalid()
 		if l.logLimiter.Allow(e.Name, report.ReceivedAt) {
 			l.cfg.Log.Warn("endpoint names a rate that can't be read", "endpoint", e.Name, "error", err)
 		}
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.l.Learn(reply.GetKnown())
+	t.l.RecordFromPeer(reply.GetKnown())
 	return reply.GetGrant(), nil
 }
 
@@ -150,7 +150,7 @@
 
 // HandleLeaseRequest handles a lease request from another host.
 func (l *RateLimits) HandleLeaseRequest(m *schema.PermitRequest) *schema.PermitReply {
-	l.Learn(m.GetKnown())
+	l.RecordFromPeer(m.GetKnown())
 	name := m.GetAsk().GetWorkspace()
 	return &schema.PermitReply{Grant: l.rateQuotas.HandleLeaseRequest(m.GetAsk()), Known: l.storedLimit(name)}
 }
@@ -165,8 +165,8 @@
 	return schema.FromRateLimit(name, startedAt, limit, time.Now())
 }
 
-// Learn applies a rate limit that another host has sent; nil: it has none stored.
-func (l *RateLimits) Learn(m *schema.EndpointRate) {
+// RecordFromPeer applies a rate limit that another host has sent; nil: it has none stored.
+func (l *RateLimits) RecordFromPeer(m *schema.EndpointRate) {
 	if m == nil {
 		return
 	}
--- a/request/dispatch/per_service.go
+++ b/request/dispatch/per_service.go
@@ -5,9 +5,9 @@
 	"vetchtrail/request/queue"
 )
 
-// SetBudget replaces the settings of all services' retry budgets. The budgets keep
+// SetRetryBudget replaces the settings of all services' retry budgets. The budgets keep
 // their counts unless the length of the window changes.
-func (d *Dispatcher) SetBudget(c budget.Config) {
+func (d *Dispatcher) SetRetryBudget(c budget.Config) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cfg.RetryBudget = c
--- a/standin/capacity/model.go
+++ b/standin/capacity/model.go
@@ -139,8 +139,8 @@
 	peers := min(hostsPerCentre-1, 2*membership.GossipPeersPerDoubling*math.Ceil(math.Log2(hostsPerCentre))) // those that this host chose, and those that chose this host
 	messagesPerPeer := messages / max(peers, 1)
 	reportShare := min(1, 1/pollSeconds/max(messagesPerPeer, 1e-9))
-	digestExchanges := (s.DataCentres - 1) / hostsPerCentre / membership.SwapInterval.Seconds()
-	digestRelays := (s.DataCentres - 1) * min(messages, min(membership.RelayFanout, hostsPerCentre-1)/membership.SwapInterval.Seconds())
+	digestExchanges := (s.DataCentres - 1) / hostsPerCentre / membership.DigestInterval.Seconds()
+	digestRelays := (s.DataCentres - 1) * min(messages, min(membership.RelayFanout, hostsPerCentre-1)/membership.DigestInterval.Seconds())
 	changes := s.ChangesPerDay / secondsPerDay
 	return []RoleCost{
 		{
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -231,7 +231,7 @@
 		reachable := 0
 		w.mu.Lock()
 		for _, h := range w.daemons {
-			reachable += h.daemon.Reachable()
+			reachable += h.daemon.ReachableDataCentres()
 		}
 		want := len(w.daemons) * (len(w.cfg.Deployment.Spec.Regions) - 1)
 		w.mu.Unlock()
