--- a/request/policy/policy_test.go
+++ b/request/policy/policy_test.go
@@ -362,7 +362,8 @@
 }
 
 // BenchmarkDecide makes one decision among the endpoints of a data centre. 12,000 is the
-// size of the whole fleet, which no single host sees.
+// size of the whole fleet, an upper bound: a host decides only among the endpoints of its own
+// data centre.
 func BenchmarkDecide(b *testing.B) {
 	for _, name := range []string{NameWeighted, NameTwoChoices, NameLeastInFlight, NameRoundRobin} {
 		for _, n := range []int{12, 270, 12000} {
--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -36,8 +36,8 @@
 	costs           [maxCachedCosts]float64 // of the first endpoints; math.MaxFloat64 for those that can't be drawn
 	bestCost        float64                 // lowest cost of an available endpoint
 	bestIndex       int                     // endpoint with that cost
-	available       int                     // endpoints that can take the request now
-	waitable        int                     // endpoints that can't take it now, but are worth waiting for
+	available       int                     // endpoints that can accept the request now
+	waitable        int                     // endpoints that can't accept it now, but are worth waiting for
 	rateLimited     int                     // waitable endpoints that have no requests left under their rate limit
 	pausedOrLimited int                     // waitable endpoints that are paused or rate-limited
 	slow            int                     // endpoints at which the stream would be too slow (streamTooSlow)
@@ -97,8 +97,8 @@
 	return ev.waitable == ev.rateLimited && v.QueueWait > 0
 }
 
-// evaluate calculates the cost of each endpoint that can take the request now, and finds
-// the lowest cost. It counts the other endpoints by the reason why they can't take it, and
+// evaluate calculates the cost of each endpoint that can accept the request now, and finds
+// the lowest cost. It counts the other endpoints by the reason why they can't accept it, and
 // records these reasons in d.
 func evaluate(ev *evaluation, d *vetchtrail.Decision, now time.Time, r *vetchtrail.Request, v *vetchtrail.View) {
 	ev.bestCost, ev.wait = math.Inf(1), math.Inf(1)
