--- a/request/dispatch/availability_test.go
+++ b/request/dispatch/availability_test.go
@@ -32,7 +32,7 @@
 		assert.Equal(t, reason, vetchtrail.ReasonDraining)
 		return refuseWith(vetchtrail.StepResidency, reason)(r, w)
 	}
-	targets.replies = []reply{leaveBeforeSend, answerWith("ok")}
+	targets.replies = []reply{leaveBeforeSend, respondWith("ok")}
 	var got responseRecorder
 	o := d.Run(context.Background(), r, &got)
 	assert.Equal(t, o.Kind, vetchtrail.OutcomeAnswered, "%v", o)
@@ -50,7 +50,7 @@
 	}{"another region": {0, vetchtrail.OutcomeAnswered, 1}, "no other region": {1, vetchtrail.OutcomeNotRun, 0}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			targets := &scriptedTargets{replies: []reply{answerWith("ok")}}
+			targets := &scriptedTargets{replies: []reply{respondWith("ok")}}
 			d := newDispatcher(t, targets, 2)
 			announceLeaving(d, "1")
 			announceLeaving(d, "2")
@@ -133,7 +133,7 @@
 	}{"longer than the deadline": {time.Minute, vetchtrail.OutcomeNotRun}, "shorter than the deadline": {200 * time.Millisecond, vetchtrail.OutcomeAnswered}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			targets := &scriptedTargets{replies: []reply{answerWith("ok")}}
+			targets := &scriptedTargets{replies: []reply{respondWith("ok")}}
 			d := newDispatcher(t, targets, 2)
 			enableQueue(t, d)
 			announcePause(d, "1", c.pause)
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -1,4 +1,4 @@
-// Package dispatch takes a request on one host from its arrival to its outcome.
+// Package dispatch processes a request on one host from its arrival to its outcome.
 // It checks the request against the configuration, has the policy decide where it
 // runs, waits for capacity, sends it to an endpoint or forwards it to another host,
 // and retries where that is safe.
@@ -210,12 +210,12 @@
 
 // attemptHistory summarizes the earlier attempts of a request.
 type attemptHistory struct {
-	excluded      []string // endpoints and data centres that are not tried again
-	refusedHere   bool     // an endpoint of this data centre refused because of its load
-	waitExhausted bool     // the request may no longer wait for capacity here
-	reached       int      // attempts that reached any process
-	reachedTarget int      // attempts that reached the endpoint they were sent to
-	last          vetchtrail.Outcome
+	excluded      []string           // endpoints and data centres that are not tried again
+	refusedHere   bool               // an endpoint of this data centre refused because of its load
+	waitExhausted bool               // the request may no longer wait for capacity here
+	reached       int                // attempts that reached any process
+	reachedTarget int                // attempts that reached the endpoint they were sent to
+	last          vetchtrail.Outcome // overall outcome of the earlier attempts; without a step: there were none
 }
 
 // overallOutcome returns the outcome of the request, where o is the outcome of its
--- a/request/dispatch/dispatch_test.go
+++ b/request/dispatch/dispatch_test.go
@@ -26,8 +26,8 @@
 // reply is what a target does with one attempt.
 type reply func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome
 
-// scriptedTargets is a fake of all endpoints and remote hosts. It gives each attempt the
-// next of its replies, whatever the target of the attempt.
+// scriptedTargets is a fake of all endpoints and remote hosts. Each attempt gets the next
+// of its replies, whatever the target of the attempt.
 type scriptedTargets struct {
 	mu           sync.Mutex
 	replies      []reply
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// answerWith answers with status 200 and a body.
-func answerWith(body string) reply {
+// respondWith sends a whole response with status 200 and a body.
+func respondWith(body string) reply {
 	return func(_ *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 		_ = w.Begin(200, nil)
 		_ = w.Write([]byte(body))
@@ -184,26 +184,26 @@
 		attempts     int
 		resumedAfter string // the event that the last attempt was to continue after
 	}{
-		"answered":                         {nil, []reply{answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 1, ""},
+		"answered":                         {nil, []reply{respondWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 1, ""},
 		"response lost, not repeatable":    {nil, []reply{breakAfter("")}, 2, vetchtrail.OutcomeUnknown, 502, "", 1, ""},
 		"refused, attempt limit 1":         {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 2, vetchtrail.OutcomeNotRun, 503, "", 1, ""},
-		"address taken by another process": {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonOtherProcess), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
-		"unreachable":                      {nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
-		"refused, attempt limit 2":         {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
-		"response lost, repeatable":        {repeatable, []reply{breakAfter(""), answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
-		"failed, then answered":            {repeatable, []reply{failWith500, answerWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"address taken by another process": {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonOtherProcess), respondWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"unreachable":                      {nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), respondWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"refused, attempt limit 2":         {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), respondWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"response lost, repeatable":        {repeatable, []reply{breakAfter(""), respondWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"failed, then answered":            {repeatable, []reply{failWith500, respondWith("ok")}, 2, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
 		"failed twice, replayed":           {repeatable, []reply{failWith500, failWith500}, 2, vetchtrail.OutcomeAnswered, 500, "failed", 2, ""},
 		"response lost, then not run":      {repeatable, []reply{breakAfter(""), refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 2, vetchtrail.OutcomeUnknown, 502, "", 2, ""},
-		"stream continues":                 {resumable, []reply{breakAfter(event1), answerWith(event2)}, 2, vetchtrail.OutcomeAnswered, 200, event1 + event2, 2, "1"},
+		"stream continues":                 {resumable, []reply{breakAfter(event1), respondWith(event2)}, 2, vetchtrail.OutcomeAnswered, 200, event1 + event2, 2, "1"},
 		"stream continues after its goal": {func(r *vetchtrail.Request) {
 			resumable(r)
 			r.CallerCanRetry, r.Goal = true, time.Now().Add(20*time.Millisecond)
-		}, []reply{delayed(breakAfter(event1)), answerWith(event2)}, 2, vetchtrail.OutcomeAnswered, 200, event1 + event2, 2, "1"},
+		}, []reply{delayed(breakAfter(event1)), respondWith(event2)}, 2, vetchtrail.OutcomeAnswered, 200, event1 + event2, 2, "1"},
 		"stream breaks twice":                 {resumable, []reply{breakAfter(event1), breakAfter(event2)}, 2, vetchtrail.OutcomeUnknown, 502, event1 + event2, 2, "1"},
 		"stream breaks, failure not appended": {resumable, []reply{breakAfter(event1), failWith500}, 2, vetchtrail.OutcomeUnknown, 502, event1, 2, "1"},
 		"stream not resumable":                {func(r *vetchtrail.Request) { r.Stream, r.MaxAttempts = true, 2 }, []reply{breakAfter(event1)}, 2, vetchtrail.OutcomeUnknown, 502, event1, 1, ""},
-		"remote host only":                    {nil, []reply{answerWith("ok")}, 0, vetchtrail.OutcomeAnswered, 200, "ok", 1, ""},
-		"remote host leaving":                 {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonLeaving), answerWith("ok")}, 0, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
+		"remote host only":                    {nil, []reply{respondWith("ok")}, 0, vetchtrail.OutcomeAnswered, 200, "ok", 1, ""},
+		"remote host leaving":                 {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonLeaving), respondWith("ok")}, 0, vetchtrail.OutcomeAnswered, 200, "ok", 2, ""},
 		"remote host lacks the route":         {nil, []reply{refuseUnknownRoute}, 0, vetchtrail.OutcomeNotRun, 503, "", 1, ""},
 	}
 	for name, c := range cases {
@@ -239,7 +239,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := newDispatcher(t, &scriptedTargets{replies: []reply{answerWith("ok")}}, 1)
+			d := newDispatcher(t, &scriptedTargets{replies: []reply{respondWith("ok")}}, 1)
 			d.cfg.Membership.(*membership.Membership).SetState(vetchtrail.HostLeaving)
 			r := &vetchtrail.Request{
 				ID: "x", Service: "s", Route: "r", MaxAttempts: 1, Hops: c.hops, AllowedRegions: vetchtrail.AllRegions, Deadline: time.Now().Add(10 * time.Second),
@@ -260,7 +260,7 @@
 		kind   vetchtrail.OutcomeKind
 		called int
 	}{
-		"remote capacity":  {nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, 1},
+		"remote capacity":  {nil, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, 1},
 		"forwarded before": {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, nil, vetchtrail.OutcomeNotRun, 0},
 	}
 	for name, c := range cases {
--- a/request/dispatch/home_test.go
+++ b/request/dispatch/home_test.go
@@ -22,13 +22,13 @@
 		status  int
 		called  []string
 	}{
-		"reachable": {nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, 200, []string{"remote"}},
+		"reachable": {nil, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, 200, []string{"remote"}},
 		"lost a moment ago": {func(d *Dispatcher) {
 			d.cfg.Membership.ForwardEnded("b-1", "s", lost, time.Now())
 		}, nil, vetchtrail.OutcomeNotRun, 503, nil},
 		"lost a minute ago, tried again": {func(d *Dispatcher) {
 			d.cfg.Membership.ForwardEnded("b-1", "s", lost, time.Now().Add(-time.Minute))
-		}, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, 200, []string{"remote"}},
+		}, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, 200, []string{"remote"}},
 		"unreachable when forwarded": {nil, []reply{refuseWith(vetchtrail.StepForward, vetchtrail.ReasonUnreachable)}, vetchtrail.OutcomeNotRun, 503, []string{"remote"}},
 		"response lost":              {nil, []reply{breakAfter("")}, vetchtrail.OutcomeUnknown, 502, []string{"remote"}},
 	}
--- a/request/dispatch/idempotency.go
+++ b/request/dispatch/idempotency.go
@@ -113,8 +113,8 @@
 }
 
 // forwardToIssuer forwards a request to the process that issued its idempotency key.
-// If that process can't be reached, the outcome is unknown, because an earlier request
-// with the key may have run.
+// If that process can't be reached or has ended, or its region is not allowed, the
+// outcome is unknown, because an earlier request with the key may have run.
 func (d *Dispatcher) forwardToIssuer(ctx context.Context, key idempotency.Key, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	h, ok := d.cfg.Membership.Find(key.Host, time.Now())
 	if !ok {
@@ -142,8 +142,8 @@
 		errors.New("the process that issued the key has ended: the request may have run, but will not start after "+r.Deadline.UTC().Format(time.RFC3339)))
 }
 
-// unknownOutcome returns the outcome of a request with an idempotency key of which
-// this host can't determine whether it ran.
+// unknownOutcome returns the outcome of a request with an idempotency key when this
+// host can't determine whether the request ran.
 func (d *Dispatcher) unknownOutcome(reason vetchtrail.Reason, err error) vetchtrail.Outcome {
 	return vetchtrail.Outcome{
 		Kind: vetchtrail.OutcomeUnknown, Status: statusBadGateway, Step: vetchtrail.StepIdempotency,
--- a/request/dispatch/quarantine_test.go
+++ b/request/dispatch/quarantine_test.go
@@ -54,7 +54,7 @@
 			vetchtrail.OutcomeNotRun, 503, vetchtrail.ReasonQuarantined, 0, 0, 0},
 		"key of another issuer":   {func(r *vetchtrail.Request) { r.IdempotencyKey = "v1.other.1.9999999999.00" }, 0, nil, vetchtrail.OutcomeUnknown, 503, vetchtrail.ReasonQuarantined, 0, 0, 0},
 		"before a second attempt": {repeatable, 1, []reply{breakAfter("")}, vetchtrail.OutcomeUnknown, 502, vetchtrail.ReasonResponseBroken, 1, 1, 0},
-		"not quarantined":         {repeatable, 9, []reply{breakAfter(""), answerWith("ok")}, vetchtrail.OutcomeAnswered, 200, "", 2, 1, 1},
+		"not quarantined":         {repeatable, 9, []reply{breakAfter(""), respondWith("ok")}, vetchtrail.OutcomeAnswered, 200, "", 2, 1, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/request/dispatch/quota.go
+++ b/request/dispatch/quota.go
@@ -8,10 +8,11 @@
 )
 
 // quotaUse takes the cost of a request's attempts from the quota of its workspace.
-// The cost is taken before each attempt, by the host that received the request from
-// its caller or, if it has an idempotency key, by the issuer of the key. Each attempt
-// that may have run uses up its cost. The cost of an attempt that did not run is used
-// for the next attempt, or returned.
+// The cost of an attempt is taken before the attempt is placed, so before any wait in
+// the queue. It is taken by the host that received the request from its caller or, if
+// the request has an idempotency key, by the issuer of the key. Each attempt that may
+// have run uses up its cost. The cost of an attempt that did not run is used for the
+// next attempt, or returned.
 type quotaUse struct {
 	d     *Dispatcher
 	req   *vetchtrail.Request
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -61,15 +61,15 @@
 		wantRemaining float64 // of the quota, after the request
 		status        int
 	}{
-		"answered":                       {nil, []reply{answerWith("ok")}, 1000, 700, 200},
-		"no token counts":                {func(r *vetchtrail.Request) { r.EstimatedTokens, r.MaxTokens = 0, 0 }, []reply{answerWith("ok")}, 1000, 800, 200},
-		"response lost, then answered":   {repeatable, []reply{breakAfter(""), answerWith("ok")}, 1000, 400, 200},
-		"not run, then answered":         {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), answerWith("ok")}, 1000, 700, 200},
+		"answered":                       {nil, []reply{respondWith("ok")}, 1000, 700, 200},
+		"no token counts":                {func(r *vetchtrail.Request) { r.EstimatedTokens, r.MaxTokens = 0, 0 }, []reply{respondWith("ok")}, 1000, 800, 200},
+		"response lost, then answered":   {repeatable, []reply{breakAfter(""), respondWith("ok")}, 1000, 400, 200},
+		"not run, then answered":         {repeatable, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), respondWith("ok")}, 1000, 700, 200},
 		"not run":                        {nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, 1000, 1000, 503},
 		"over the quota":                 {nil, nil, 299, 299, 429},
 		"response lost, quota exhausted": {repeatable, []reply{breakAfter("")}, 400, 100, 502},
-		"no workspace":                   {func(r *vetchtrail.Request) { r.Workspace = "" }, []reply{answerWith("ok")}, 0, 0, 200},
-		"forwarded":                      {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, []reply{answerWith("ok")}, 0, 0, 200},
+		"no workspace":                   {func(r *vetchtrail.Request) { r.Workspace = "" }, []reply{respondWith("ok")}, 0, 0, 200},
+		"forwarded":                      {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, []reply{respondWith("ok")}, 0, 0, 200},
 		"failed twice":                   {repeatable, []reply{failWith500, failWith500}, 1000, 400, 500},
 	}
 	for name, c := range cases {
@@ -153,7 +153,7 @@
 			var stillCanRetry bool
 			targets := &scriptedTargets{replies: []reply{c.first, func(r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 				stillCanRetry = r.CallerCanRetry
-				return answerWith("ok")(r, w)
+				return respondWith("ok")(r, w)
 			}}}
 			d := newDispatcher(t, targets, 2)
 			r := &vetchtrail.Request{
--- a/request/dispatch/reservation_test.go
+++ b/request/dispatch/reservation_test.go
@@ -19,7 +19,7 @@
 	table     *load.Table
 	exhausted []string               // endpoints whose rate limit is used up
 	taken     int                    // reservations granted
-	returned  int                    // reservations returned
+	returned  int                    // reservations cancelled
 	checked   vetchtrail.Reservation // the last one that Allows checked
 	refuseAll bool                   // Allows refuses every request
 }
@@ -82,16 +82,16 @@
 		returned  int
 		called    int
 	}{
-		"answered":                {nil, nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
-		"one endpoint used up":    {nil, []string{"1"}, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
-		"forwarded":               {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
-		"retry":                   {repeatable, nil, []reply{breakAfter(""), answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 2, 0, 2},
+		"answered":                {nil, nil, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
+		"one endpoint used up":    {nil, []string{"1"}, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
+		"forwarded":               {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, nil, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
+		"retry":                   {repeatable, nil, []reply{breakAfter(""), respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 2, 0, 2},
 		"refused by the endpoint": {nil, nil, []reply{refuseWith(vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused)}, vetchtrail.OutcomeNotRun, vetchtrail.ReasonEndpointRefused, 1, 0, 1},
-		"unreachable":             {nil, nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 2, 1, 2},
-		"rate limit advertised after the placement": {nil, nil, []reply{refuseWith(vetchtrail.StepResidency, vetchtrail.ReasonRateLimited), answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 2, 1, 2},
+		"unreachable":             {nil, nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 2, 1, 2},
+		"rate limit advertised after the placement": {nil, nil, []reply{refuseWith(vetchtrail.StepResidency, vetchtrail.ReasonRateLimited), respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 2, 1, 2},
 		"all used up":                       {func(r *vetchtrail.Request) { r.Hops, r.AllowedRegions = 1, vetchtrail.AllRegions }, []string{"1", "2"}, nil, vetchtrail.OutcomeNotRun, "", 0, 0, 0},
-		"all here used up, remote capacity": {nil, []string{"1", "2"}, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 0, 0, 1},
-		"resumed stream":                    {resumeAtEndpoint1, nil, []reply{answerWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
+		"all here used up, remote capacity": {nil, []string{"1", "2"}, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 0, 0, 1},
+		"resumed stream":                    {resumeAtEndpoint1, nil, []reply{respondWith("ok")}, vetchtrail.OutcomeAnswered, "", 1, 0, 1},
 		"resumed stream, used up":           {resumeAtEndpoint1, []string{"1"}, nil, vetchtrail.OutcomeNotRun, vetchtrail.ReasonRateLimited, 0, 0, 0},
 		"resumed stream, unreachable":       {resumeAtEndpoint1, nil, []reply{refuseWith(vetchtrail.StepConnect, vetchtrail.ReasonUnreachable)}, vetchtrail.OutcomeNotRun, vetchtrail.ReasonUnreachable, 1, 1, 1},
 	}
