--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -43,8 +43,8 @@
 // Waiter is one request in the queue.
 type Waiter struct {
 	priority int8
-	startTag float64 // of start-time fair queueing: lower tags are served first
-	deadline time.Time
+	startTag float64       // of start-time fair queueing: lower tags are served first
+	deadline time.Time     // until when it may wait, see vetchtrail.Request.QueueDeadline
 	sequence uint64        // order of arrival
 	ready    chan struct{} // see Ready
 	dropped  chan struct{} // see Dropped
@@ -64,8 +64,8 @@
 }
 
 // Join adds a request to the queue, which holds at most limit requests. It refuses the
-// request at once if the queue is full or if the request would probably not be served
-// before it may no longer wait.
+// request at once if the request would probably not be served by its queue deadline, or
+// if the queue is full and the request may not displace the last one (displace).
 func (q *Queue) Join(r *vetchtrail.Request, limit int, now time.Time) JoinResult {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -97,9 +97,9 @@
 	return JoinResult{Waiter: w, Wait: wait}
 }
 
-// displace drops the last request of a full queue to make room for the new one. It does so
-// if the new one has a higher priority or if, at the same priority, its workspace has used
-// less of its share. An earlier deadline alone is not enough.
+// displace drops the last request of a full queue to make room for the new one, and returns
+// true. It does so only if the new one has a higher priority or if, at the same priority, its
+// workspace has used less of its share. An earlier deadline alone is not enough.
 func (q *Queue) displace(w *Waiter, _ time.Time) bool {
 	if len(q.waiting) == 0 {
 		return false
@@ -126,8 +126,8 @@
 	return cmp.Or(a.deadline.Compare(b.deadline), cmp.Compare(a.sequence, b.sequence))
 }
 
-// Ready returns a channel that receives a value each time the request is first in the
-// queue and there may be capacity.
+// Ready returns a channel that receives a value when the request is first in the queue and
+// there may be capacity. The channel holds at most one value.
 func (w *Waiter) Ready() <-chan struct{} { return w.ready }
 
 // Dropped returns a channel that is closed when the queue drops the request: because it
