--- a/request/budget/budget.go
+++ b/request/budget/budget.go
@@ -14,7 +14,7 @@
 	// buckets is the number of equal parts into which the window is divided for counting.
 	buckets = 10
 	// safetyFactor is the share of the limit that a host uses. The rest allows for hosts
-	// that count at slightly different moments and learn of membership changes late.
+	// that count at slightly different moments and receive membership changes late.
 	safetyFactor = 0.8
 )
 
