--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -11,7 +11,7 @@
 
 const (
 	// leavingValidFor is how long an announcement that an endpoint is leaving is valid. An endpoint that still
-	// runs after that gets requests again. If it is still leaving, its answers announce that again.
+	// runs after that gets requests again. If it is still leaving, its responses announce that again.
 	leavingValidFor = time.Hour
 	// maxUnlisted bounds the process instances that are not listed and whose announcements are kept.
 	maxUnlisted = 1 << 12
@@ -19,8 +19,8 @@
 
 // availabilityBySource is what is known of whether an endpoint accepts requests, separately for each source. No
 // source withdraws or shortens what another reported. For example, a listing that was read while the platform's
-// store was unavailable, or after it lost its data, may have a leaving endpoint as ready. The only exception is a
-// load report of a later process instance, which withdraws the announcements of the earlier one.
+// store was unavailable, or after the store lost its data, may contain a leaving endpoint as ready. The only
+// exception is a load report of a later process instance, which withdraws the announcements of the earlier one.
 type availabilityBySource struct {
 	reportUntil       time.Time // leaving until then, by its newest load report
 	platformUntil     time.Time // leaving until then, by the platform's list of hosts
@@ -28,15 +28,15 @@
 	announcements
 }
 
-// announcements is what an endpoint's answers announced about whether it accepts requests. A later answer that
-// doesn't repeat an announcement doesn't withdraw it. Announcements are valid for one process instance, even if
-// that is missing from the listing for a while.
+// announcements is what an endpoint's responses announced about whether it accepts requests. A later response
+// that doesn't repeat an announcement doesn't withdraw it. Announcements are valid for one process instance, even
+// if the instance is missing from the listing for a while.
 type announcements struct {
 	leavingUntil     time.Time // until when the announcement that it is leaving is valid; zero: there is none
 	requestSentAt    time.Time // when the request of the last announcement was sent
-	firstAnnouncedAt time.Time // when an answer that announced that it is leaving was first received
+	firstAnnouncedAt time.Time // when a response that announced that it is leaving was first received
 	receivedAt       time.Time // when the last announcement was received
-	learnedAt        time.Time // when this host learned that it is leaving
+	recordedAt       time.Time // when this host recorded that it is leaving
 	pausedUntil      time.Time // until when it accepts no requests from this host; zero: not paused
 }
 
@@ -47,7 +47,7 @@
 
 // Blocked implements vetchtrail.EndpointTable. It is checked just before a request is sent, as the endpoint may
 // have announced that it is leaving or paused after it was chosen.
-func (t *Table) Blocked(name string, now time.Time) (why vetchtrail.Reason, until time.Time) {
+func (t *Table) Blocked(name string, now time.Time) (reason vetchtrail.Reason, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.endpoints[name]
@@ -77,7 +77,7 @@
 	ByListing      LeavingBy = "list" // the configuration, or the platform's listing
 	ByReport       LeavingBy = "load report"
 	ByListOfHosts  LeavingBy = "list of hosts"
-	ByOtherProcess LeavingBy = "another process" // answered at its address
+	ByOtherProcess LeavingBy = "another process" // sent a response from its address
 )
 
 // leavingBy returns the first of the sources by which the endpoint is leaving.
@@ -105,7 +105,7 @@
 	Paused   bool   // it is paused, or for longer than was recorded
 }
 
-// RecordAnnouncement records an announcement that an endpoint's answer contained, and returns the part that is
+// RecordAnnouncement records an announcement that an endpoint's response contained, and returns the part that is
 // new.
 func (t *Table) RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) AnnouncementNews {
 	return t.RecordAnnouncementByHash(NameHash(name), startedAt, a, a.ReceivedAt)
@@ -138,7 +138,7 @@
 func (a *announcements) record(n vetchtrail.Availability, now time.Time) AnnouncementNews {
 	news := AnnouncementNews{Leaving: n.Leaving && !n.ReceivedAt.Before(a.leavingUntil), Paused: n.PausedUntil.After(a.pausedUntil)}
 	if news.Leaving {
-		a.firstAnnouncedAt, a.learnedAt = n.ReceivedAt, now
+		a.firstAnnouncedAt, a.recordedAt = n.ReceivedAt, now
 	}
 	if n.Leaving {
 		a.leavingUntil = vetchtrail.Later(a.leavingUntil, n.ReceivedAt.Add(leavingValidFor))
@@ -151,7 +151,7 @@
 // merge combines two records of the same process instance.
 func (a announcements) merge(b announcements) announcements {
 	if a.leavingUntil.IsZero() || !b.leavingUntil.IsZero() && b.firstAnnouncedAt.Before(a.firstAnnouncedAt) {
-		a.firstAnnouncedAt, a.learnedAt = b.firstAnnouncedAt, b.learnedAt
+		a.firstAnnouncedAt, a.recordedAt = b.firstAnnouncedAt, b.recordedAt
 	}
 	a.leavingUntil, a.pausedUntil = vetchtrail.Later(a.leavingUntil, b.leavingUntil), vetchtrail.Later(a.pausedUntil, b.pausedUntil)
 	a.requestSentAt, a.receivedAt = vetchtrail.Later(a.requestSentAt, b.requestSentAt), vetchtrail.Later(a.receivedAt, b.receivedAt)
@@ -188,7 +188,7 @@
 func (t *Table) UnknownField(vetchtrail.Endpoint, string) {}
 
 // unlistedInstance holds the announcements of a process instance that is not listed now. Its entry may have
-// expired while the platform's store was unavailable, or the listing is an older copy, or doesn't have it yet.
+// expired while the platform's store was unavailable, or the listing is an older copy or doesn't contain it yet.
 type unlistedInstance struct {
 	addr netip.AddrPort // not valid: not known
 	announcements
@@ -248,36 +248,36 @@
 	t.unlisted[key] = u
 }
 
-// LeavingInstance is a process instance of an endpoint whose answers announced that it is leaving.
+// LeavingInstance is a process instance of an endpoint whose responses announced that it is leaving.
 type LeavingInstance struct {
 	NameHash         uint32    // hash of the endpoint's name, see the function NameHash
 	StartedAt        time.Time // start of the instance
-	FirstAnnouncedAt time.Time // when such an answer was first received
+	FirstAnnouncedAt time.Time // when such a response was first received
 }
 
-// leavingLogEntry records when this host learned that a process instance is leaving.
+// leavingLogEntry records when this host recorded that a process instance is leaving.
 type leavingLogEntry struct {
 	instanceKey
-	learnedAt time.Time
+	recordedAt time.Time
 }
 
 // maxLeavingLog bounds the log of leaving process instances.
 const maxLeavingLog = 2 * maxUnlisted
 
-// logLeaving adds a process instance to the end of the log if it announced that it is leaving. If its learnedAt
-// is before that of the last entry, it is set to that, so that the log stays in the order of learnedAt. The
-// caller holds the lock.
+// logLeaving adds a process instance to the end of the log if it announced that it is leaving. If its recordedAt
+// is before that of the last entry, it gets the time of that entry, so that the log stays in the order of
+// recordedAt. The caller holds the lock.
 func (t *Table) logLeaving(key instanceKey, a *announcements) {
 	if a.leavingUntil.IsZero() {
 		return
 	}
 	if n := len(t.leavingLog); n > 0 {
-		a.learnedAt = vetchtrail.Later(a.learnedAt, t.leavingLog[n-1].learnedAt)
+		a.recordedAt = vetchtrail.Later(a.recordedAt, t.leavingLog[n-1].recordedAt)
 	}
 	if len(t.leavingLog) >= maxLeavingLog {
 		t.leavingLog = slices.Delete(t.leavingLog, 0, maxLeavingLog/2)
 	}
-	t.leavingLog = append(t.leavingLog, leavingLogEntry{instanceKey: key, learnedAt: a.learnedAt})
+	t.leavingLog = append(t.leavingLog, leavingLogEntry{instanceKey: key, recordedAt: a.recordedAt})
 }
 
 // announcementsOf returns what a process instance announced; nil: it is no longer known. The caller holds the
@@ -292,18 +292,18 @@
 	return nil
 }
 
-// LeavingAfter returns the process instances whose answers announced that they are leaving, if this host learned
-// of that after a time and if the announcement is still valid.
+// LeavingAfter returns the process instances whose responses announced that they are leaving, if this host
+// recorded that after the time after and if the announcement is still valid. The last recorded is first.
 func (t *Table) LeavingAfter(after, now time.Time) []LeavingInstance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []LeavingInstance
 	for _, entry := range slices.Backward(t.leavingLog) {
-		if !entry.learnedAt.After(after) {
+		if !entry.recordedAt.After(after) {
 			break
 		}
 		a := t.announcementsOf(entry.instanceKey)
-		if a != nil && a.learnedAt.Equal(entry.learnedAt) && now.Before(a.leavingUntil) {
+		if a != nil && a.recordedAt.Equal(entry.recordedAt) && now.Before(a.leavingUntil) {
 			out = append(out, LeavingInstance{NameHash: entry.nameHash, StartedAt: entry.startTime(), FirstAnnouncedAt: a.firstAnnouncedAt})
 		}
 	}
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -12,9 +12,9 @@
 	_ "vetchtrail/standin/seeded"
 )
 
-// availabilityModel is a model of one endpoint that starts again and again under its name and whose answers
-// announce that it is leaving or paused, while the listing, reports and other processes at its address
-// contradict that. It records next to the table what the answers announced.
+// availabilityModel is a model of one endpoint that starts again and again under its name and whose
+// responses announce that it is leaving or paused, while the listing, reports and other processes at its address
+// contradict that. It records next to the table what the responses announced.
 type availabilityModel struct {
 	t            *rapid.T
 	table        *Table
@@ -50,14 +50,14 @@
 	}
 }
 
-// relist lists any instance, also an earlier one as an older copy of the listing has it, or none.
+// relist lists any instance, or none. An earlier instance is listed as in an older copy of the listing.
 func (m *availabilityModel) relist(t *rapid.T) {
 	m.list(rapid.IntRange(-1, len(m.startedAt)-1).Draw(t, "listed"))
 }
 
-// answer is an answer of any instance, also one that was in transit for long. Its request was sent to that
+// response is a response of any instance, also one that was in transit for long. Its request was sent to that
 // instance.
-func (m *availabilityModel) answer(t *rapid.T) {
+func (m *availabilityModel) response(t *rapid.T) {
 	instance := rapid.IntRange(0, len(m.startedAt)-1).Draw(t, "instance")
 	n := vetchtrail.Availability{
 		Leaving: rapid.IntRange(0, 3).Draw(t, "leaving") == 0, ReceivedAt: m.now, RequestedAt: m.startedAt[instance].Add(time.Millisecond),
@@ -70,7 +70,7 @@
 	m.note(instance, n.Leaving, n.ReceivedAt)
 }
 
-// released is the end of a request that the endpoint answered, or refused without announcing a pause.
+// released is the end of a request that the endpoint completed, or refused without announcing a pause.
 func (m *availabilityModel) released(t *rapid.T) {
 	if m.listed < 0 {
 		return
@@ -117,7 +117,7 @@
 	m.othersUntil = vetchtrail.Later(m.othersUntil, until)
 }
 
-// otherProcess is an answer of another process at the endpoint's address.
+// otherProcess is a response of another process at the endpoint's address.
 func (m *availabilityModel) otherProcess(*rapid.T) {
 	if m.listed < 0 {
 		return
@@ -143,32 +143,32 @@
 	if m.listed < 0 {
 		return
 	}
-	why, until := m.table.Blocked("e000", m.now)
+	reason, until := m.table.Blocked("e000", m.now)
 	leaving, paused := m.now.Before(m.leavingUntil[m.listed]), m.now.Before(m.pausedUntil[m.listed])
 	switch {
 	case leaving:
-		assert.Equal(t, why, vetchtrail.ReasonDraining, "instance %d announced that it is leaving", m.listed)
+		assert.Equal(t, reason, vetchtrail.ReasonDraining, "instance %d announced that it is leaving", m.listed)
 	case !m.now.Before(m.othersUntil) && paused:
-		assert.Equal(t, why, vetchtrail.ReasonPaused, "instance %d is paused", m.listed)
+		assert.Equal(t, reason, vetchtrail.ReasonPaused, "instance %d is paused", m.listed)
 		assert.Equal(t, until, m.pausedUntil[m.listed])
 	case !m.now.Before(m.othersUntil):
-		assert.Equal(t, why, vetchtrail.Reason(""), "instance %d accepts requests", m.listed)
+		assert.Equal(t, reason, vetchtrail.Reason(""), "instance %d accepts requests", m.listed)
 	}
 	if leaving || paused {
-		assert.Assert(t, why != "", "instance %d accepts no requests", m.listed)
+		assert.Assert(t, reason != "", "instance %d accepts no requests", m.listed)
 		assert.Assert(t, viewOf(m.table, m.now).Unavailable)
 		assert.Assert(t, !m.table.Acquire("e000", &vetchtrail.Request{ID: "a", Service: "s"}, m.now))
 	}
 }
 
 // TestAnnouncementsPerInstance guards against an announcement that is lost, shortened or applied to another
-// process instance. It applies answers, listings, reports and restarts in any order.
+// process instance. It applies responses, listings, reports and restarts in any order.
 func TestAnnouncementsPerInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &availabilityModel{t: t, table: New(), now: now, startedAt: []time.Time{now}, leavingUntil: map[int]time.Time{}, pausedUntil: map[int]time.Time{}}
 		m.list(0)
 		t.Repeat(map[string]func(*rapid.T){
-			"begin instance": m.start, "list": m.relist, "answer": m.answer, "update from peer": m.reported, "report": m.report, "leave": m.leave,
+			"begin instance": m.start, "list": m.relist, "answer": m.response, "update from peer": m.reported, "report": m.report, "leave": m.leave,
 			"misdirected": m.otherProcess, "released": m.released, "pass time": m.wait, "": m.check,
 		})
 	})
@@ -184,7 +184,7 @@
 	announce := func(at time.Time) AnnouncementNews {
 		return tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	}
-	usable := func(at time.Time) bool { why, _ := tab.Blocked("e000", at); return why == "" }
+	usable := func(at time.Time) bool { reason, _ := tab.Blocked("e000", at); return reason == "" }
 	assert.Assert(t, announce(now).Leaving)
 	assert.Assert(t, !announce(now.Add(time.Minute)).Leaving, "reported as news again")
 	assert.Assert(t, !announce(now.Add(time.Second)).Leaving, "an older announcement that arrives late is news")
@@ -213,10 +213,10 @@
 		{Endpoint: vetchtrail.Endpoint{Name: last, Service: "s", Slots: 4}},
 		{Endpoint: vetchtrail.Endpoint{Name: "e0", Service: "s", Slots: 4}},
 	})
-	why, _ := tab.Blocked(last, now.Add(time.Minute))
-	assert.Equal(t, why, vetchtrail.ReasonDraining)
-	why, _ = tab.Blocked("e0", now.Add(time.Minute))
-	assert.Equal(t, why, vetchtrail.Reason(""), "the announcement that expires first is dropped for the last")
+	reason, _ := tab.Blocked(last, now.Add(time.Minute))
+	assert.Equal(t, reason, vetchtrail.ReasonDraining)
+	reason, _ = tab.Blocked("e0", now.Add(time.Minute))
+	assert.Equal(t, reason, vetchtrail.Reason(""), "the announcement that expires first is dropped for the last")
 	assert.Equal(t, len(tab.unlisted), maxUnlisted-1)
 }
 
@@ -257,7 +257,7 @@
 		status   EndpointStatus
 	}{
 		"nothing": {func(*Table) {}, "", EndpointStatus{}},
-		"its answers, after the list of hosts": {func(tab *Table) {
+		"its responses, after the list of hosts": {func(tab *Table) {
 			tab.MarkLeaving("e000", later)
 			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 		}, ByAnswers, EndpointStatus{LeavingSince: now}},
@@ -305,15 +305,15 @@
 			tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}}})
 			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, PausedUntil: now.Add(time.Hour), RequestedAt: now, ReceivedAt: now})
 			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(2 * time.Minute), StartedAt: c.started}, time.Time{}))
-			why, _ := tab.Blocked("e000", now.Add(2*time.Minute))
-			assert.Equal(t, why, c.want)
+			reason, _ := tab.Blocked("e000", now.Add(2*time.Minute))
+			assert.Equal(t, reason, c.want)
 			assert.Assert(t, allReports(tab)[0].Announced, "other hosts don't receive its start time")
 		})
 	}
 }
 
-// BenchmarkFillLeaving measures a decision's view of endpoints of which none or a tenth are leaving. Nothing
-// may be allocated.
+// BenchmarkFillLeaving measures how long the view for a decision takes to build if none or a tenth of the endpoints
+// are leaving. Nothing may be allocated.
 func BenchmarkFillLeaving(b *testing.B) {
 	for _, share := range []int{0, 10} {
 		b.Run(fmt.Sprintf("one-in=%d", share), func(b *testing.B) {
--- a/process/load/cold_start.go
+++ b/process/load/cold_start.go
@@ -11,7 +11,7 @@
 }
 
 // configure sets the end of the cold start and this host's share of the requests a second that the endpoint
-// accepts until then. A rate of 0 means no bound, and a negative rate means that this host has no share.
+// accepts until then. A rate of 0 means no bound. A negative rate means that this host has no share.
 func (l *coldStartLimiter) configure(until time.Time, rate float64) {
 	l.until = until
 	switch {
--- a/process/load/instance_test.go
+++ b/process/load/instance_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestRestartedEndpoint guards against state that survives a restart. An endpoint that starts again under its
-// name has none of the earlier process instance's load and isn't leaving as that was. The outcome of a request
-// to the earlier instance doesn't change the requests in flight at the present one.
+// name keeps neither the load of the earlier process instance nor its state as leaving. The outcome of a request to
+// the earlier instance doesn't change the requests in flight at the present one.
 func TestRestartedEndpoint(t *testing.T) {
 	first, second := now.Add(-time.Minute), now
 	configure := func(tab *Table, startedAt time.Time) {
@@ -19,8 +19,8 @@
 	}
 	cases := map[string]struct {
 		next time.Time // start of the instance that is configured next
-		kept bool      // the state of the first instance
-		late int       // in flight after a late answer of the first instance
+		kept bool      // the state of the first instance is kept
+		late int       // requests in flight after a late response of the first instance
 	}{
 		"the same instance":        {first, true, 0},
 		"a new instance":           {second, false, 1},
@@ -35,8 +35,8 @@
 			tab.MarkLeaving("e000", now.Add(time.Hour))
 			tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now, Running: 9}, now)
 			configure(tab, c.next)
-			why, _ := tab.Blocked("e000", now)
-			assert.Equal(t, why == "", !c.kept, "only the first instance was leaving")
+			reason, _ := tab.Blocked("e000", now)
+			assert.Equal(t, reason == "", !c.kept, "only the first instance was leaving")
 			assert.Equal(t, viewOf(tab, now).Running == 9, c.kept)
 			if !c.kept {
 				assert.Assert(t, tab.Acquire("e000", &vetchtrail.Request{ID: "b", Service: "s"}, now))
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -48,18 +48,18 @@
 	maxConnectBackOff = 8 * time.Second
 	// maxRefusalBackOff bounds the back-off that an endpoint requests when it refuses a request.
 	maxRefusalBackOff = 5 * time.Second
-	// otherProcessBackOff is how long an endpoint gets no requests after another process answered at its
-	// address. The platform's list usually drops such an endpoint sooner.
+	// otherProcessBackOff is how long an endpoint gets no requests after another process responded at its
+	// address. The platform's listing usually drops such an endpoint sooner.
 	otherProcessBackOff = time.Minute
 	// An ejection lasts minEjection, doubled for each further one up to maxEjection.
 	minEjection = 2 * time.Second
 	maxEjection = time.Minute
-	// An endpoint is ejected when its run of error answers would happen by chance with a probability below
-	// maxErrorRunProbability. With some hundred answers a second, one endpoint is ejected wrongly in some ten
+	// An endpoint is ejected when its run of error responses would happen by chance with a probability below
+	// maxErrorRunProbability. With some hundred responses a second, one endpoint is ejected wrongly in some ten
 	// seconds, for two seconds.
 	maxErrorRunProbability = 0.001
 	// minUsualErrorShare and maxUsualErrorShare bound the share of errors that is assumed for the other
-	// endpoints. The lower bound keeps an endpoint in use that answers two of three requests without an error:
+	// endpoints. The lower bound keeps an endpoint in use that completes two of three requests without an error:
 	// it is still useful.
 	minUsualErrorShare = 0.3
 	maxUsualErrorShare = 0.5
@@ -67,8 +67,8 @@
 	// cause is not in the endpoints.
 	maxEjectedShare = 0.34
 	initialWarmUp   = 0.2 // warm-up share of an endpoint that returns
-	warmUpStep      = 0.1 // added to the warm-up share by each answer
-	// maxInFlightHistory is how many changes of the requests in flight are remembered for each endpoint, to
+	warmUpStep      = 0.1 // added to the warm-up share by each response that is not an error
+	// maxInFlightHistory is how many changes of the requests in flight are kept for each endpoint, to
 	// correct reports that arrive late.
 	maxInFlightHistory = 64
 )
@@ -96,37 +96,37 @@
 	nameHash             uint64
 	report               vetchtrail.LoadReport // the newest
 	hasReport            bool
-	receivedHere         bool                    // this host received the report from the endpoint
-	reportNumber         uint64                  // Table.reportNumber when the report was accepted
-	inFlight             int                     // this host's requests in flight
-	inFlightHistory      []inFlightChange        // a ring once it is full
-	inFlightChanges      int                     // recorded so far
-	limit                float64                 // upper bound of inFlight, before the warm-up share is applied
-	serviceTime          average                 // seconds that a request occupies a slot
-	tokenSlowdown        average                 // seconds to the first byte for each prompt token, as a multiple of the service's
-	observedAt           time.Time               // when serviceTime and tokenSlowdown were last observed
-	warmUp               float64                 // share of its limit that it may get, up to 1
-	failuresInRow        int                     // requests in a row without a whole answer
-	errorsInRow          int                     // error answers in a row, see minErrorStatus
-	ejections            int                     // since the last good answer
-	unreadPrompts        map[string]unreadPrompt // of this host's requests without a first byte, by request
+	receivedHere         bool                     // this host received the report from the endpoint
+	reportNumber         uint64                   // Table.reportNumber when the report was accepted
+	inFlight             int                      // this host's requests in flight
+	inFlightHistory      []inFlightChange         // a ring once it is full
+	inFlightChanges      int                      // recorded so far
+	limit                float64                  // upper bound of inFlight, before the warm-up share is applied
+	serviceTime          average                  // seconds that a request occupies a slot
+	tokenSlowdown        average                  // seconds to the first byte for each prompt token, as a multiple of the service's
+	observedAt           time.Time                // when serviceTime and tokenSlowdown were last observed
+	warmUp               float64                  // share of its limit that it may get, up to 1
+	failuresInRow        int                      // requests without a whole response, since the last response without an error or the last ejection
+	errorsInRow          int                      // error responses since the last response without an error, see minErrorStatus
+	ejections            int                      // since the last response without an error; counted up to 5
+	pendingPrompts       map[string]pendingPrompt // of this host's requests without a first byte, by request ID
 	sessionUses          sessionUses
 	coldStart            coldStartLimiter
 	eventInterval        eventInterval
-	startedStreams       map[string]bool // this host's streams with a first byte, by request
-	lastSeen             time.Time       // when the first byte of an answer or an event of a stream last arrived
+	startedStreams       map[string]bool // this host's streams with a first byte, by request ID
+	lastSeen             time.Time       // when the first byte of a response or an event of a stream last arrived
 	connectFailuresInRow int
-	errorShare           average   // share of its answers that are errors
+	errorShare           average   // share of its responses that are errors
 	errorShareAt         time.Time // when errorShare was last observed
 	ejectedUntil         time.Time
 	backOffUntil         time.Time // after its own refusal, or as it is unreachable
 	backOffReason        vetchtrail.Reason
 	availability         availabilityBySource
-	announced            bool                 // an answer once contained an announcement of its availability
+	announced            bool                 // a response once contained an announcement of its availability
 	reportsLeaving       bool                 // by its newest report it is leaving
 	rateLimit            vetchtrail.RateLimit // last advertised
 	rateLimitedSince     time.Time            // when it last began to advertise a rate limit; zero: this instance never did
-	rateExhaustedUntil   time.Time            // no request fits its rate limit before
+	rateExhaustedUntil   time.Time            // no request fits its rate limit before then
 	rateLeft             float64              // requests that its rate limit allowed at once when the owner was last queried
 }
 
@@ -135,11 +135,11 @@
 	serviceTime      average // seconds that a request occupies a slot
 	tokenTime        average // seconds to the first byte, for each prompt token
 	promptStats      promptStats
-	prefillFit       linearFit // seconds to the first byte, by the tokens to read
+	prefillFit       linearFit // seconds to the first byte, by the prompt tokens to process
 	eventIntervalFit linearFit // seconds between two events of a stream, by the requests that run
-	errorShare       average   // share of the answers that are errors
+	errorShare       average   // share of the responses that are errors
 	streamsByRoute   map[string]*streamStats
-	unreadTokens     average // tokens that an endpoint must read for one request
+	uncachedTokens   average // prompt tokens that an endpoint must process for one request
 	predictionRatio  predictionRatio
 	othersQueued     float64 // mean number of other hosts' requests in an endpoint's queue
 }
@@ -297,7 +297,7 @@
 	}
 }
 
-// view returns what a decision sees of the endpoint. The caller holds the lock.
+// view returns the endpoint's state and estimates as of now, for a decision. The caller holds the lock.
 func (s *endpointState) view(t *Table, now time.Time) vetchtrail.EndpointView {
 	svc := t.serviceStats[s.Service]
 	weight := math.Exp(-now.Sub(s.observedAt).Seconds() / observationDecay.Seconds())
--- a/process/load/load_test.go
+++ b/process/load/load_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-// table has n endpoints of one service: e000, e001, ...
+// table returns a table with n endpoints of one service: e000, e001, ...
 func table(n int) *Table {
 	t := New()
 	var endpoints []EndpointInRegion
@@ -24,7 +24,7 @@
 	return t
 }
 
-// viewOf is the view of the endpoint e000.
+// viewOf returns the view of the endpoint e000.
 func viewOf(t *Table, at time.Time) vetchtrail.EndpointView {
 	var v vetchtrail.View
 	t.Fill(&v, &vetchtrail.Request{Service: "s"}, at)
@@ -37,11 +37,11 @@
 }
 
 // failure is the observation of a request that failed at a step for a reason, and may be retried a second later.
-func failure(kind vetchtrail.OutcomeKind, step vetchtrail.Step, why vetchtrail.Reason) vetchtrail.Observation {
-	return vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: kind, Step: step, Reason: why, RetryAt: now.Add(time.Second)}}
+func failure(kind vetchtrail.OutcomeKind, step vetchtrail.Step, reason vetchtrail.Reason) vetchtrail.Observation {
+	return vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: kind, Step: step, Reason: reason, RetryAt: now.Add(time.Second)}}
 }
 
-// answered is the observation of a request that was sent at a time and answered without an error.
+// answered is the observation of a request that was sent at a time and got a response without an error.
 func answered(at time.Time) vetchtrail.Observation {
 	return vetchtrail.Observation{
 		Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered},
@@ -56,12 +56,12 @@
 		outcome vetchtrail.Observation
 		lower   bool
 	}{
-		"an answer":         {answered(now), false},
-		"a lost answer":     {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost), false},
-		"a broken answer":   {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseBroken), false},
-		"no answer in time": {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonDeadline), true},
-		"a refusal":         {failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), true},
-		"no connection":     {failure(vetchtrail.OutcomeNotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), false},
+		"a response":          {answered(now), false},
+		"a lost response":     {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost), false},
+		"a broken response":   {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseBroken), false},
+		"no response in time": {failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonDeadline), true},
+		"a refusal":           {failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), true},
+		"no connection":       {failure(vetchtrail.OutcomeNotRun, vetchtrail.StepConnect, vetchtrail.ReasonUnreachable), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -73,21 +73,22 @@
 	}
 }
 
-// TestOutOfUse guards against two faults: an endpoint stays in use though it fails in a row, refuses or is
-// leaving; or it is out of use after too few failures, for a failure of this host, or after the cause is over.
+// TestOutOfUse guards against two faults. An endpoint could stay in use although several requests in a row failed
+// there, or although it refuses requests or is leaving. Or it could be out of use after too few failures, because of
+// a request that this host did not send, or after the cause is over.
 func TestOutOfUse(t *testing.T) {
 	lost := failure(vetchtrail.OutcomeUnknown, vetchtrail.StepResponse, vetchtrail.ReasonResponseLost)
 	cases := map[string]struct {
 		do          func(t *Table)
 		after       time.Duration
 		unavailable bool
-		why         vetchtrail.Reason
+		reason      vetchtrail.Reason
 	}{
-		"never used":                 {func(*Table) {}, 0, false, ""},
-		"two failures in a row":      {func(t *Table) { release(t, lost, 2) }, 0, false, ""},
-		"three failures in a row":    {func(t *Table) { release(t, lost, 3) }, 0, true, vetchtrail.ReasonEjected},
-		"ejection over":              {func(t *Table) { release(t, lost, 3) }, minEjection, false, ""},
-		"an answer between failures": {func(t *Table) { release(t, lost, 2); release(t, answered(now), 1); release(t, lost, 2) }, 0, false, ""},
+		"never used":                  {func(*Table) {}, 0, false, ""},
+		"two failures in a row":       {func(t *Table) { release(t, lost, 2) }, 0, false, ""},
+		"three failures in a row":     {func(t *Table) { release(t, lost, 3) }, 0, true, vetchtrail.ReasonEjected},
+		"ejection over":               {func(t *Table) { release(t, lost, 3) }, minEjection, false, ""},
+		"a response between failures": {func(t *Table) { release(t, lost, 2); release(t, answered(now), 1); release(t, lost, 2) }, 0, false, ""},
 		"refuses a request": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResponse, vetchtrail.ReasonEndpointRefused), 1)
 		}, 0, true, vetchtrail.ReasonEndpointRefused},
@@ -100,7 +101,7 @@
 		"reachable again by its report":   {func(t *Table) { t.MarkUnreachable("e000", now); report(t, false) }, 0, false, ""},
 		"leaving by its report":           {func(t *Table) { report(t, true) }, 0, true, vetchtrail.ReasonDraining},
 		"not leaving by its later report": {func(t *Table) { report(t, true); reportAt(t, now.Add(2), false) }, 0, false, ""},
-		"leaving by the platform's list":  {func(t *Table) { t.MarkLeaving("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
+		"leaving by the list of hosts":    {func(t *Table) { t.MarkLeaving("e000", now.Add(time.Minute)); report(t, false) }, 0, true, vetchtrail.ReasonDraining},
 		"not sent by this host": {func(t *Table) {
 			release(t, failure(vetchtrail.OutcomeNotRun, vetchtrail.StepResidency, vetchtrail.ReasonResidency), 5)
 		}, 0, false, ""},
@@ -111,7 +112,7 @@
 			c.do(tab)
 			v := viewOf(tab, now.Add(c.after))
 			assert.Equal(t, v.Unavailable, c.unavailable)
-			assert.Equal(t, v.UnavailableReason, c.why)
+			assert.Equal(t, v.UnavailableReason, c.reason)
 			assert.Equal(t, tab.Acquire("e000", &vetchtrail.Request{}, now.Add(c.after)), !c.unavailable)
 		})
 	}
@@ -154,7 +155,7 @@
 }
 
 // TestWarmUp guards against an endpoint that gets its full load at once after it returns: its limit grows with
-// each answer.
+// each response.
 func TestWarmUp(t *testing.T) {
 	tab := table(1)
 	tab.MarkUnreachable("e000", now)
@@ -185,7 +186,8 @@
 	assert.Assert(t, !tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(time.Second), Running: 9}, now), "an older report")
 }
 
-// BenchmarkFill measures a decision's view by the number of endpoints, and the memory for them.
+// BenchmarkFill measures, by the number of endpoints, how long the view for a decision takes to build and how much
+// memory the table needs.
 func BenchmarkFill(b *testing.B) {
 	for _, n := range []int{12, 67, 267} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -202,9 +204,9 @@
 	}
 }
 
-// TestLimitStable guards against a limit that falls although the endpoint isn't overloaded. The first byte of an
-// answer that isn't streamed arrives with its last one, so that half of these answers take longer to their first
-// byte than the mean answer takes as a whole.
+// TestLimitStable guards against a limit that falls although the endpoint isn't overloaded. The first byte of a
+// response that isn't streamed arrives with its last one, so that half of these responses take longer to their
+// first byte than the mean response takes as a whole.
 func TestLimitStable(t *testing.T) {
 	tab := table(1)
 	for i := range 300 {
@@ -218,14 +220,14 @@
 	assert.Assert(t, viewOf(tab, now.Add(time.Minute)).InFlightLimit >= 4)
 }
 
-// TestErrorsInRow guards against an endpoint that stays in use though all of its answers are errors, and
+// TestErrorsInRow guards against an endpoint that stays in use though all of its responses are errors, and
 // against an ejection where the service's other endpoints have as many errors.
 func TestErrorsInRow(t *testing.T) {
 	failed := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 500}}
-	answer := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200}}
+	success := vetchtrail.Observation{Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered, Status: 200}}
 	cases := map[string]struct {
 		usual   float64                  // error share of the other endpoints
-		row     int                      // error answers
+		row     int                      // error responses
 		between []vetchtrail.Observation // before the last of them
 		ejected bool
 	}{
@@ -234,7 +236,7 @@
 		"six where many fail":        {0.4, 6, nil, false},
 		"eight where many fail":      {0.4, 8, nil, true},
 		"nine where all fail":        {1, 9, nil, false},
-		"six with an answer between": {0, 6, []vetchtrail.Observation{answer}, false},
+		"six with a success between": {0, 6, []vetchtrail.Observation{success}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/load/prediction_ratio.go
+++ b/process/load/prediction_ratio.go
@@ -15,8 +15,8 @@
 // times sooner than predicted.
 type predictionRatio struct{ median float64 }
 
-// observe learns from a stream that began, with both times in seconds. It estimates the median by stochastic
-// approximation (Robbins and Monro 1951).
+// observe updates the ratio with the times to a stream's first byte, both in seconds. It estimates the median by
+// stochastic approximation (Robbins and Monro 1951).
 func (r *predictionRatio) observe(predicted, observed float64) {
 	if predicted <= 0 || observed <= 0 {
 		return
--- a/process/load/prediction_ratio_test.go
+++ b/process/load/prediction_ratio_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestPredictionRatio guards against a ratio of observed to predicted times that a few long waits distort, that
-// leaves its bounds, or that is learned from requests without a stream or a prediction.
+// leaves its bounds, or that requests without a stream or a prediction change.
 func TestPredictionRatio(t *testing.T) {
 	cases := map[string]struct {
 		ratios      []float64 // of the observed to the predicted time, repeated
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -12,14 +12,14 @@
 	// promptCachedFor is how long after its last use an endpoint is assumed to have a session's prompt cached:
 	// longer than most sessions pause between two requests.
 	promptCachedFor = 30 * time.Second
-	// maxSessionUses bounds the sessions that are remembered for an endpoint.
+	// maxSessionUses bounds the sessions that are stored for an endpoint.
 	maxSessionUses = 1024
-	// transferSaving is the share of the time for reading a cached prompt that a KV cache transfer from another
+	// transferSaving is the share of the time for processing a prompt that a KV cache transfer from another
 	// endpoint saves. The transfer takes a fiftieth of that time, but the other endpoint may have dropped the
 	// prompt.
 	transferSaving = 0.8
 	// queuedDecay is the time in which the difference between an endpoint's reported queue and the mean of all
-	// endpoints falls to 1/e. At a peak some ten requests are queued, and an endpoint reads as many prompts in
+	// endpoints falls to 1/e. At a peak some ten requests are queued, and an endpoint processes as many prompts in
 	// a second.
 	queuedDecay = time.Second
 	// maxQueuedReportAge is the age up to which a report counts for the mean queue.
@@ -90,8 +90,8 @@
 	return x ^ x>>31
 }
 
-// cachedTokens is how many tokens of a request's prompt the endpoint probably doesn't have to read: the shared
-// ones if it has them cached, or most of these if it can transfer them from another endpoint.
+// cachedTokens is how many tokens of a request's prompt the endpoint probably doesn't have to process: the shared
+// ones if it has them cached, or most of the shared ones if it can transfer them from another endpoint.
 func (t *Table) cachedTokens(s *endpointState, r *vetchtrail.Request, session vetchtrail.PromptPart, isHome bool, now time.Time) int {
 	shared := r.PromptTokens() - r.Prompt[len(r.Prompt)-1].Tokens
 	switch {
@@ -103,8 +103,8 @@
 	return 0
 }
 
-// recordPrompt records the prompt that a request makes the endpoint read, and sets r.TransferFrom to the address
-// of the endpoint from which it can transfer the part that it hasn't cached.
+// recordPrompt records the prompt that the endpoint must process for a request, and sets r.TransferFrom to the
+// address of the endpoint from which it can transfer the shared part if it hasn't cached that.
 func (t *Table) recordPrompt(s *endpointState, r *vetchtrail.Request, now time.Time) {
 	r.TransferFrom = netip.AddrPort{}
 	tokens := r.PromptTokens()
@@ -128,19 +128,19 @@
 		}
 		s.sessionUses.record(session.ID, now)
 	}
-	if s.unreadPrompts == nil {
-		s.unreadPrompts = map[string]unreadPrompt{}
+	if s.pendingPrompts == nil {
+		s.pendingPrompts = map[string]pendingPrompt{}
 	}
-	s.unreadPrompts[r.ID] = unreadPrompt{
+	s.pendingPrompts[r.ID] = pendingPrompt{
 		tokens: tokens, tokensAhead: s.backlog(r.Priority, t.serviceStats[s.Service], now), priority: r.Priority, sentAt: now,
 	}
-	t.serviceStats[s.Service].unreadTokens.observe(float64(tokens))
+	t.serviceStats[s.Service].uncachedTokens.observe(float64(tokens))
 }
 
 // transferSource is the address of the endpoint other than s that most likely has a session's prompt cached:
 // the local one to which this host last sent the session, else the session's home among the local endpoints,
-// else its home among the remote ones. A home that was too busy for the session never read the prompt. Its
-// address is returned all the same: the transfer then finds nothing, and s reads the prompt again.
+// else its home among the remote ones. A home that was too busy for the session never processed the
+// prompt. Its address is returned all the same: the transfer then finds nothing, and s processes the whole prompt.
 func (t *Table) transferSource(s *endpointState, r *vetchtrail.Request, session uint64, now time.Time) netip.AddrPort {
 	if s.MoveToken == 0 || t.switchedOff.Has(vetchtrail.MechanismCacheTransfer) {
 		return netip.AddrPort{}
@@ -176,54 +176,54 @@
 	return last
 }
 
-// unreadPrompt is a prompt that was sent to an endpoint and that the endpoint hasn't read yet.
-type unreadPrompt struct {
-	tokens      int
-	tokensAhead float64 // expected to be read before it, when it was sent
+// pendingPrompt is a prompt that was sent to an endpoint and that the endpoint hasn't processed yet.
+type pendingPrompt struct {
+	tokens      int     // that the endpoint must process
+	tokensAhead float64 // tokens expected to be processed before it, when it was sent
 	priority    int8
 	sentAt      time.Time
 }
 
-// unreadAhead returns the number of tokens of this host's unread prompts: of those that the endpoint reads before
-// a request of a priority, and of all. The endpoint reads prompts of a higher priority first.
-func (s *endpointState) unreadAhead(priority int8) (tokens, all int) {
-	for _, u := range s.unreadPrompts {
-		all += u.tokens
-		if u.priority >= priority {
-			tokens += u.tokens
+// pendingAhead returns the number of tokens of this host's pending prompts: of those that the endpoint processes
+// before a new request of a priority, and of all. The endpoint processes prompts of a higher priority first.
+func (s *endpointState) pendingAhead(priority int8) (tokens, all int) {
+	for _, p := range s.pendingPrompts {
+		all += p.tokens
+		if p.priority >= priority {
+			tokens += p.tokens
 		}
 	}
 	return tokens, all
 }
 
-// backlog estimates the tokens of this host's and other hosts' prompts that the endpoint reads before a request of
-// a priority. The priorities of other hosts' prompts aren't known. The share of them that is read before the request
-// is assumed to be the same as for this host's prompts.
+// backlog estimates the tokens of this host's and other hosts' prompts that the endpoint processes before a new
+// request of a priority. The priorities of other hosts' prompts aren't known. The share of them that is processed
+// before the request is assumed to be the same as for this host's prompts.
 func (s *endpointState) backlog(priority int8, svc *serviceStats, now time.Time) float64 {
-	unreadAhead, all := s.unreadAhead(priority)
+	pendingAhead, all := s.pendingAhead(priority)
 	share := 1.0
 	if all > 0 {
-		share = float64(unreadAhead) / float64(all)
+		share = float64(pendingAhead) / float64(all)
 	}
-	return float64(unreadAhead) + share*s.othersUnreadTokens(svc, now)
+	return float64(pendingAhead) + share*s.othersPendingTokens(svc, now)
 }
 
-// othersUnreadTokens estimates the tokens of other hosts' requests in the endpoint's queue. It follows the
-// endpoint's report, and the older that is, the more it follows the mean of all endpoints.
-func (s *endpointState) othersUnreadTokens(svc *serviceStats, now time.Time) float64 {
+// othersPendingTokens estimates the tokens of other hosts' requests in the endpoint's queue. It follows the
+// endpoint's report. The older the report is, the more the estimate follows the mean of all endpoints.
+func (s *endpointState) othersPendingTokens(svc *serviceStats, now time.Time) float64 {
 	othersQueued := svc.othersQueued
 	if s.hasReport {
 		weight := math.Exp(-now.Sub(s.report.ReceivedAt).Seconds() / queuedDecay.Seconds())
 		othersQueued += weight * (float64(s.reportedOthersQueued()) - svc.othersQueued)
 	}
-	return othersQueued * svc.unreadTokens.value
+	return othersQueued * svc.uncachedTokens.value
 }
 
 // reportedOthersQueued is how many requests of other hosts were in the endpoint's queue at its last report.
 func (s *endpointState) reportedOthersQueued() int {
 	own := 0
-	for _, u := range s.unreadPrompts {
-		if !u.sentAt.After(s.report.ReceivedAt) {
+	for _, p := range s.pendingPrompts {
+		if !p.sentAt.After(s.report.ReceivedAt) {
 			own++
 		}
 	}
@@ -245,8 +245,8 @@
 	return float64(sum) / float64(n)
 }
 
-// ResponseStarted implements vetchtrail.Observer. The first byte of an answer shows that the endpoint has read
-// the prompt.
+// ResponseStarted implements vetchtrail.Observer. The first byte of a response shows that the endpoint has
+// processed the prompt.
 func (t *Table) ResponseStarted(e vetchtrail.Endpoint, r *vetchtrail.Request, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -255,7 +255,7 @@
 		return
 	}
 	s.lastSeen = now
-	prompt, known := s.unreadPrompts[r.ID]
+	prompt, known := s.pendingPrompts[r.ID]
 	if !known {
 		return // a resumed stream, which Acquire doesn't admit, or a request without prompt tokens
 	}
@@ -265,14 +265,14 @@
 		}
 		s.startedStreams[r.ID] = true
 	}
-	delete(s.unreadPrompts, r.ID)
+	delete(s.pendingPrompts, r.ID)
 	svc, seconds := t.serviceStats[s.Service], now.Sub(prompt.sentAt).Seconds()
 	svc.prefillFit.observe(prompt.tokensAhead+float64(prompt.tokens), seconds)
 	svc.promptStats.observe(prompt.tokensAhead+float64(prompt.tokens), seconds)
 	t.wake(s.Service)
 }
 
-// LoadReported implements vetchtrail.Observer. A load report that an answer contains counts like a fetched one.
+// LoadReported implements vetchtrail.Observer. A load report that a response contains counts like a fetched one.
 func (t *Table) LoadReported(e vetchtrail.Endpoint, l vetchtrail.LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -281,8 +281,9 @@
 	}
 }
 
-// newPrefillFit returns the fit of the seconds to the first byte of an answer by the tokens to read. It starts
-// with two points: no seconds for no tokens, and a tenth of initialTokenSeconds for each of initialGuessTokens.
+// newPrefillFit returns the fit of the seconds to the first byte of a response by the prompt tokens to process. It
+// starts with two points: no seconds for no tokens, and a tenth of initialTokenSeconds for each of
+// initialGuessTokens.
 func newPrefillFit() linearFit {
 	f := linearFit{minSlope: minTokenSeconds, maxSlope: maxTokenSeconds}
 	f.add(0, 0, initialGuessWeight)
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestTransferFrom guards against a KV cache transfer from an endpoint that is unlikely to have the prompt,
-// from a region that isn't allowed, or at an endpoint that has the prompt or can't transfer it.
+// from a region that isn't allowed, or to an endpoint that has the prompt or can't transfer it.
 func TestTransferFrom(t *testing.T) {
 	const session = 5
 	home := homeName(twoRegions(1e-7), session)
@@ -114,9 +114,9 @@
 	assert.Equal(t, len(sessions), 3)
 }
 
-// TestBacklog guards against a backlog that leaves out prompts that the endpoint reads before a request, or that
-// includes prompts that are less urgent, already read, or of requests that have ended. Other hosts' prompts are
-// estimated from the load reports.
+// TestBacklog guards against a backlog that leaves out prompts that the endpoint processes before a request, or
+// that includes prompts that are less urgent, already processed, or of requests that have ended. Other hosts'
+// prompts are estimated from the load reports.
 func TestBacklog(t *testing.T) {
 	e := vetchtrail.Endpoint{Name: "a"}
 	cases := map[string]struct {
@@ -124,11 +124,11 @@
 		priority int8
 		waits    bool // the request has a backlog
 	}{
-		"idle":             {func(*Table) {}, 0, false},
-		"one as urgent":    {func(t *Table) { t.Acquire("a", request("x", 3, 0), now) }, 0, true},
-		"one more urgent":  {func(t *Table) { t.Acquire("a", request("x", 3, 1), now) }, 0, true},
-		"one less urgent":  {func(t *Table) { t.Acquire("a", request("x", 3, -1), now) }, 0, false},
-		"its answer began": {func(t *Table) { t.Acquire("a", request("x", 3, 0), now); t.ResponseStarted(e, request("x", 3, 0), now) }, 0, false},
+		"idle":               {func(*Table) {}, 0, false},
+		"one as urgent":      {func(t *Table) { t.Acquire("a", request("x", 3, 0), now) }, 0, true},
+		"one more urgent":    {func(t *Table) { t.Acquire("a", request("x", 3, 1), now) }, 0, true},
+		"one less urgent":    {func(t *Table) { t.Acquire("a", request("x", 3, -1), now) }, 0, false},
+		"its response began": {func(t *Table) { t.Acquire("a", request("x", 3, 0), now); t.ResponseStarted(e, request("x", 3, 0), now) }, 0, false},
 		"it has ended": {func(t *Table) {
 			t.Acquire("a", request("x", 3, 0), now)
 			t.Release("a", vetchtrail.Observation{Request: "x"}, now)
@@ -147,7 +147,7 @@
 			for i := range minFitObservations { // so that the time for a token is known
 				tab.serviceStats["s"].prefillFit.observe(float64(1000*(i+1)), 0.01*float64(i+1))
 			}
-			tab.serviceStats["s"].unreadTokens.observe(5000)
+			tab.serviceStats["s"].uncachedTokens.observe(5000)
 			c.do(tab)
 			assert.Equal(t, views(tab, request("r", 4, c.priority))["a"].Backlog > 0.001, c.waits)
 		})
@@ -155,21 +155,21 @@
 }
 
 // TestPrefillFit guards against a time for a token that includes the wait in a queue. The seconds to a first
-// byte are fitted to all tokens that were read until then, those of the prompts ahead included.
+// byte are fitted to all tokens that were processed until then, those of the prompts ahead included.
 func TestPrefillFit(t *testing.T) {
 	const token = 2e-5 // seconds
 	tab := twoRegions(0)
 	for round := range 100 {
 		at := now.Add(time.Duration(round) * 10 * time.Second)
-		for i := range 5 { // five prompts that are read one after the other
+		for i := range 5 { // five prompts that are processed one after the other
 			r := request(string(rune('p'+i)), 4, 0)
 			assert.Assert(t, tab.Acquire("a", r, at))
 		}
-		read := 0
+		processed := 0
 		for i := range 5 {
 			r := request(string(rune('p'+i)), 4, 0)
-			read += tab.endpoints["a"].unreadPrompts[r.ID].tokens
-			tab.ResponseStarted(vetchtrail.Endpoint{Name: "a"}, r, at.Add(time.Duration(float64(read)*token*float64(time.Second))))
+			processed += tab.endpoints["a"].pendingPrompts[r.ID].tokens
+			tab.ResponseStarted(vetchtrail.Endpoint{Name: "a"}, r, at.Add(time.Duration(float64(processed)*token*float64(time.Second))))
 			tab.Release("a", vetchtrail.Observation{Request: r.ID, Outcome: vetchtrail.Outcome{Kind: vetchtrail.OutcomeAnswered}}, at.Add(9*time.Second))
 		}
 	}
@@ -183,7 +183,7 @@
 	for i := range minFitObservations {
 		tab.serviceStats["s"].prefillFit.observe(float64(1000*(i+1)), 0.01*float64(i+1))
 	}
-	tab.serviceStats["s"].unreadTokens.observe(5000)
+	tab.serviceStats["s"].uncachedTokens.observe(5000)
 	idle := tab.Summaries(now)[0].Wait
 	for name := range tab.endpoints {
 		tab.LoadReported(vetchtrail.Endpoint{Name: name}, vetchtrail.LoadReport{ReceivedAt: now, Queued: 10})
--- a/process/load/prompt_stats_test.go
+++ b/process/load/prompt_stats_test.go
@@ -11,7 +11,7 @@
 // doesn't move from its initial value to the speed of the endpoints.
 func TestIdleTokenTime(t *testing.T) {
 	cases := map[string]struct {
-		tokensPerMilli float64 // that an idle endpoint reads in a millisecond
+		tokensPerMilli float64 // that an idle endpoint processes in a millisecond
 		waits          float64 // share of the requests that wait
 	}{
 		"slow endpoints":  {56, 0.7},
@@ -43,8 +43,8 @@
 // prompts without a shared part change.
 func TestCachedShare(t *testing.T) {
 	cases := map[string]struct {
-		unread, own, all int
-		least, most      float64
+		uncached, own, all int
+		least, most        float64
 	}{
 		"all of it cached":  {6000, 6000, 10000, 0.99, 1},
 		"nothing cached":    {10000, 6000, 10000, 0, 0.1},
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			stats := newPromptStats()
 			for range 200 {
-				stats.observeCached(c.unread, c.own, c.all)
+				stats.observeCached(c.uncached, c.own, c.all)
 			}
 			assert.Assert(t, stats.cachedShare.value >= c.least && stats.cachedShare.value <= c.most, "%g", stats.cachedShare.value)
 		})
--- a/process/load/rate_limit.go
+++ b/process/load/rate_limit.go
@@ -49,17 +49,17 @@
 		s.rateLimitedSince = report.ReceivedAt
 	}
 	if was.Advertised && !s.rateLimit.Advertised {
-		// The endpoint was overloaded until now. As after an ejection, its warm-up share grows with its answers.
+		// The endpoint was overloaded until now. As after an ejection, its warm-up share grows with its responses.
 		s.rateExhaustedUntil, s.warmUp = time.Time{}, math.Min(s.warmUp, initialWarmUp)
 		t.wake(s.Service)
 	}
 	return was, s.rateLimit, true
 }
 
-// carryOver copies to a new process instance what its answers advertised before it was listed. Its answers may
-// reach a host before the listing has it, and are then recorded in the state of the earlier instance. The rate limit
-// and the announcements are each copied only if their last request was sent after the new instance started. Nothing
-// is copied if the listing is an older copy and goes back to an earlier instance.
+// carryOver copies to a new process instance what its responses advertised before it was listed. Its responses may
+// reach a host before the listing contains it, and are then recorded in the state of the earlier instance. The rate
+// limit and the announcements are each copied only if the request of the last response with them was sent after the
+// new instance started. Nothing is copied if the listing is an older copy and goes back to an earlier instance.
 func (s *endpointState) carryOver(old *endpointState, startedAt time.Time) {
 	if startedAt.IsZero() || !old.Born.Before(startedAt) {
 		return
@@ -90,7 +90,7 @@
 }
 
 // SetRateLeft records what the owner of an endpoint's rate limit last reported. rateLeft is the number of
-// requests that can be sent at once. If until is set, none can, and the endpoint is out of use until then.
+// requests that can be sent at once. If until is set, no request can, and the endpoint is out of use until then.
 func (t *Table) SetRateLeft(name string, rateLeft float64, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestRateLimitInView guards against requests to an endpoint whose rate limit is used up: it's out of use, with
-// the reason and the time, until its limit allows requests again. One that withdraws its limit is in use at
-// once, at the initial warm-up share, and requests that wait for capacity are woken.
+// the reason and the time, until its limit allows requests again. An endpoint that withdraws its limit is in use
+// at once, at the initial warm-up share, and requests that wait for capacity are woken.
 func TestRateLimitInView(t *testing.T) {
 	tab := rateLimitedTable(t, now)
 	v := viewOf(tab, now)
@@ -51,7 +51,7 @@
 }
 
 // TestRateLimitPerInstance guards against a rate limit that is valid beyond its process instance: it ends with
-// the instance, and late answers of another instance change nothing. A limit that a new instance advertised
+// the instance, and late responses of another instance change nothing. A limit that a new instance advertised
 // before it was listed is kept.
 func TestRateLimitPerInstance(t *testing.T) {
 	second := now.Add(10 * time.Second)
@@ -62,7 +62,7 @@
 		advertises bool                 // a limit is recorded in the end
 	}{
 		"ends with the first instance":         {advertised(2, 3, 4), now, advertised(-1, 11, 12), false},
-		"late answer of the first instance":    {advertised(2, 3, 4), now, advertised(2, 5, 20), false},
+		"late response of the first instance":  {advertised(2, 3, 4), now, advertised(2, 5, 20), false},
 		"received before the second is listed": {advertised(2, 11, 12), now, advertised(9, 13, 14), true},
 		"advertised by the second instance":    {advertised(2, 3, 4), second, advertised(3, 11, 12), true},
 		"in transit as the second started":     {advertised(2, 9, 12), now, advertised(2, 9, 12), false},
@@ -103,9 +103,9 @@
 	assert.Equal(t, len(New().RateLimits()), 0)
 }
 
-// TestRateLimitAtHome guards against a rate limit at the home of a session that makes the session's prompt be
-// read again: while the limit is used up, other endpoints run the session's requests and transfer the prompt
-// from its home.
+// TestRateLimitAtHome guards against prompts that are processed again because of a rate limit at their session's
+// home: while the limit is used up, other endpoints run the session's requests and transfer the prompt from the
+// home.
 func TestRateLimitAtHome(t *testing.T) {
 	tab := twoRegions(1e-6)
 	home := homeName(tab, 7)
--- a/process/load/release.go
+++ b/process/load/release.go
@@ -8,7 +8,7 @@
 	"vetchtrail"
 )
 
-// Release ends a request that Acquire admitted, and learns from its outcome.
+// Release ends a request that Acquire admitted, and updates the endpoint's state and statistics with its outcome.
 func (t *Table) Release(name string, o vetchtrail.Observation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -17,7 +17,7 @@
 		return
 	}
 	s.changeInFlight(now, -1)
-	delete(s.unreadPrompts, o.Request)
+	delete(s.pendingPrompts, o.Request)
 	delete(s.startedStreams, o.Request)
 	t.wake(s.Service)
 	if o.Outcome.ColdStart > 0 {
@@ -31,7 +31,7 @@
 	case o.Outcome.Kind == vetchtrail.OutcomeAnswered:
 		s.observeErrorShare(0, t.serviceStats[s.Service], now)
 		t.serviceStats[s.Service].observeEvents(o.Route, o.Outcome.Events)
-		t.recordAnswer(s, o, now)
+		t.recordSuccess(s, o, now)
 	case o.Outcome.Reason == vetchtrail.ReasonOtherProcess:
 		s.availability.otherProcessUntil = now.Add(otherProcessBackOff)
 	case o.Outcome.Reason == vetchtrail.ReasonEndpointRefused:
@@ -52,8 +52,8 @@
 	}
 }
 
-// recordAnswer learns from an answer that is not an error.
-func (t *Table) recordAnswer(s *endpointState, o vetchtrail.Observation, now time.Time) {
+// recordSuccess updates the endpoint's state and statistics with a whole response that is not an error.
+func (t *Table) recordSuccess(s *endpointState, o vetchtrail.Observation, now time.Time) {
 	svc := t.serviceStats[s.Service]
 	s.failuresInRow, s.ejections, s.connectFailuresInRow, s.errorsInRow = 0, 0, 0, 0
 	s.warmUp = math.Min(1, s.warmUp+warmUpStep)
@@ -79,20 +79,20 @@
 // maxConnectBackOffDoublings bounds the doublings of minConnectBackOff, so that the shift can't overflow.
 const maxConnectBackOffDoublings = 8
 
-// minErrorStatus is the lowest status of an error answer: one by which an endpoint reports its own failure.
-// Other answers count as errors if their outcome has ReasonEndpointFailed.
+// minErrorStatus is the lowest status of an error response: one by which an endpoint reports its own failure.
+// Other responses count as errors if their outcome has ReasonEndpointFailed.
 const minErrorStatus = 500
 
-// observeErrorShare updates the error shares with an answer. failed is 1 for an error answer, else 0. A
-// high share only raises the endpoint's cost in a decision. It doesn't take the endpoint out of use, as the
-// service's others may fail as often.
+// observeErrorShare updates the error shares with a response. failed is 1 for an error response, else 0. A high
+// share only raises the endpoint's cost in a decision. It doesn't take the endpoint out of use, as the service's
+// other endpoints may fail as often.
 func (s *endpointState) observeErrorShare(failed float64, svc *serviceStats, now time.Time) {
 	s.errorShare.observe(failed)
 	svc.errorShare.observe(failed)
 	s.errorShareAt = now
 }
 
-// recordError counts an error answer, and ejects the endpoint when so many in a row would be unlikely at the
+// recordError counts an error response, and ejects the endpoint when so many in a row would be unlikely at the
 // usual error share of the service's other endpoints. An endpoint that fails each request at once always seems
 // idle, and would attract the requests.
 func (t *Table) recordError(s *endpointState, now time.Time) {
@@ -119,7 +119,7 @@
 }
 
 // excessErrorShare is how far the endpoint's error share exceeds its service's. It decays while the endpoint
-// answers nothing.
+// sends no responses.
 func (s *endpointState) excessErrorShare(svc *serviceStats, now time.Time) float64 {
 	if s.errorShare.count < minObservations {
 		return 0
@@ -128,16 +128,16 @@
 	return weight * math.Max(0, s.errorShare.value-svc.errorShare.value)
 }
 
-// observeTokenTime learns from the seconds that a prompt token took on a free slot.
+// observeTokenTime updates the means with the seconds that a prompt token took on a free slot.
 func (s *endpointState) observeTokenTime(tokenTime float64, svc *serviceStats) {
 	s.tokenSlowdown.observe(math.Min(math.Max(tokenTime/svc.tokenTime.value, minTokenSlowdown), maxTokenSlowdown))
 	svc.tokenTime.observe(tokenTime / math.Max(s.tokenSlowdown.value, 1))
 }
 
 // adaptLimit raises the limit while first bytes arrive in time, and lowers it while requests wait in the
-// endpoint's queue for much longer than they run. The time to the first byte is compared with the time of whole
-// requests: an answer that isn't streamed has its first byte at its end, so that about half of these answers take
-// longer than the mean.
+// endpoint's queue for much longer than they run. The time to the first byte is compared with a multiple of the
+// mean time of whole requests (lateStartFactor). A response that isn't streamed has its first byte at its end, so
+// that about half of these responses take longer than the mean itself.
 func (s *endpointState) adaptLimit(first float64) {
 	if first > lateStartFactor*s.serviceTime.value {
 		s.limit = math.Max(1, s.limit*0.95)
@@ -157,12 +157,13 @@
 
 // backOff takes the endpoint out of use for a time. The cause is certainly at the endpoint, so maxEjectedShare
 // doesn't apply.
-func (s *endpointState) backOff(why vetchtrail.Reason, until time.Time) {
-	s.backOffReason, s.backOffUntil = why, until
+func (s *endpointState) backOff(reason vetchtrail.Reason, until time.Time) {
+	s.backOffReason, s.backOffUntil = reason, until
 }
 
-// recordFailure counts a request that got no whole answer, and ejects the endpoint after failuresToEject in a
-// row. The limit stays: a lost answer shows nothing about the endpoint's capacity.
+// recordFailure counts a request that got no whole response, and ejects the endpoint after failuresToEject in a
+// row. Error responses in between neither count nor end the row. The limit stays: a lost response shows nothing
+// about the endpoint's capacity.
 func (t *Table) recordFailure(s *endpointState, now time.Time) {
 	s.failuresInRow++
 	if s.failuresInRow < failuresToEject || t.switchedOff.Has(vetchtrail.MechanismEjection) {
@@ -171,8 +172,9 @@
 	t.eject(s, now)
 }
 
-// eject takes the endpoint out of use for a time that doubles with each ejection until it answers without an
-// error. It does nothing when too many endpoints of the service are ejected already, or no other one is in use.
+// eject takes the endpoint out of use for a time that doubles with each ejection until it sends a response
+// without an error. It does nothing when too many endpoints of the service are ejected already, or no other one is
+// in use.
 func (t *Table) eject(s *endpointState, now time.Time) {
 	ejected := 0
 	for _, other := range t.services[s.Service] {
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -8,7 +8,7 @@
 	"vetchtrail"
 )
 
-// Report records a load report that this host fetched, if it is newer than the known one, and reports whether it
+// Report records a load report that this host fetched, if it is newer than the known one, and returns whether it
 // was. If the endpoint is leaving by the report, it is out of use until leavingUntil.
 func (t *Table) Report(name string, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
@@ -30,7 +30,7 @@
 // of a data centre are unlikely to have the same hash; if they do, their load reports are mixed up.
 func NameHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// acceptReport records a report if it is newer than the known one, and reports whether it was. The caller holds
+// acceptReport records a report if it is newer than the known one, and returns whether it was. The caller holds
 // the lock.
 func (t *Table) acceptReport(s *endpointState, r vetchtrail.LoadReport, receivedHere bool, leavingUntil time.Time) bool {
 	if s.hasReport && !r.ReceivedAt.After(s.report.ReceivedAt) {
@@ -67,7 +67,7 @@
 	return time.Time{}
 }
 
-// MarkLeaving records that the platform's list of hosts has an endpoint as leaving. The endpoint is out of use
+// MarkLeaving records that the platform's list of hosts states that an endpoint is leaving. The endpoint is out of use
 // until the given time.
 func (t *Table) MarkLeaving(name string, until time.Time) {
 	t.mu.Lock()
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -36,8 +36,8 @@
 	Endpoint     string
 	NameHash     uint32 // hash of its name, see the function NameHash
 	Report       vetchtrail.LoadReport
-	ReceivedHere bool // this host received it from the endpoint: fetched, or with an answer
-	Announced    bool // an answer of the endpoint once announced that it is leaving or paused
+	ReceivedHere bool // this host received it from the endpoint: fetched, or with a response
+	Announced    bool // a response of the endpoint once announced that it is leaving or paused
 }
 
 // ReportsAfter returns the reports that this host accepted after the one with the given number and that are
--- a/process/load/stream_stats.go
+++ b/process/load/stream_stats.go
@@ -13,9 +13,9 @@
 
 // streamStats is what is known of the streams of one route.
 type streamStats struct {
-	events              average // of a whole answer
+	events              average // number of events in a whole response
 	priority            int8
-	firstAttemptSeconds float64   // time until the deadline at the last request with CallerCanRetry, mostly a first attempt
+	firstAttemptSeconds float64   // seconds until the deadline, at the last request with CallerCanRetry (mostly a first attempt)
 	lastRequested       time.Time // when a stream of the route was last requested
 }
 
@@ -29,7 +29,8 @@
 	return st
 }
 
-// recordStreamRequest learns from a request for a stream whose endpoint is about to be chosen.
+// recordStreamRequest updates the statistics of a route with a request for a stream whose endpoint is about to be
+// chosen.
 func (svc *serviceStats) recordStreamRequest(r *vetchtrail.Request, now time.Time) {
 	if !r.Stream || r.Route == "" {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// observeEvents learns how many events a route's streams have. An answer without events is not counted.
+// observeEvents records the number of events in a response of a route. A response without events is not counted.
 func (svc *serviceStats) observeEvents(route string, n int) {
 	if n == 0 {
 		return
@@ -53,7 +54,7 @@
 	st.events.observe(float64(n))
 }
 
-// expectedEvents is how many events a route's streams have in the mean; 0: not known.
+// expectedEvents is the mean number of events of a route's streams; 0: not known.
 func (svc *serviceStats) expectedEvents(route string) float64 {
 	st, ok := svc.streamsByRoute[route]
 	if !ok || st.events.count < minObservations {
--- a/process/load/summary.go
+++ b/process/load/summary.go
@@ -14,7 +14,7 @@
 	Report           vetchtrail.LoadReport
 	RateLimitedSince time.Time // since when it advertises a rate limit; zero: it does not
 	LeavingBy        LeavingBy
-	LeavingSince     time.Time // when its answers first announced that it is leaving; zero: they did not
+	LeavingSince     time.Time // when its responses first announced that it is leaving; zero: they did not
 	PausedUntil      time.Time // until when it accepts no requests from this host; zero: it isn't paused
 }
 
@@ -39,7 +39,7 @@
 	return out
 }
 
-// Summary is the load of a service in this data centre, as it is announced to remote ones.
+// Summary is the load of a service in this data centre, as it is sent to remote ones in digests.
 type Summary struct {
 	Service       string
 	Free          int           // unused part of Slots
@@ -62,7 +62,7 @@
 func (t *Table) summarize(name string, states []*endpointState, now time.Time) Summary {
 	svc := t.serviceStats[name]
 	sum := Summary{Service: name}
-	bestWait, unread, inUse := math.Inf(1), 0.0, 0
+	bestWait, pendingTokens, inUse := math.Inf(1), 0.0, 0
 	svc.othersQueued = meanOthersQueued(states, now)
 	for _, s := range states {
 		v := s.view(t, now)
@@ -73,7 +73,7 @@
 		sum.Slots += s.concurrency(svc)
 		sum.Free += max(0, s.concurrency(svc)-inFlight)
 		inUse++
-		unread += s.backlog(lowestPriority, svc, now)
+		pendingTokens += s.backlog(lowestPriority, svc, now)
 		wait := v.ServiceTime * 0.1
 		if inFlight >= v.Slots {
 			wait += float64(inFlight-v.Slots+1) * v.ServiceTime / float64(v.Slots)
@@ -87,14 +87,14 @@
 		return sum
 	}
 	if svc.prefillFit.known() {
-		// The mean of all endpoints, not the best: many hosts read this summary, and the best endpoint would
+		// The mean of all endpoints, not the best: many hosts receive this summary, and the best endpoint would
 		// soon be the busiest.
 		base, token := svc.prefillFit.line()
-		bestWait = base + token*unread/float64(inUse)
+		bestWait = base + token*pendingTokens/float64(inUse)
 	}
 	sum.Wait = time.Duration(bestWait * float64(time.Second))
 	return sum
 }
 
-// lowestPriority is below the priority of every request, so that all unread prompts are ahead of it.
+// lowestPriority is below the priority of every request, so that all pending prompts are ahead of it.
 const lowestPriority = math.MinInt8
