--- a/request/quarantine/detect.go
+++ b/request/quarantine/detect.go
@@ -14,13 +14,13 @@
 	// repeatCrashThreshold replaces crashThreshold for a request that was quarantined before and
 	// not released by an operator.
 	repeatCrashThreshold = 1
-	// unexplainedPerExtraCrash is the number of unexplained crashes in the same period for which
-	// crashThreshold is raised by one, by at most maxExtraCrashes in total. Where endpoints also
-	// crash for other reasons, a request that is retried is present at several crashes by chance.
+	// A request needs one crash more than crashThreshold for every unexplainedPerExtraCrash
+	// unexplained crashes at which it was not present, from its first crash to its last, but at most
+	// maxExtraCrashes more. Where endpoints also crash for other reasons, a request that is retried
+	// is present at several crashes by chance.
 	unexplainedPerExtraCrash = 2
 	maxExtraCrashes          = 3
-	// unexplainedLookback extends that period to before the first crash counted against the
-	// request.
+	// Unexplained crashes up to unexplainedLookback before the request's first crash count as well.
 	unexplainedLookback = time.Second
 )
 
--- a/request/quarantine/history.go
+++ b/request/quarantine/history.go
@@ -13,9 +13,9 @@
 	// by their broken connections, some later than others. An endpoint takes longer than this to
 	// restart, so two crashes of one endpoint aren't merged.
 	sameCrashWindow = 500 * time.Millisecond
-	// reportWait is how long after the first report of a crash it is not used yet, because other
-	// hosts may still report it. The first reports may contain only harmless requests that were in
-	// flight with the poison request.
+	// reportWait is how long after its first report Detect counts a crash against no request, because
+	// other hosts may still report it. The first reports may contain only harmless requests that were
+	// in flight with the poison request.
 	reportWait = 300 * time.Millisecond
 	// commonCauseWindow is the time difference below which two crashes count as one against a
 	// request that was present at both: endpoints that fail together have probably lost their power
--- a/request/quarantine/persist.go
+++ b/request/quarantine/persist.go
@@ -47,8 +47,8 @@
 func (p *PersistedEntries) Encode() ([]byte, error) { return json.Marshal(p) }
 
 // Update adds entries and removes those of the requests in drop. An entry replaces the one of the
-// same request, unless that one has a higher count. If there are too many, those added first are
-// removed.
+// same request, unless that one has a higher count; if the counts are equal, a release stays. If
+// there are more than maxEntries entries, those added first are removed.
 func (p *PersistedEntries) Update(entries []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
 	for _, d := range drop {
 		p.remove(d.String())
