--- a/request/idempotency/idempotency_test.go
+++ b/request/idempotency/idempotency_test.go
@@ -61,10 +61,10 @@
 	}
 }
 
-// TestRegistryRunsOnce checks with random sequences of calls that a request with a key is
-// started again only if it did not run before, that a repeated request has the outcome of
-// the first unless that response was not stored, and that the records stay within their
-// memory limit. A key is meant to prevent a second run.
+// TestRegistryRunsOnce guards against a second run of a request with a key. It checks with
+// random sequences of calls that a request is started again only if it did not run before,
+// that a repeated request has the outcome of the first unless the response was not stored,
+// and that the records stay within their memory limit.
 func TestRegistryRunsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		registry := newTestRegistry(8 * recordBytes)
--- a/request/idempotency/registry.go
+++ b/request/idempotency/registry.go
@@ -121,7 +121,7 @@
 }
 
 // MayHaveBegun reports whether a request with a key that this process issued may be
-// running or may have run: there is a record, or there may have been one that expired.
+// running or may have run: there is a record, or there may have been one that was removed.
 func (r *Registry) MayHaveBegun(key Key) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
