--- a/process/quarantines/exchange_loss_test.go
+++ b/process/quarantines/exchange_loss_test.go
@@ -14,9 +14,10 @@
 // partitioned region.
 const agreementTime = 30 * time.Second
 
-// partitionAndHeal sends the poison request in a partitioned region until that has quarantined it,
-// and then ends the partition. losesExchange returns which exchanges of entries are lost from then
-// on. Nothing is persisted. It returns the hosts that don't have the request quarantined in the end.
+// partitionAndHeal sends the poison request in a partitioned region, where all hosts must then have
+// quarantined it, and ends the partition. From then on, losesExchange decides which exchanges of
+// entries are lost. Nothing is persisted. partitionAndHeal returns the hosts that haven't
+// quarantined the request in the end.
 func partitionAndHeal(t *testing.T, seed uint64, losesExchange func(from, to string) (message, reply bool)) (without []string) {
 	t.Helper()
 	withFleet(t, "no persistence", seed, func(t *testing.T, f *fleet) {
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -30,7 +30,7 @@
 	endpointRestart    = 2500 * time.Millisecond // downtime after a crash
 	listingInterval    = 1200 * time.Millisecond // interval at which a host reads the platform's listing
 	hostTimeout        = 4 * time.Second         // how long a stopped host is still ranked
-	healthyAfter       = 5 * time.Second         // after a fault
+	healthyAfter       = 5 * time.Second         // how long after a fault a host counts as healthy again
 )
 
 // fleet is one simulation.
--- a/process/quarantines/losses.go
+++ b/process/quarantines/losses.go
@@ -11,7 +11,7 @@
 
 const (
 	// lossGatherTime is the delay from the first loss at an endpoint to its probe. All connections
-	// of an endpoint that crashes are reset together, so that the other losses are recorded by then.
+	// of an endpoint that crashes are reset together, so the other losses are recorded by then.
 	lossGatherTime = 60 * time.Millisecond
 	// secondProbeDelay is the delay between two probes of an endpoint. An endpoint that refuses
 	// both has crashed; an endpoint with too many connections refuses only some of them.
@@ -32,7 +32,7 @@
 	// maxLossesPerEndpoint bounds the losses remembered of one endpoint.
 	maxLossesPerEndpoint = 256
 	// streamingThreshold is how long a response must have been streaming to set InFlight.Streaming.
-	// Poison requests crash endpoints within some tens of milliseconds after these start them.
+	// A poison request crashes an endpoint within some tens of milliseconds of its start there.
 	streamingThreshold = 500 * time.Millisecond
 )
 
@@ -184,7 +184,7 @@
 }
 
 // Listed processes a listing of the platform. An endpoint that lost requests has crashed if it is
-// no longer listed, or is listed with a later start time.
+// no longer listed, or is listed with a later start time, unless it was leaving.
 func (q *Quarantines) Listed(l *vetchtrail.Listing) {
 	for _, name := range q.lossTracker.crashedByListing(l) {
 		if !q.cfg.IsLeaving(name) {
--- a/process/quarantines/messages_test.go
+++ b/process/quarantines/messages_test.go
@@ -78,7 +78,7 @@
 
 func (noHosts) FirstInRegion(string, string, int) []vetchtrail.Host { return nil }
 
-// FuzzHandleCrashes checks that no report is recorded if it is refused.
+// FuzzHandleCrashes checks that a report that is rejected as invalid is not recorded.
 func FuzzHandleCrashes(f *testing.F) {
 	good, _ := proto.Marshal(&schema.Ends{From: "h", Ends: []*schema.End{fromCrash(quarantine.Crash{Endpoint: "e", At: testNow, InFlight: []quarantine.InFlight{{}}}, testNow)}})
 	f.Add(good)
@@ -90,7 +90,7 @@
 		}
 		q := New(Config{Clock: func() time.Time { return testNow }, Hosts: noHosts{}})
 		if _, err := q.HandleCrashes(&m); err != nil {
-			assert.Assert(t, !q.history.AwaitingReports(testNow), "refused and recorded: %v", err)
+			assert.Assert(t, !q.history.AwaitingReports(testNow), "rejected and recorded: %v", err)
 		}
 	})
 }
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -16,7 +16,7 @@
 	// have the same entries, an exchange is 40 bytes in both directions, plus 58 bytes of framing.
 	syncInterval = 2 * time.Second
 	// hostsAtFullSyncRate is the number of hosts of a region up to which each exchanges at
-	// syncInterval. In larger regions each host does so less often, so that an aggregator answers
+	// syncInterval. In larger regions each host does so less often, so that an aggregator handles
 	// 13 exchanges a second, some 2 KB, also with 300 hosts. Changes are sent to all hosts at once,
 	// and a host that doesn't receive one reads it from the platform's listing.
 	hostsAtFullSyncRate = 50
@@ -288,15 +288,15 @@
 	}
 }
 
-// pendingWrites returns the entries that the platform lacks, if they were made by the time before,
-// and the expired ones that it still has. The caller holds the lock.
-func (q *Quarantines) pendingWrites(before, now time.Time) (put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
+// pendingWrites returns the entries that the platform lacks, except those made after madeUntil, and
+// the expired ones that it still has. The caller holds the lock.
+func (q *Quarantines) pendingWrites(madeUntil, now time.Time) (put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) {
 	for _, entry := range q.entries.All(now) {
 		persisted, ok := q.persisted[entry.ContentHash]
 		switch expired := !now.Before(entry.Until); {
 		case expired && ok:
 			drop = append(drop, entry.ContentHash)
-		case expired || entry.Since.After(before):
+		case expired || entry.Since.After(madeUntil):
 		case !ok || persisted.Count < entry.Count || persisted.Count == entry.Count && entry.Released && !persisted.Released:
 			put = append(put, entry)
 		}
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -38,10 +38,10 @@
 
 // Hosts provides the other hosts.
 type Hosts interface {
-	// FirstInRegion returns the first n live hosts of a region in their order for a task, including this
-	// host if it is in the region. The implementation decides by its own clock which hosts are
-	// alive. It can't use times of Config.Clock: compared with these, lost hosts would count as
-	// alive for ever.
+	// FirstInRegion returns the n live hosts of a region that rank first for a task, including this
+	// host if it is in the region. It has no time as an argument: the implementation decides by its
+	// own clock which hosts are alive. By the times of Config.Clock, lost hosts would count as alive
+	// for ever.
 	FirstInRegion(region, task string, n int) []vetchtrail.Host
 }
 
--- a/process/quarantines/report.go
+++ b/process/quarantines/report.go
@@ -16,7 +16,7 @@
 	detectionDelay = 320 * time.Millisecond
 	// callTimeout bounds a call to another host. It is enough for a round trip between regions.
 	callTimeout = time.Second
-	// reportAttempts is how often a report is sent to an aggregator that doesn't answer, with
+	// reportAttempts is how often a report is sent to an aggregator that doesn't reply, with
 	// reportRetryDelay between two attempts. If all fail, reportToNewAggregators sends the crashes
 	// again; the served requests of the report are lost.
 	reportAttempts   = 3
@@ -101,7 +101,7 @@
 	q.informed = informed
 }
 
-// sendReport sends a report to one aggregator and retries if it doesn't answer. If all attempts
+// sendReport sends a report to one aggregator and retries if it doesn't reply. If all attempts
 // fail, reportToNewAggregators sends it the recent crashes again.
 func (q *Quarantines) sendReport(ctx context.Context, h vetchtrail.Host, m *schema.Ends, createdAt time.Time) {
 	for attempt := range reportAttempts {
--- a/process/quarantines/store.go
+++ b/process/quarantines/store.go
@@ -20,8 +20,8 @@
 	loadRetryDelay = time.Second
 )
 
-// Store persists entries in the key-value store, unless a hosted platform persists them. It
-// implements vetchtrail.QuarantineStore.
+// Store persists entries in the key-value store. It is not used where a hosted platform persists
+// them. It implements vetchtrail.QuarantineStore.
 type Store struct {
 	Store vetchtrail.Store
 	Log   *slog.Logger
