--- a/process/quotas/exchange.go
+++ b/process/quotas/exchange.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// exchangeInterval is the interval at which an owner exchanges demand with another region. A
-	// region whose demand rises uses only what its bucket holds until the other regions have
-	// confirmed the increase, which takes one more round trip between regions.
+	// exchangeInterval is the interval at which an owner exchanges demand with another region. When
+	// the demand in a region rises, the region has only its previous rate and the units in its bucket
+	// until the other regions have confirmed the increase, which takes one more round trip between
+	// regions.
 	exchangeInterval = 200 * time.Millisecond
 	// exchangeTimeout bounds an exchange. It allows for several round trips between regions.
 	exchangeTimeout = time.Second
@@ -53,12 +54,12 @@
 func (q *Quotas) dropIdle(now, leaseNow time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for name, l := range q.localQuota {
+	for name, l := range q.localQuotas {
 		l.mu.Lock()
 		idle := l.holder.Idle(leaseNow)
 		l.mu.Unlock()
 		if idle {
-			delete(q.localQuota, name)
+			delete(q.localQuotas, name)
 		}
 	}
 	for name, o := range q.ownedQuotas {
--- a/process/quotas/lease.go
+++ b/process/quotas/lease.go
@@ -25,7 +25,7 @@
 	maxOwnersTried = 2
 	// requestTimeout bounds a lease request to one host. Hosts of a region are a few milliseconds
 	// apart. But after a power failure of all hosts, when many callers retry, a host with little
-	// bandwidth takes some hundred milliseconds.
+	// bandwidth takes several hundred milliseconds.
 	requestTimeout = 300 * time.Millisecond
 	// unreachableTime is how long an owner that did not reply gets no requests. By then the
 	// membership has detected whether it is alive.
@@ -141,7 +141,7 @@
 	return out
 }
 
-// leaseAsOwner answers a lease request as the owner of a workspace's quota, by the
+// leaseAsOwner handles a lease request as the owner of a workspace's quota, by the
 // configuration of this host. If that has no limit for the workspace, it leases nothing.
 func (q *Quotas) leaseAsOwner(from string, r quota.LeaseRequest, now time.Time) quota.LeaseReply {
 	limit := q.cfg.QuotaSource().Quota(r.Workspace)
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -73,9 +73,9 @@
 	// each shard by a hash of this name and the shard number.
 	Task   string
 	Shards int
-	// Strict lets a host that reaches no owner run nothing, instead of an equal share. An equal
-	// share may be one request at each of many hosts, which is more than an overloaded endpoint
-	// can take within seconds.
+	// With Strict, a host that reaches no owner runs nothing, instead of using an equal share. An
+	// equal share may be one request at each of many hosts, which is more than an overloaded
+	// endpoint accepts within seconds.
 	Strict bool
 	// Clock continues while the host is suspended, so that its leases expire meanwhile. The
 	// buckets that this host owns do not use it: no host leases from them during the suspension.
@@ -88,10 +88,10 @@
 // for concurrent use.
 type Quotas struct {
 	cfg      Config
-	sequence uint64 // number of the last demand report sent
+	sequence uint64 // number of the last demand report sent; guarded by mu
 
 	mu          sync.Mutex
-	localQuota  map[string]*localQuota // by workspace, as a host that runs requests
+	localQuotas map[string]*localQuota // by workspace, as a host that runs requests
 	ownedQuotas map[string]*ownedQuota // by workspace, as the owner in this region
 	unreachable map[string]time.Time   // by host, until when no lease is requested from it
 	ownedSince  []time.Time            // by shard, when this host became the owner in its region; zero: it is not, or not recorded
@@ -130,12 +130,12 @@
 		c.Task, c.Shards = defaultTask, defaultShards
 	}
 	return &Quotas{
-		cfg: c, localQuota: map[string]*localQuota{}, ownedQuotas: map[string]*ownedQuota{}, unreachable: map[string]time.Time{}, ownedSince: make([]time.Time, c.Shards),
+		cfg: c, localQuotas: map[string]*localQuota{}, ownedQuotas: map[string]*ownedQuota{}, unreachable: map[string]time.Time{}, ownedSince: make([]time.Time, c.Shards),
 	}
 }
 
-// maxReplyWaits is how many lease requests a request waits for. Each of them is made for all
-// requests that wait at that time, so its units may be used up by others.
+// maxReplyWaits is how many lease requests a request waits for. Each of them may have started
+// without the cost of this request, and its units may be used up by others.
 const maxReplyWaits = 3
 
 // Take implements vetchtrail.QuotaLimiter.
@@ -179,7 +179,8 @@
 	return l.verdict(false, later(retryAt, now.Add(minRetryDelay)), now)
 }
 
-// minRetryDelay is the shortest retry delay that a refused caller receives.
+// minRetryDelay is the shortest retry delay for a request that is refused after it has waited for
+// lease requests.
 const minRetryDelay = 50 * time.Millisecond
 
 // later returns the later of two times.
@@ -209,7 +210,7 @@
 	return l.verdict(ok, retryAt, now)
 }
 
-// verdict returns the answer to the caller. retryAt and now are times of Config.Clock.
+// verdict returns the result for the caller. retryAt and now are times of Config.Clock.
 func (l *localQuota) verdict(ok bool, retryAt, now time.Time) vetchtrail.QuotaVerdict {
 	local, region, age := l.holder.Balance(now)
 	if !retryAt.IsZero() {
@@ -245,31 +246,31 @@
 func (q *Quotas) localOf(workspace string) *localQuota {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l, ok := q.localQuota[workspace]
+	l, ok := q.localQuotas[workspace]
 	if !ok {
 		l = &localQuota{}
-		q.localQuota[workspace] = l
+		q.localQuotas[workspace] = l
 	}
 	return l
 }
 
-// awaitReply waits for the end of a lease request that covers the cost, and starts one if
-// needed. It must be called with l.mu locked, and unlocks it while it waits. It returns false
-// if ctx ended first.
+// awaitReply waits for the end of the lease request under way, and starts one for the cost if
+// there is none. It must be called with l.mu locked, and unlocks it while it waits. It returns
+// false if ctx ended first.
 func (q *Quotas) awaitReply(ctx context.Context, l *localQuota, workspace string, cost float64) bool {
 	l.waitingUnits += cost
 	q.startRequest(l, workspace, cost)
 	pending := l.pending
 	l.mu.Unlock()
-	answered := true
+	ended := true
 	select {
 	case <-pending:
 	case <-ctx.Done():
-		answered = false
+		ended = false
 	}
 	l.mu.Lock()
 	l.waitingUnits -= cost
-	return answered
+	return ended
 }
 
 // prefetch starts the next lease request before the leased units are used up. It must be
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -223,9 +223,9 @@
 		_, hosts := newNetwork(t, StrategyLeased, vetchtrail.Quota{Rate: 100, Burst: 100}, 1)
 		hosts[0].Take(context.Background(), "w", 1)
 		hosts[0].dropIdle(time.Now(), time.Now())
-		assert.Equal(t, len(hosts[0].localQuota), 1)
+		assert.Equal(t, len(hosts[0].localQuotas), 1)
 		hosts[0].dropIdle(time.Now().Add(2*time.Minute), time.Now().Add(2*time.Minute))
-		assert.Equal(t, len(hosts[0].localQuota), 0)
+		assert.Equal(t, len(hosts[0].localQuotas), 0)
 	})
 }
 
