--- a/process/ratelimits/faults_test.go
+++ b/process/ratelimits/faults_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestRateUtilisation guards against wasting the rate of an endpoint, and against too many
-// lease requests. While callers request more than the endpoint takes, it must receive at least
+// lease requests. While callers request more than the endpoint accepts, it must receive at least
 // nine tenths of its rate, whichever hosts the callers use.
 func TestRateUtilisation(t *testing.T) {
 	cases := map[string]struct {
--- a/process/ratelimits/fleet_test.go
+++ b/process/ratelimits/fleet_test.go
@@ -190,14 +190,14 @@
 		return
 	}
 	time.Sleep(processing)
-	rate, number, sameInstance := f.readRate(e) // as the endpoint writes the response header
+	rate, index, sameInstance := f.readRate(e) // as the endpoint writes the response header
 	time.Sleep(replyDelay)
 	if !sameInstance || callerLeaves || ctx.Err() != nil {
 		return
 	}
 	f.mu.Lock()
-	if _, received := h.received[number]; !received && h.limits == limits {
-		h.received[number] = time.Now()
+	if _, received := h.received[index]; !received && h.limits == limits {
+		h.received[index] = time.Now()
 	}
 	f.mu.Unlock()
 	f.deliverLimit(limits, tab, e, vetchtrail.RateLimit{Advertised: rate >= 0, Rate: max(rate, 0), RequestedAt: sent, ReceivedAt: time.Now()})
@@ -217,17 +217,17 @@
 
 // readRate returns the rate that the endpoint advertises now and the index of that
 // advertisement. sameInstance is false if the endpoint has restarted.
-func (f *fleet) readRate(e vetchtrail.Endpoint) (rate float64, number int, sameInstance bool) {
+func (f *fleet) readRate(e vetchtrail.Endpoint) (rate float64, index int, sameInstance bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	number = len(f.advertised) - 1
-	return f.advertised[number].rate, number, e.Born.Equal(f.endpointStartedAt)
+	index = len(f.advertised) - 1
+	return f.advertised[index].rate, index, e.Born.Equal(f.endpointStartedAt)
 }
 
 // recordArrival records a request at the endpoint. It returns false if the endpoint has
 // restarted. The limit applies to the request if its host received the current advertisement
-// at least half a second ago, has not restarted since the request, and has run for at least 5
-// s.
+// at least half a second ago, has not restarted since it sent the request, and has run for at
+// least 5 s.
 func (f *fleet) recordArrival(h *host, e vetchtrail.Endpoint, limits *RateLimits) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -96,7 +96,7 @@
 }
 
 // applyLimit stores a reported rate limit. If the rate fell, it drops what this host has
-// leased of the higher one.
+// leased under the higher rate.
 func (l *RateLimits) applyLimit(e vetchtrail.Endpoint, report vetchtrail.RateLimit) {
 	was, is, ok := l.cfg.Table.RecordRateLimit(e.Name, e.Born, report)
 	if !ok {
@@ -108,8 +108,8 @@
 	l.logChange(e, was, is)
 }
 
-// logChange logs that a limit has changed. The first limit and the removal of a limit are
-// always logged, other changes at the rate of logLimiter.
+// logChange logs that a limit has changed. It always logs when an endpoint begins or stops
+// advertising a limit, and other changes at the rate of logLimiter.
 func (l *RateLimits) logChange(e vetchtrail.Endpoint, was, is vetchtrail.RateLimit) {
 	switch {
 	case was.Advertised && !is.Advertised:
--- a/process/ratelimits/strategies_test.go
+++ b/process/ratelimits/strategies_test.go
@@ -17,9 +17,9 @@
 	"vetchtrail"
 )
 
-// equalPart is a strategy without messages between hosts. Some of the hosts use an equal part
+// equalShare is a strategy without messages between hosts. Some of the hosts use an equal share
 // of the rate, each by its own token bucket, and the others use nothing.
-type equalPart struct {
+type equalShare struct {
 	f     *fleet
 	h     *host
 	users func(live, hosts int) int // how many of the live hosts use the endpoint
@@ -30,45 +30,45 @@
 }
 
 // Reserve implements vetchtrail.RateLimiter.
-func (p *equalPart) Reserve(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Reservation, time.Time, bool) {
-	limit, _ := p.h.table.RateLimit(e.Name)
+func (s *equalShare) Reserve(_ context.Context, e vetchtrail.Endpoint) (vetchtrail.Reservation, time.Time, bool) {
+	limit, _ := s.h.table.RateLimit(e.Name)
 	if !limit.Advertised {
 		return vetchtrail.Reservation{}, time.Time{}, true
 	}
 	now := time.Now()
-	alive := hostView{p.f, p.h}.FirstInRegion("r", "use "+e.Name, 1<<16, now)
-	users := min(len(alive), p.users(len(alive), len(p.f.hosts)))
-	index := slices.IndexFunc(alive, func(h vetchtrail.Host) bool { return h.Name == p.h.Name })
+	alive := hostView{s.f, s.h}.FirstInRegion("r", "use "+e.Name, 1<<16, now)
+	users := min(len(alive), s.users(len(alive), len(s.f.hosts)))
+	index := slices.IndexFunc(alive, func(h vetchtrail.Host) bool { return h.Name == s.h.Name })
 	if index >= users {
 		return vetchtrail.Reservation{}, time.Time{}, false
 	}
 	rate := max(limit.Rate, minRate) / float64(users)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.level = min(1+burstSeconds*rate, p.level+rate*now.Sub(p.updatedAt).Seconds())
-	p.updatedAt = now
-	if p.level < 1 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.level = min(1+burstSeconds*rate, s.level+rate*now.Sub(s.updatedAt).Seconds())
+	s.updatedAt = now
+	if s.level < 1 {
 		return vetchtrail.Reservation{}, time.Time{}, false
 	}
-	p.level--
+	s.level--
 	return vetchtrail.Reservation{Endpoint: e.Name}, time.Time{}, true
 }
 
 // Cancel implements vetchtrail.RateLimiter.
-func (p *equalPart) Cancel(vetchtrail.Reservation) {}
+func (s *equalShare) Cancel(vetchtrail.Reservation) {}
 
 // Allows implements vetchtrail.RateLimiter.
-func (p *equalPart) Allows(reservation vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
-	limit, _ := p.h.table.RateLimit(e.Name)
+func (s *equalShare) Allows(reservation vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
+	limit, _ := s.h.table.RateLimit(e.Name)
 	return !limit.Advertised || reservation.Endpoint != ""
 }
 
-// strategies are the strategies to compare, each with the function for equalPart.users. nil is the
+// strategies are the strategies to compare, each with the function for equalShare.users. nil is the
 // strategy of RateLimits: leases from one owner.
 var strategies = map[string]func(live, hosts int) int{
-	"leases":      nil,
-	"equal parts": func(live, _ int) int { return live },
-	"few hosts":   func(live, _ int) int { return min(live, 2) },
+	"leases":       nil,
+	"equal shares": func(live, _ int) int { return live },
+	"few hosts":    func(live, _ int) int { return min(live, 2) },
 }
 
 // TestRateStrategies compares strategies under the same load: how much of the rate is used,
@@ -100,7 +100,7 @@
 		f := &fleet{rnd: rand.New(rand.NewPCG(9, 9)), endpointStartedAt: time.Now(), advertised: []advertisement{{time.Now(), -1}}}
 		if users != nil {
 			f.newLimiter = func(f *fleet, h *host) rateLimiter {
-				return &equalPart{f: f, h: h, users: users, updatedAt: time.Now()}
+				return &equalShare{f: f, h: h, users: users, updatedAt: time.Now()}
 			}
 		}
 		f.populate(hosts)
--- a/process/ratelimits/window_test.go
+++ b/process/ratelimits/window_test.go
@@ -16,17 +16,17 @@
 // worstWindow returns the highest ratio of the requests in a window to its limit, with a
 // description.
 func (f *fleet) worstWindow() (ratio float64, description string) {
-	for i, n := range f.advertised {
+	for i, a := range f.advertised {
 		until := time.Now()
 		if i+1 < len(f.advertised) {
 			until = f.advertised[i+1].at
 		}
-		if n.rate < 0 {
+		if a.rate < 0 {
 			continue
 		}
-		limit := windowFactor*n.rate*window.Seconds() + windowAllowance
-		if got := f.maxInWindow(n.at, until); float64(got)/limit > ratio {
-			ratio, description = float64(got)/limit, fmt.Sprintf("%d requests in 4 s at a rate of %g, limit %g", got, n.rate, limit)
+		limit := windowFactor*a.rate*window.Seconds() + windowAllowance
+		if got := f.maxInWindow(a.at, until); float64(got)/limit > ratio {
+			ratio, description = float64(got)/limit, fmt.Sprintf("%d requests in 4 s at a rate of %g, limit %g", got, a.rate, limit)
 		}
 	}
 	return ratio, description
