--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -64,7 +64,7 @@
 	}}
 }
 
-// report is an endpoint's answer to GET /load.
+// report is an endpoint's response to GET /load.
 type report struct {
 	At      int64 `json:"at"` // when the numbers were taken, in Unix milliseconds; 0: now
 	Running int   `json:"running"`
--- a/process/poll/poll_test.go
+++ b/process/poll/poll_test.go
@@ -19,7 +19,7 @@
 )
 
 // BenchmarkPoll measures the fetch of a load report over loopback. The bytes on the wire are those of both
-// directions, the processor time is that of both sides.
+// directions, and the processor time is that of both sides.
 func BenchmarkPoll(b *testing.B) {
 	for _, n := range []int{1, 27, 67} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
