--- a/process/availability/availability.go
+++ b/process/availability/availability.go
@@ -16,7 +16,7 @@
 
 // Table records announcements of endpoints. *load.Table implements it.
 type Table interface {
-	// RecordAnnouncement records the announcement in an endpoint's answer, and returns the part of it that is new.
+	// RecordAnnouncement records the announcement in an endpoint's response, and returns the part of it that is new.
 	RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) load.AnnouncementNews
 	// RecordAnnouncementByHash does the same for an announcement that another host received. The endpoint is given
 	// by load.NameHash of its name.
--- a/process/availability/availability_test.go
+++ b/process/availability/availability_test.go
@@ -14,28 +14,28 @@
 	"vetchtrail/process/load"
 )
 
-// TestLogLines guards against a log line for each answer: an endpoint that is leaving has one line for its
+// TestLogLines guards against a log line for each response: an endpoint that is leaving has one line for its
 // process instance. Its pauses and the announcements that can't be parsed have at most one line a second together.
 func TestLogLines(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	e := vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4, Born: now}
 	availability := func(second int, leaving bool, pause time.Duration) vetchtrail.Availability {
-		n := vetchtrail.Availability{Leaving: leaving, RequestedAt: now, ReceivedAt: now.Add(time.Duration(second) * time.Second)}
+		a := vetchtrail.Availability{Leaving: leaving, RequestedAt: now, ReceivedAt: now.Add(time.Duration(second) * time.Second)}
 		if pause > 0 {
-			n.PausedUntil = n.ReceivedAt.Add(pause)
+			a.PausedUntil = a.ReceivedAt.Add(pause)
 		}
-		return n
+		return a
 	}
 	cases := map[string]struct {
 		announcements []vetchtrail.Availability
 		err           error
 		want          []string // beginnings of the messages
 	}{
-		"leaving, in each answer":         {[]vetchtrail.Availability{availability(1, true, 0), availability(2, true, 0)}, nil, []string{"endpoint says that it leaves"}},
-		"paused, in several answers":      {[]vetchtrail.Availability{availability(1, false, 4*time.Second), availability(1, false, 5*time.Second)}, nil, []string{"endpoint wants nothing for a time"}},
+		"leaving, in each response":       {[]vetchtrail.Availability{availability(1, true, 0), availability(2, true, 0)}, nil, []string{"endpoint says that it leaves"}},
+		"paused, in several responses":    {[]vetchtrail.Availability{availability(1, false, 4*time.Second), availability(1, false, 5*time.Second)}, nil, []string{"endpoint wants nothing for a time"}},
 		"paused again later":              {[]vetchtrail.Availability{availability(1, false, time.Second), availability(3, false, time.Second)}, nil, []string{"endpoint wants", "endpoint wants"}},
 		"a shorter pause while paused":    {[]vetchtrail.Availability{availability(1, false, time.Minute), availability(3, false, time.Second)}, nil, []string{"endpoint wants"}},
-		"not parsed, in each answer":      {[]vetchtrail.Availability{availability(1, false, 0), availability(1, false, 0)}, vetchtrail.ErrLeaving, []string{"endpoint's availability can't be parsed"}},
+		"not parsed, in each response":    {[]vetchtrail.Availability{availability(1, false, 0), availability(1, false, 0)}, vetchtrail.ErrLeaving, []string{"endpoint's availability can't be parsed"}},
 		"leaving, and a pause not parsed": {[]vetchtrail.Availability{availability(1, true, 0)}, vetchtrail.ErrPause, []string{"endpoint's availability can't be parsed", "endpoint says that it leaves"}},
 	}
 	for name, c := range cases {
@@ -43,9 +43,9 @@
 			table := load.New()
 			table.Configure([]load.EndpointInRegion{{Endpoint: e}})
 			var out bytes.Buffer
-			n := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
+			o := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
 			for _, received := range c.announcements {
-				n.AvailabilityReported(e, received, c.err)
+				o.AvailabilityReported(e, received, c.err)
 			}
 			lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 			assert.Equal(t, len(lines), len(c.want), "%s", out.String())
@@ -56,22 +56,22 @@
 	}
 }
 
-// TestUnknownFields guards against a log line for each answer with an unknown field, against unbounded memory
+// TestUnknownFields guards against a log line for each response with an unknown field, against unbounded memory
 // and metrics for many such fields, and against a field name that breaks a metric's label.
 func TestUnknownFields(t *testing.T) {
 	var out bytes.Buffer
 	table := load.New()
-	n := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
+	o := New(Config{Observer: table, Table: table, Log: slog.New(slog.NewTextHandler(&out, nil))})
 	e := vetchtrail.Endpoint{Name: "e"}
 	for range 3 {
-		n.UnknownField(e, "Server-Mood")
+		o.UnknownField(e, "Server-Mood")
 	}
-	n.UnknownField(e, strings.Repeat("x", 1000)+"\"\n\\")
-	n.UnknownField(e, "a\"b\n\\c\xff")
+	o.UnknownField(e, strings.Repeat("x", 1000)+"\"\n\\")
+	o.UnknownField(e, "a\"b\n\\c\xff")
 	assert.Equal(t, strings.Count(out.String(), "\n"), 3, "%s", out.String())
 	for i := range 3 * maxUnknownFields {
-		n.UnknownField(e, strconv.Itoa(i))
+		o.UnknownField(e, strconv.Itoa(i))
 	}
-	assert.Equal(t, len(n.unknownFields), maxUnknownFields)
+	assert.Equal(t, len(o.unknownFields), maxUnknownFields)
 	assert.Equal(t, strings.Count(out.String(), "\n"), maxUnknownFields)
 }
--- a/process/availability/metrics.go
+++ b/process/availability/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Names of the metrics that count announcements of endpoints and unknown fields of answers.
+// Names of the metrics that count announcements of endpoints and unknown fields of responses.
 const (
 	AnnouncementsMetric = "vetchtrail_endpoint_notices_total"
 	UnknownFieldsMetric = "vetchtrail_endpoint_fields_unknown_total"
