--- a/process/settings/capacity.go
+++ b/process/settings/capacity.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// requestLinkBits is the mean traffic of a request and its answer on a host's link, in bits
-	// in each direction, for prompts of some thousand tokens.
+	// requestLinkBits is the mean traffic of a request and its response on a host's link, in
+	// bits in each direction, for prompts of some thousand tokens.
 	requestLinkBits = 11 * 1024 * 8
 	// requestCoreSeconds is the processor time that a host needs for a request, in seconds of one
 	// core.
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -167,9 +167,9 @@
 const (
 	// tailWeight is the cost of a second of predicted time to the first token.
 	tailWeight = 1
-	// awayWeight is the cost of leaving the caller's region, in addition to the network delay.
-	// It is just enough to prefer the caller's region among equal candidates, so that links
-	// between regions carry no needless traffic.
+	// awayWeight is the cost of forwarding a request out of this host's region, in addition to
+	// the network delay. It is just enough to prefer this host's region among equal
+	// candidates, so that links between regions carry no needless traffic.
 	awayWeight = 0.02
 	// costWeight is the cost of a second of an endpoint's time: the more time requests take,
 	// the fewer are served at peak load.
