--- a/process/journal/history.go
+++ b/process/journal/history.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// contextBefore and contextAfter are how long before and after a request's lines the lines
-	// of its context may be. They allow for listings that are some seconds late.
+	// The context of a request has lines from contextBefore before its first line to
+	// contextAfter after its last one. Both allow for listings that are some seconds late.
 	contextBefore = 10 * time.Second
 	contextAfter  = 5 * time.Second
 )
@@ -123,7 +123,7 @@
 }
 
 // endpointOutcome returns the outcome at the host that called the endpoint: the last outcome with a
-// time of the answer's first byte or, if there is none, the first outcome.
+// time of the response's first byte or, if there is none, the first outcome.
 func (h *History) endpointOutcome() Line {
 	var out Line
 	for _, l := range h.Lines {
@@ -134,8 +134,8 @@
 	return out
 }
 
-// predicted returns the time to the first byte of the answer as predicted by the last decision to
-// run the request at an endpoint.
+// predicted returns the time to the first byte of the response, as predicted by the last decision
+// to run the request at an endpoint.
 func (h *History) predicted() time.Duration {
 	var out time.Duration
 	for _, l := range h.Lines {
--- a/process/journal/history_test.go
+++ b/process/journal/history_test.go
@@ -41,7 +41,7 @@
 		"answered":                              {[][]string{{lineDecision, lineAnswered}}, "a a", "", 0, "as predicted"},
 		"answered late":                         {[][]string{{lineDecision, lineAnsweredLate}}, "a a", "", 0, "began after 700ms where 100ms were predicted"},
 		"refused":                               {[][]string{{lineRefusal, lineRefused}}, "a a", "", 0, "refused without being run: over-capacity at decide"},
-		"answer broken off":                     {[][]string{{lineDecision, lineStreamBroken, lineEndpointGone, lineOtherEndpointGone}}, "a a", "endpoint no longer listed", 0, "may have run: answer-broken at answer, at e1"},
+		"response broken off":                   {[][]string{{lineDecision, lineStreamBroken, lineEndpointGone, lineOtherEndpointGone}}, "a a", "endpoint no longer listed", 0, "may have run: answer-broken at answer, at e1"},
 		"logs of two hosts in any order":        {[][]string{{lineRemoteDecision, lineRemoteAnswered}, {lineForward, lineForwardAnswered}}, "a b b a", "", 0, "as predicted"},
 		"lines of another request":              {[][]string{{lineOtherRequest, lineDecision, lineAnswered}}, "a a", "", 0, "as predicted"},
 		"context by host and time":              {[][]string{{lineOldStoreLost, lineStoreLost, lineOtherHostStoreLost, lineDecision, lineAnswered}}, "a a", "store lost", 0, "as predicted"},
--- a/process/journal/journal.go
+++ b/process/journal/journal.go
@@ -158,7 +158,7 @@
 }
 
 // timeToFirst returns the time from r.At, a request's arrival or an attempt's start, to the first
-// byte of the answer. It is 0 if there was no answer or another host called the endpoint.
+// byte of the response. It is 0 if there was no response or another host called the endpoint.
 func timeToFirst(r *vetchtrail.JournalRecord) time.Duration {
 	if r.Outcome.FirstByte.IsZero() {
 		return 0
--- a/process/journal/lines.go
+++ b/process/journal/lines.go
@@ -18,8 +18,8 @@
 const (
 	MsgDecision = "decision" // where a request is to run, or why it is refused
 	MsgOutcome  = "outcome"  // how a request ended at a host
-	// MsgLost is logged for each attempt that may have run but got no complete answer. The
-	// outcome line describes only the last attempt.
+	// MsgLost is logged for each attempt that may have run but got no complete response.
+	// The outcome line describes only the last attempt.
 	MsgLost = "attempt lost"
 )
 
@@ -44,7 +44,7 @@
 	Home           string            `json:"home,omitempty"`   // the workspace's home region, or the region in which the request arrived
 	Attempt        int               `json:"attempt,omitempty"`
 	PromptTokens   int               `json:"prompt,omitempty"`     // tokens
-	Wait           time.Duration     `json:"wait,omitempty"`       // predicted time to the first byte of the answer; of wait-here: until there is capacity
+	Wait           time.Duration     `json:"wait,omitempty"`       // predicted time to the first byte of the response; of wait-here: until there is capacity
 	Backlog        time.Duration     `json:"backlog,omitempty"`    // until the target has read the prompts sent to it before
 	CachedTokens   int               `json:"holds,omitempty"`      // prompt tokens that the target probably has cached
 	EventInterval  time.Duration     `json:"gap,omitempty"`        // interval between events of the target's streams
@@ -57,8 +57,9 @@
 	Left           time.Duration     `json:"left,omitempty"`       // from the decision to the request's deadline
 	CallerCanRetry bool              `json:"fresh,omitempty"`      // the caller has most of its time left, so it can retry after a refusal
 
-	// Cost of the request in units of the workspace's quota, the remaining quota at this host
-	// and in its region, and the age of these figures.
+	// Cost of the request and remaining quota at this host and in its region, in units of the
+	// workspace's quota. QuotaAge is the age of the oldest quota report from another region;
+	// negative: at least one region has never reported.
 	Charge      float64       `json:"charge,omitempty"`
 	QuotaHere   float64       `json:"quota_here,omitempty"`
 	QuotaRegion float64       `json:"quota_region,omitempty"`
@@ -69,10 +70,10 @@
 	Step            string        `json:"step,omitempty"`
 	Peer            string        `json:"peer,omitempty"`   // endpoint or host where the request ended
 	Took            time.Duration `json:"took,omitempty"`   // from the request's arrival at this host, or the attempt's start
-	First           time.Duration `json:"first,omitempty"`  // from then to the first byte of the answer
+	First           time.Duration `json:"first,omitempty"`  // from then to the first byte of the response
 	Status          int           `json:"status,omitempty"` // HTTP status
-	Events          int           `json:"events,omitempty"` // of a streamed answer
-	ResponseStarted bool          `json:"begun,omitempty"`  // part of the answer was sent to the caller
+	Events          int           `json:"events,omitempty"` // of a streamed response
+	ResponseStarted bool          `json:"begun,omitempty"`  // part of the response was sent to the caller
 	// HostLost reports that the host to which the request was forwarded was lost.
 	HostLost bool   `json:"host_lost,omitempty"`
 	Error    string `json:"error,omitempty"`
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -68,7 +68,7 @@
 	firstDecision Line // first decision at the host that the caller reached
 	lastRun       Line // last decision to run the request at an endpoint
 	outcome       Line // outcome at the host that the caller reached
-	answerBegan   time.Time
+	responseBegan time.Time
 	attempts      int // decisions to run the request at an endpoint
 }
 
@@ -87,7 +87,7 @@
 			r.firstDecision = r.outcome // quarantined requests are refused before any decision
 		}
 		if r.firstDecision.Msg == "" {
-			continue // the only log given is that of the host that the request was forwarded to
+			continue // refused before a decision, or the log of the host that the caller reached is missing
 		}
 		counts[CauseCount{
 			Second: int(r.firstDecision.Time.Sub(out.From).Seconds()), Service: r.firstDecision.Service, Route: r.firstDecision.Route,
@@ -146,11 +146,11 @@
 }
 
 // addOutcome adds an outcome. Its line is written when the request ends; First and Took are measured
-// from the request's arrival at that host, so that the answer began at Time + First - Took.
+// from the request's arrival at that host, so that the response began at Time + First - Took.
 func (r *requestLog) addOutcome(l Line) {
 	if l.First > 0 {
-		if at := l.Time.Add(l.First - l.Took); r.answerBegan.IsZero() || at.Before(r.answerBegan) {
-			r.answerBegan = at
+		if at := l.Time.Add(l.First - l.Took); r.responseBegan.IsZero() || at.Before(r.responseBegan) {
+			r.responseBegan = at
 		}
 	}
 	if l.Hops == 0 {
@@ -191,11 +191,11 @@
 	return CauseLostBeforeAnswer
 }
 
-// lateCause returns why the answer began after the goal; CauseNone if it began in time.
+// lateCause returns why the response began after the goal; CauseNone if it began in time.
 func (r *requestLog) lateCause() Cause {
 	goal := r.firstDecision.Time.Add(r.firstDecision.Goal)
 	switch {
-	case r.firstDecision.Goal == 0 || r.answerBegan.IsZero() || !r.answerBegan.After(goal):
+	case r.firstDecision.Goal == 0 || r.responseBegan.IsZero() || !r.responseBegan.After(goal):
 		return CauseNone
 	case r.attempts > 1:
 		return CauseLateAfterRetry
