--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -1,7 +1,7 @@
 // Package daemon assembles one host of the system from its parts and runs them: the listeners for
-// callers, for peers and operators and for metrics, and the background tasks that keep the host's
-// configuration, membership and endpoint table up to date. It only connects and starts the parts;
-// their logic is in their own packages.
+// callers, for peers and operators, for metrics and for the directory, and the background tasks that
+// keep the host's configuration, membership and endpoint table up to date. It only connects and
+// starts the parts; their logic is in their own packages.
 package daemon
 
 import (
@@ -47,7 +47,8 @@
 	// StoreWatchers is the number of hosts in a data centre that watch the store. The others
 	// fetch configuration changes from their peers.
 	StoreWatchers = 2
-	// pullInterval is the pause between two checks for a peer with a newer configuration.
+	// pullInterval is the pause between two checks for a peer with a newer configuration, and
+	// between two attempts of a starting host to read the configuration from the store.
 	pullInterval = 200 * time.Millisecond
 	// catchUpTimeout bounds one attempt of a starting host to read the configuration from the
 	// store, which may be slow.
@@ -87,7 +88,7 @@
 	Directory func(m *membership.Membership, homes func(name string) (regions []string, known bool)) Directory
 }
 
-// Directory returns to callers the hosts that they are to use, and answers the platform's
+// Directory returns to callers the hosts that they are to use, and responds to the platform's
 // readiness probe.
 type Directory interface {
 	Serve(l net.Listener) error
@@ -335,7 +336,7 @@
 }
 
 // becomeReady sets the host's state to ready once it has the newest configuration that it can
-// obtain: the store's or, if the store doesn't answer, its peers'.
+// obtain: the store's or, if the store doesn't respond, its peers'.
 func (d *Daemon) becomeReady(ctx context.Context) {
 	began := time.Now()
 	for ctx.Err() == nil {
@@ -349,7 +350,7 @@
 }
 
 // catchUp reads the configuration from the store and reports whether the host then has the newest
-// one. If the store still doesn't answer storeFallbackDelay after began, the host's configuration
+// one. If the store still doesn't respond storeFallbackDelay after began, the host's configuration
 // counts as the newest unless a peer reports a newer one.
 func (d *Daemon) catchUp(ctx context.Context, began time.Time) bool {
 	readCtx, cancel := context.WithTimeout(ctx, catchUpTimeout)
--- a/process/daemon/hosted_test.go
+++ b/process/daemon/hosted_test.go
@@ -82,7 +82,7 @@
 }
 
 // TestListingFetchedFromPeer guards against a host that never becomes ready because the platform
-// doesn't answer it: it must fetch the configuration and the listing from a peer. It also guards
+// doesn't respond to it: it must fetch the configuration and the listing from a peer. It also guards
 // against a newer listing that is replaced by an older one, as the host's own feed may deliver an
 // older one later.
 func TestListingFetchedFromPeer(t *testing.T) {
--- a/process/daemon/stop.go
+++ b/process/daemon/stop.go
@@ -28,7 +28,7 @@
 		return nil
 	case <-d.leaveRequested:
 	}
-	d.log.Info("leaving: finishing the requests in flight", "in_flight", d.dispatcher.InFlight())
+	d.log.Info("leaving: refusing forwarded requests and finishing the requests in flight", "in_flight", d.dispatcher.InFlight())
 	d.membership.SetState(vetchtrail.HostLeaving)
 	timing := d.timing.Load()
 	sleep(ctx, timing.Leave) // lets the new state reach the other hosts before the listener closes
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -15,7 +15,7 @@
 	"vetchtrail"
 )
 
-// slowEndpoint starts an endpoint that answers each request with its path after a delay.
+// slowEndpoint starts an endpoint that responds to each request with its path after a delay.
 func slowEndpoint(t *testing.T, delay time.Duration) vetchtrail.Endpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", addr(29, 80).String())
--- a/process/daemon/tls_test.go
+++ b/process/daemon/tls_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestMutualTLS guards against unauthorized hosts and operators: hosts with certificates of the
-// same authority must learn of each other; a host with a certificate of another authority and an
+// same authority must find each other; a host with a certificate of another authority and an
 // operator without a certificate must be rejected.
 func TestMutualTLS(t *testing.T) {
 	trusted, untrusted := newAuthority(t, t.TempDir()), newAuthority(t, t.TempDir())
@@ -96,7 +96,7 @@
 	c := startDaemon(t, "c", 3, untrusted, a.self.PeerAddr)
 	deadline := time.Now().Add(30 * time.Second)
 	for len(a.membership.LocalHosts(time.Now())) < 2 || len(b.membership.LocalHosts(time.Now())) < 2 {
-		assert.Assert(t, time.Now().Before(deadline), "hosts with the same authority do not learn of each other")
+		assert.Assert(t, time.Now().Before(deadline), "hosts with the same authority did not find each other")
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Equal(t, len(c.membership.LocalHosts(time.Now())), 1)
@@ -106,5 +106,5 @@
 	op, err := operator.Dial(ctx, operator.Config{Addr: a.self.PeerAddr})
 	assert.NilError(t, err)
 	_, err = op.Status(ctx, &schema.StatusRequest{})
-	assert.Assert(t, err != nil, "an operator without a certificate got an answer")
+	assert.Assert(t, err != nil, "an operator without a certificate got a response")
 }
