--- a/process/lists/fetch.go
+++ b/process/lists/fetch.go
@@ -29,8 +29,8 @@
 	// rejectedRetryDelay is how long a host that reported being rejected by the platform is
 	// not queried again. Such a query costs a round trip within the region.
 	rejectedRetryDelay = 3 * time.Second
-	// unreachableRetryDelay is how long a host that did not answer is not queried again. Such a
-	// query costs a queryTimeout.
+	// unreachableRetryDelay is how long a host that did not respond is not queried again. Such
+	// a query costs a queryTimeout.
 	unreachableRetryDelay = 5 * time.Second
 )
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// inBackoff reports whether a host is not to be queried now, because it did not answer or
+// inBackoff reports whether a host is not to be queried now, because it did not respond or
 // reported being rejected by the platform.
 func (l *Lists) inBackoff(host string, now time.Time) bool {
 	l.mu.Lock()
@@ -90,8 +90,8 @@
 	return now.Before(l.rejectedUntil[host]) || now.Before(l.unreachableUntil[host])
 }
 
-// recordPeer records whether the platform rejects a host, and whether the host answered. A
-// host that did not answer counts as rejected too: it may have crashed or be cut off, so
+// recordPeer records whether the platform rejects a host, and whether the host responded. A
+// host that did not respond counts as rejected too: it may have crashed or be cut off, so
 // others must poll in its place.
 func (l *Lists) recordPeer(host string, rejected, unreachable bool, now time.Time) {
 	l.mu.Lock()
@@ -177,9 +177,9 @@
 }
 
 // applyReply updates this host's listing from the reply of host h. current was this host's listing
-// when it sent the query. If the reply is a diff that does not fit current, applyReply queries the
-// full listing: while two hosts poll the platform, they may disagree on which endpoints are still
-// listed at a revision.
+// when it sent the query. If the reply is a diff that does not fit current, applyReply queries for
+// the full listing: while two hosts poll the platform, they may disagree on which endpoints are
+// still listed at a revision.
 func (l *Lists) applyReply(ctx context.Context, reply *schema.Listing, h vetchtrail.Host, current *vetchtrail.Listing) error {
 	if reply.GetRevision() == 0 { // no change: only the time of the last poll is newer
 		if current == nil || l.current.Load() != current {
--- a/process/lists/history.go
+++ b/process/lists/history.go
@@ -26,10 +26,10 @@
 	name     string
 }
 
-// record adds the diff between the last listing, of revision before, and the next one, of revision.
-// If two hosts poll the platform and disagree, both listings may have the same revision. Then the
-// diff is recorded under the following revision, so that peers at this one are served it together
-// with the changes of that.
+// record adds the diff from the previous listing, whose revision is before, to the next one, whose
+// revision is revision. Both may be the same if two hosts poll the platform and disagree. The diff
+// is then recorded under the revision before+1, so that peers whose listing has the revision before
+// are served it together with the changes of before+1.
 func (h *history) record(before, revision uint64, d endpointDiff, hostsChanged bool) {
 	revision = max(revision, before+1)
 	if hostsChanged {
--- a/process/lists/lists.go
+++ b/process/lists/lists.go
@@ -101,8 +101,8 @@
 	// rejectedUntil maps the name of a peer to the time until which this host assumes that the
 	// platform rejects the peer.
 	rejectedUntil map[string]time.Time
-	// unreachableUntil maps the name of a peer that did not answer to the time until which it
-	// is not queried again.
+	// unreachableUntil maps the name of a peer that did not respond to the time until which
+	// it is not queried again.
 	unreachableUntil map[string]time.Time
 }
 
@@ -123,9 +123,9 @@
 // Listing returns the current listing; nil: there is none yet.
 func (l *Lists) Listing() *vetchtrail.Listing { return l.current.Load() }
 
-// Update makes next the current listing unless the current one is newer. The current one is newer
-// if it was fetched from a peer, while next is what this host's feed read before the platform
-// began to reject the host.
+// Update makes next the current listing unless the current one is newer. It can be newer if it was
+// fetched from a peer because the platform rejects this host, and if next is what the host's feed
+// read before that.
 func (l *Lists) Update(next vetchtrail.Listing) {
 	l.mu.Lock()
 	current := l.current.Load()
@@ -136,7 +136,7 @@
 	l.cfg.OnUpdate()
 }
 
-// replace makes next the current listing and records how it differs from the last one. The
+// replace makes next the current listing and records how it differs from current. The
 // revision must never decrease, because a peer is served the changes since the revision that it
 // has. The caller holds the lock.
 func (l *Lists) replace(current, next *vetchtrail.Listing) {
@@ -156,7 +156,7 @@
 	l.cfg.Hosts.SetListedHosts(next.Hosts)
 }
 
-// platformStatus tracks whether the platform answers this host.
+// platformStatus tracks whether the platform responds to this host.
 type platformStatus struct {
 	callStarted    atomic.Pointer[time.Time] // start of the call in flight; nil: none
 	lastCallFailed atomic.Bool
--- a/process/lists/query.go
+++ b/process/lists/query.go
@@ -41,16 +41,16 @@
 	queried := map[netip.AddrPort]bool{to: true, l.cfg.Self.PeerAddr: true}
 	next := l.parseReferrals(first)
 	for len(next) > 0 && len(queried) < maxHostsPerQuery {
-		at := next[0]
+		addr := next[0]
 		next = next[1:]
-		if queried[at] {
+		if queried[addr] {
 			continue
 		}
-		queried[at] = true
-		reply, err := l.queryOne(ctx, at, revision)
+		queried[addr] = true
+		reply, err := l.queryOne(ctx, addr, revision)
 		switch {
 		case err != nil:
-			l.cfg.Log.Debug("query to a referred host failed", "peer", at, "error", err)
+			l.cfg.Log.Debug("query to a referred host failed", "peer", addr, "error", err)
 		case reply.GetBusy():
 			next = append(l.parseReferrals(reply), next...)
 		case reply.GetRevision() > 0:
--- a/process/lists/region_test.go
+++ b/process/lists/region_test.go
@@ -230,7 +230,7 @@
 // crashes. The bound is the 5 s of KnownWithin, less half a second for requests that were sent just
 // before. The cases, in their order, take up to 2.3, 3.2, 3.8, 2.4 and 2.8 s. If hosts took over
 // only because of their listing's age, and not at once for hosts that are known to be rejected,
-// they would take up to 2.3, 4.1, 4.5, 5.4 and 4.3 s, which exceeds the bound.
+// they would take up to 2.3, 4.1, 4.5, 5.4 and 4.3 s, and the fourth case would exceed the bound.
 func TestKnownWithin(t *testing.T) {
 	cases := map[string]struct {
 		rejectedShare float64 // share of the hosts that the platform rejects
@@ -238,7 +238,7 @@
 		modes         []rejection
 		crash         bool // the first host crashes
 	}{
-		"the platform answers all":                       {0, 0, []rejection{rejectAtOnce}, false},
+		"the platform rejects none":                      {0, 0, []rejection{rejectAtOnce}, false},
 		"a third is rejected":                            {0.35, 0, []rejection{rejectAtOnce, rejectSilently}, false},
 		"the first three get no reply":                   {0, 3, []rejection{rejectSilently}, false},
 		"the first four get errors":                      {0, 4, []rejection{rejectAtOnce}, false},
@@ -286,11 +286,11 @@
 
 // TestStartupFetch checks that a starting host fetches its first listing within 150 ms after the
 // first seed can serve it, and only once, although other seeds are down or start a little later.
-// It guards against a host that waits for seeds that do not answer, or that fetches the listing
+// It guards against a host that waits for seeds that do not respond, or that fetches the listing
 // from several seeds and overloads their links.
 func TestStartupFetch(t *testing.T) {
 	cases := map[string]struct {
-		up [3]time.Duration // when each seed begins to answer; negative: never
+		up [3]time.Duration // when each seed begins to respond; negative: never
 	}{
 		"one is up":                      {[3]time.Duration{-1, 0, -1}},
 		"all are up":                     {[3]time.Duration{0, 0, 0}},
@@ -344,13 +344,13 @@
 // the peers are much newer.
 func TestRefresh(t *testing.T) {
 	cases := map[string]struct {
-		disconnected bool // the peers do not answer
+		disconnected bool // the peers do not respond
 		old          bool // the peers have an old listing: the platform rejects them
 		upToDate     bool
 	}{
 		"the peers have recent listings": {false, false, true},
 		"the peers have old listings":    {false, true, false},
-		"no peer answers":                {true, false, false},
+		"no peer responds":               {true, false, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/lists/startup.go
+++ b/process/lists/startup.go
@@ -10,13 +10,13 @@
 const (
 	// startupQueryInterval is the pause between the first two rounds of queries of a starting
 	// host; each round queries all seeds at once. A seed that starts at the same time does not
-	// answer until it listens.
+	// respond until it listens.
 	startupQueryInterval = 60 * time.Millisecond
 	// maxStartupQueryInterval is the pause between two rounds after some seconds. It bounds the
 	// queries to the seeds, which hundreds of hosts that start at once have in common.
 	maxStartupQueryInterval = 500 * time.Millisecond
 	// startupQueryTimeout bounds one startup query; it allows two round trips between regions.
-	// If the first packet of a connection gets no answer, TCP resends it only after a second; a
+	// If the first packet of a connection gets no response, TCP resends it only after a second; a
 	// new connection is faster. Without this bound, hosts that start at once would wait that
 	// second for each other's listeners.
 	startupQueryTimeout = 400 * time.Millisecond
@@ -56,7 +56,7 @@
 	}
 }
 
-// canServe reports whether a host answers and has a listing.
+// canServe reports whether a host responds and has a listing.
 func (l *Lists) canServe(ctx context.Context, h vetchtrail.Host) bool {
 	ctx, cancel := context.WithTimeout(ctx, startupQueryTimeout)
 	defer cancel()
