--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -117,7 +117,7 @@
 }
 
 // leavingForRegion returns the leaving endpoints to send to a data centre of a region:
-// those that this host learned of in the last leavingRelayTime. Only hosts of the
+// those that this host recorded in the last leavingRelayTime. Only hosts of the
 // endpoints' own region call them, so other regions are sent none.
 func (m *Membership) leavingForRegion(region string, now time.Time) []*schema.EndpointLeaves {
 	if region != m.cfg.Self.Region || !m.cfg.CallsWholeRegion {
@@ -259,7 +259,7 @@
 
 // mergeDigest replaces the held digest of a data centre by d, which was made at
 // digestTime, if d is newer. It returns false if the members of the newest digest are
-// missing: d came without them, and those held are others. The caller holds the lock.
+// missing: d came without them, and those held differ. The caller holds the lock.
 func (m *Membership) mergeDigest(d *schema.Digest, digestTime, now time.Time) bool {
 	name := d.GetDataCentre()
 	if name == m.self.DataCentre || name == "" {
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -17,7 +17,8 @@
 type Peers interface {
 	// Exchange sends a heartbeat and returns the other host's.
 	Exchange(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error)
-	// Swap sends the digest of this data centre and returns that of the other host's.
+	// Swap sends the digest of this data centre and returns the digest of the other
+	// host's data centre.
 	Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error)
 }
 
@@ -132,9 +133,10 @@
 	return m.newHeartbeat(nil, now)
 }
 
-// newHeartbeat makes a heartbeat to a member, with only what the member was not sent
-// before. For a host that is not known (nil), it makes one with full entries of all
-// live members and nothing else. The caller holds the lock.
+// newHeartbeat makes a heartbeat to a member. It has the entries of this host and of all
+// members that are not dead, except the receiver: short ones where the receiver was sent the
+// full entry before. All else in it is what the receiver was not sent before. For a host
+// that is not known (nil), it has full entries and nothing else. The caller holds the lock.
 func (m *Membership) newHeartbeat(to *member, now time.Time) *schema.Heartbeat {
 	h := &schema.Heartbeat{From: m.self.Name, DataCentre: m.self.DataCentre}
 	if to != nil {
@@ -253,7 +255,7 @@
 }
 
 // leavingRelayTime is how long a host relays that an endpoint is leaving, from when
-// it learned so. A host takes part in about four exchanges each HeartbeatInterval, so
+// it recorded that. A host takes part in about four exchanges each HeartbeatInterval, so
 // each of a hundred hosts is sent it by several others within this time. A full heartbeat
 // has all leaving endpoints.
 const leavingRelayTime = 3 * time.Second
@@ -269,7 +271,7 @@
 	return m.leavingSince(after, now)
 }
 
-// leavingSince returns the leaving endpoints that this host has learned of after a time.
+// leavingSince returns the leaving endpoints that this host recorded after a time.
 func (m *Membership) leavingSince(after, now time.Time) []*schema.EndpointLeaves {
 	var out []*schema.EndpointLeaves
 	for _, l := range m.cfg.Load.LeavingAfter(after, now) {
@@ -296,7 +298,7 @@
 	now := time.Now()
 	if h.GetDataCentre() != m.cfg.Self.DataCentre {
 		// The sender has this host as a seed. Hosts of different data centres
-		// learn of each other by digests.
+		// find each other by digests.
 		return &schema.Heartbeat{From: m.cfg.Self.Name, DataCentre: m.cfg.Self.DataCentre}
 	}
 	m.merge(h, now)
--- a/process/membership/introductions.go
+++ b/process/membership/introductions.go
@@ -8,14 +8,14 @@
 
 const (
 	// maxIntroductions is the number of hosts of its own data centre that a host is
-	// introduced to in one digest exchange. It learns of the others from their heartbeats.
+	// introduced to in one digest exchange. It finds the others by heartbeats.
 	maxIntroductions = 3
 	// maxPendingIntroduced bounds the introduced addresses at which no host is known yet.
 	maxPendingIntroduced = 16
 )
 
 // introductionsFor returns peer addresses of hosts in the data centre that sent a digest,
-// if the sender's members of it differ from those that this host holds.
+// if its members differ between that digest and the one that this host holds.
 //
 // Hosts of one data centre may have no other way to find each other: the platform
 // lists only some hosts, and the seeds in the settings are in a few data centres. The
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -40,14 +40,15 @@
 	forgetAfter       = time.Minute            // time without a newer heartbeat after which a host is removed
 	DigestInterval    = time.Second            // between digest exchanges with a remote data centre
 	// RelayInterval is the minimum time between two relays of one data centre's
-	// digest to the same host, unless the digest reports a newer configuration.
+	// digest to the same host, unless the digest reports a newer configuration or
+	// is sent with its members.
 	RelayInterval = 2 * time.Second
 	// standbyAfter is the age of a data centre's digest from which a second host
 	// exchanges digests with that data centre too: the first may be slow or cut
 	// off from it.
 	standbyAfter     = 5 * DigestInterval / 2
 	reachableFor     = 3 * time.Second  // age of its digest from which a data centre counts as unreachable
-	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after a host sent such a load report
+	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after another host relayed such a load report
 	avoidTime        = 2 * time.Second  // how long nothing is forwarded to a host after a forward to it was lost
 )
 
@@ -123,7 +124,7 @@
 	shortIDs    map[uint32]bool                     // hosts whose full entry it has
 	loadsUpTo   uint64                              // sequence number of the newest load report at the last heartbeat
 	rateLimits  map[string]load.AdvertisedRateLimit // by endpoint
-	leavingUpTo time.Time                           // time up to which learned leaving endpoints were sent; zero: none were sent
+	leavingUpTo time.Time                           // time up to which recorded leaving endpoints were sent; zero: none were sent
 	messages    int                                 // heartbeats sent since the last reset
 }
 
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -98,7 +98,7 @@
 		}
 	}
 	for n := range 40 {
-		task := fmt.Sprint("duty ", n)
+		task := fmt.Sprint("task ", n)
 		assigned := map[string]bool{}
 		for _, m := range all {
 			if m.IsAssigned(task, 2, now) {
@@ -162,12 +162,12 @@
 		after    time.Duration
 		picked   string // names that may be picked
 	}{
-		"nothing lost":                      {nil, 0, "xy"},
-		"an endpoint lost while it answers": {[]vetchtrail.Outcome{endpointLost}, 0, "xy"},
-		"an endpoint that does not listen":  {[]vetchtrail.Outcome{endpointDown}, 0, "xy"},
-		"one host lost":                     {[]vetchtrail.Outcome{hostLost("x")}, 0, "y"},
-		"both hosts lost":                   {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, 0, ""},
-		"both hosts lost a while ago":       {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, avoidTime, "xy"},
+		"nothing lost":                       {nil, 0, "xy"},
+		"an endpoint lost while it responds": {[]vetchtrail.Outcome{endpointLost}, 0, "xy"},
+		"an endpoint that does not listen":   {[]vetchtrail.Outcome{endpointDown}, 0, "xy"},
+		"one host lost":                      {[]vetchtrail.Outcome{hostLost("x")}, 0, "y"},
+		"both hosts lost":                    {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, 0, ""},
+		"both hosts lost a while ago":        {[]vetchtrail.Outcome{hostLost("x"), hostLost("y")}, avoidTime, "xy"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/membership/relay.go
+++ b/process/membership/relay.go
@@ -27,7 +27,8 @@
 
 // due reports whether the newest digest of a data centre is to be relayed to a member.
 // A digest that reports a newer configuration is relayed at once. Any other is relayed no
-// sooner than RelayInterval after the last one, and to at most RelayFanout hosts.
+// sooner than RelayInterval after the last one, and to at most RelayFanout hosts. These
+// limits don't apply to a digest that is sent with its members: see relaysFor.
 func (r relayState) due(d *remote, now time.Time) bool {
 	if !d.digestTime.After(r.digestTime) {
 		return false
