--- a/decision.go
+++ b/decision.go
@@ -41,7 +41,7 @@
 	Target        int // index in View.Endpoints or View.Remotes
 	Name          string
 	Reason        Reason
-	Cost          float64
+	Cost          float64       // of the choice, in weighted seconds
 	Wait          time.Duration // predicted time to the first token; with WaitHere: predicted wait for capacity
 	Backlog       time.Duration // time until the endpoint has processed the prompts that it received before
 	EventInterval time.Duration // interval between two events of its streams
@@ -74,8 +74,8 @@
 	Decide(now time.Time, r *Request, v *View, rnd *rand.Rand) Decision
 }
 
-// View is a snapshot, made for one decision, of what a host knows about the candidates for
-// a request.
+// View is a snapshot, made for one decision, of a host's data about the candidates for a
+// request.
 type View struct {
 	Region         RegionID // of this host
 	Weights        Weights
@@ -97,7 +97,7 @@
 	WaitExhausted   bool    // the request may not wait for capacity any longer
 }
 
-// EndpointView is what a host knows about one endpoint.
+// EndpointView is a host's data about one endpoint.
 type EndpointView struct {
 	Name              string
 	Region            RegionID
@@ -124,7 +124,7 @@
 	RateLeft          float64       // requests that the rate limit still allowed at once, as last reported
 }
 
-// RemoteView is what a host knows about a remote data centre.
+// RemoteView is a host's data about a remote data centre.
 type RemoteView struct {
 	DataCentre       string
 	Region           RegionID
--- a/feed.go
+++ b/feed.go
@@ -32,7 +32,7 @@
 	// independently of polling the listing.
 	ShouldWatchConfiguration() bool
 	// CallStarted is called when a call to the platform begins, and CallEnded when it has
-	// ended; ok reports whether the platform answered. Other hosts poll in place of a host
+	// ended; ok reports whether the call succeeded. Other hosts poll in place of a host
 	// that the platform rejects.
 	CallStarted(now time.Time)
 	CallEnded(ok bool)
--- a/host.go
+++ b/host.go
@@ -12,10 +12,10 @@
 	DataCentre  string
 	CallerAddr  netip.AddrPort // address for callers
 	PeerAddr    netip.AddrPort // address for other hosts and operators
-	Incarnation uint64         // random for each start of the process
+	Incarnation uint64         // start time of the process in Unix nanoseconds, so that each restart has a higher one
 	Revision    uint64         // newest configuration that the host holds
 	State       HostState
-	LastSeen    time.Time // when this host last saw its heartbeat counter increase
+	LastSeen    time.Time // when this host last received an increased heartbeat counter of that host
 	// Capacity is the number of requests per second that the host's network link and
 	// processor allow. It weighs the host against others; 0: not known.
 	Capacity uint32
--- a/mechanism.go
+++ b/mechanism.go
@@ -20,7 +20,7 @@
 	MechanismPromptBacklog                         // count the prompts that an endpoint has not processed yet
 	MechanismStreamPace                            // refuse streams that would end too late, so that the caller retries
 	MechanismUrgentFirst                           // refuse less urgent streams earlier than more urgent ones
-	MechanismShedding                              // refuse streams that would begin too late for their caller
+	MechanismShedding                              // refuse streams that would miss their objective at the first attempt, or begin after their caller gave up
 	MechanismForwarding                            // forward requests to remote data centres
 	MechanismQueueing                              // let requests queue on this host for capacity
 	MechanismForwardAfterWait                      // try to forward a request that has waited in vain before refusing it
--- a/quota.go
+++ b/quota.go
@@ -67,5 +67,5 @@
 	RetryAt    time.Time     // when not granted: when the quota allows the request
 	HostLeft   float64       // units left to this host
 	RegionLeft float64       // units left in the region, as last reported
-	ReportAge  time.Duration // age of the oldest report from another region; negative: none
+	ReportAge  time.Duration // time since the report of the region that has been silent longest; negative: a region has never reported
 }
--- a/record.go
+++ b/record.go
@@ -25,7 +25,7 @@
 	Lost           bool // the record is an attempt whose outcome is unknown
 	ContentHash    ContentHash
 	Outcome        Outcome
-	Took           time.Duration
+	Took           time.Duration // with Ended: duration of the request; with Lost: time since the attempt was sent
 }
 
 // Recorder stores journal records. Record doesn't block.
--- a/request.go
+++ b/request.go
@@ -20,7 +20,7 @@
 	Credential     KeyHash
 	HomeRegion     RegionID  // region of the workspace, or else EntryRegion
 	EntryRegion    RegionID  // region where the request was received from the caller
-	AllowedRegions RegionSet // regions that may process it, by all hosts that have checked it
+	AllowedRegions RegionSet // regions that may process it by the configurations of all hosts that have checked it
 	Priority       int8      // higher is more urgent
 	Deadline       time.Time // no work on the request is started after it
 	Hops           int       // number of times it was forwarded from host to host
