--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -13,7 +13,7 @@
 )
 
 // unknownKeyRetryAfter is the Retry-After for a caller whose key is unknown while this
-// host doesn't know whether its configuration is the newest. By then the host has received
+// host can't determine whether its configuration is the newest. By then the host has received
 // a newer one, or the caller reaches another host.
 const unknownKeyRetryAfter = 500 * time.Millisecond
 
--- a/connection/caller/authentication_test.go
+++ b/connection/caller/authentication_test.go
@@ -39,7 +39,7 @@
 	return current
 }
 
-// echoWorkspace answers with the request's workspace and those forwarded header fields
+// echoWorkspace responds with the request's workspace and those forwarded header fields
 // that concern authentication.
 func echoWorkspace(_ context.Context, r *vetchtrail.Request, w vetchtrail.ResponseWriter) vetchtrail.Outcome {
 	_ = w.Begin(200, nil)
@@ -112,9 +112,9 @@
 	return resp.StatusCode, string(body)
 }
 
-// TestUnknownKeyChecksConfiguration guards against refusing a key that was just added. A
-// host whose configuration is behind does not know the key yet: it must fetch the newest
-// configuration first, and answer 503 rather than 401 if it can't find out.
+// TestUnknownKeyChecksConfiguration guards against refusing a key that was just added. An
+// outdated configuration does not contain the key yet: the host must fetch the newest one
+// first, and respond with 503 rather than 401 if it can't.
 func TestUnknownKeyChecksConfiguration(t *testing.T) {
 	old := newKeyedRules(t)
 	added := newKeyedRules(t, vetchtrail.Workspace{Name: "w", Keys: []vetchtrail.KeyHash{vetchtrail.HashKey("secret")}})
--- a/connection/caller/disconnect_watcher.go
+++ b/connection/caller/disconnect_watcher.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// cancelDisconnected cancels and forgets the requests whose callers have closed their
+// cancelDisconnected cancels and removes the requests whose callers have closed their
 // connections.
 func (w *disconnectWatcher) cancelDisconnected() {
 	w.mu.Lock()
--- a/connection/caller/responses.go
+++ b/connection/caller/responses.go
@@ -32,7 +32,7 @@
 	Peer    string `json:"peer,omitempty"`
 }
 
-// refuseBadRequest answers 400 with err as the detail.
+// refuseBadRequest responds with status 400 and err as the detail.
 func (s *Server) refuseBadRequest(c fiber.Ctx, err error) error {
 	return s.writeProblem(c, vetchtrail.Outcome{
 		Kind: vetchtrail.OutcomeNotRun, Status: fiber.StatusBadRequest, Step: vetchtrail.StepParse,
@@ -40,8 +40,8 @@
 	})
 }
 
-// writeProblem answers an unrouted request that got no response from an endpoint with a
-// problem document. Its Retry-After is in whole seconds.
+// writeProblem responds with a problem document to an unrouted request that has no response
+// from an endpoint. Its Retry-After is in whole seconds.
 func (s *Server) writeProblem(c fiber.Ctx, o vetchtrail.Outcome) error {
 	if !o.RetryAt.IsZero() {
 		after := math.Ceil(time.Until(o.RetryAt).Seconds())
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -40,7 +40,7 @@
 	defaultTimeout = time.Hour
 )
 
-// handleRouted is a middleware that answers requests which match a route. It leaves others
+// handleRouted is a middleware that handles requests which match a route. It leaves others
 // to the handlers of unrouted requests, unless the host serves routes only.
 func (s *Server) handleRouted(c fiber.Ctx) error {
 	h := &c.Request().Header
@@ -166,8 +166,8 @@
 	return s.sendBody(c, r, p)
 }
 
-// refuse answers a routed request that got no response from an endpoint with a problem
-// document. Its Retry-After has fractions of a second.
+// refuse responds with a problem document to a routed request that has no response from an
+// endpoint. Its Retry-After has fractions of a second.
 func (s *Server) refuse(c fiber.Ctx, r *vetchtrail.Request, o vetchtrail.Outcome) error {
 	if !o.RetryAt.IsZero() {
 		after := max(time.Until(o.RetryAt), minRetryAfter)
--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -55,10 +55,10 @@
 	ExposeEndpoint bool               // name the endpoint in a response header
 	Region         string             // this host's region
 	Dialect        vetchtrail.Dialect // for routed requests; nil: dialect.Default
-	RoutesOnly     bool               // answer 404 to requests that match no route
+	RoutesOnly     bool               // respond with 404 to requests that match no route
 	// Refresh fetches the configuration if another host or the store has a newer one, and
 	// applies it. It reports whether the configuration in force is now the newest as far as
-	// this host can know.
+	// this host can determine.
 	Refresh func(ctx context.Context) (upToDate bool)
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// handleError answers requests that the HTTP library refused, such as those with an
+// handleError responds to requests that the HTTP library refused, such as those with an
 // unknown path or a body over the limit.
 func (s *Server) handleError(c fiber.Ctx, err error) error {
 	var fe *fiber.Error
--- a/connection/endpoint/events.go
+++ b/connection/endpoint/events.go
@@ -19,10 +19,10 @@
 // lastEventData is the line that marks the last event of a model's stream.
 var lastEventData = []byte("data: [DONE]")
 
-// positionSeparator separates the parts of an event id that callers see.
+// positionSeparator separates the parts of an event id that callers receive.
 const positionSeparator = "~"
 
-// FormatPosition returns the event id that callers see. It contains the endpoint, the
+// FormatPosition returns the event id that callers receive. It contains the endpoint, the
 // stream and the event's number, so that any host can resume the stream.
 func FormatPosition(p vetchtrail.StreamPosition) string {
 	return p.Endpoint + positionSeparator + p.Stream + positionSeparator + strconv.Itoa(p.Offset)
--- a/connection/endpoint/pool_test.go
+++ b/connection/endpoint/pool_test.go
@@ -31,8 +31,8 @@
 		"well within the announced timeout":          {time.Second, "timeout=2", nil, true, true},
 		"within the margin of the announced timeout": {1600 * time.Millisecond, "timeout=2, max=9", nil, true, false},
 		"invalid announcement":                       {4 * time.Second, "timeout=soon", nil, true, true},
-		"unexpected bytes":                           {0, "", func(o net.Conn) { _, _ = o.Write([]byte("HTTP/1.1 200 OK\r\n")) }, true, false},
-		"closed by the endpoint":                     {0, "", func(o net.Conn) { _ = o.Close() }, true, false},
+		"unexpected bytes":                           {0, "", func(server net.Conn) { _, _ = server.Write([]byte("HTTP/1.1 200 OK\r\n")) }, true, false},
+		"closed by the endpoint":                     {0, "", func(server net.Conn) { _ = server.Close() }, true, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
