--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -12,8 +12,9 @@
 	// contentHashBytes is the length of a request's content hash, which
 	// messages call its digest.
 	contentHashBytes = len(vetchtrail.ContentHash{})
-	// maxTimesQuarantined limits how often another host may report that a
-	// request was quarantined. Each time doubles the length of a quarantine.
+	// maxTimesQuarantined is the largest number of times quarantined (strike)
+	// that a message may state for a request; a larger one is an error. Each
+	// time doubles the length of a quarantine.
 	maxTimesQuarantined = 1 << 16
 )
 
--- a/schema/rate.go
+++ b/schema/rate.go
@@ -10,7 +10,7 @@
 )
 
 // maxRateAge limits the age of a rate limit that another host reports. No process
-// of an endpoint runs for a year, so the limit of an older one can't be in force.
+// of an endpoint runs for a year, so an older limit can't be in force.
 const maxRateAge = 365 * 24 * time.Hour
 
 // FromRateLimit returns the message for the rate limit that a process instance of
