--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -54,7 +54,7 @@
 	log           *slog.Logger
 	retryInterval time.Duration
 	current       atomic.Pointer[rules.Rules] // newest configuration that the host has
-	lastAnswer    atomic.Int64                // when the store last answered, Unix nanoseconds; 0: never
+	lastAnswer    atomic.Int64                // when the store last responded to a read, Unix nanoseconds; 0: never
 
 	mu      sync.Mutex          // guards the fields below and every update of current
 	recent  []vetchtrail.Change // newest changes, without gaps, up to the revision of current
@@ -84,7 +84,7 @@
 // Revision returns the revision of the newest configuration that this host holds.
 func (l *Log) Revision() uint64 { return l.Rules().Revision() }
 
-// LastStoreAnswer returns when the store last answered a read; zero: never.
+// LastStoreAnswer returns when the store last responded to a read; zero: never.
 func (l *Log) LastStoreAnswer() time.Time {
 	n := l.lastAnswer.Load()
 	if n == 0 {
@@ -271,8 +271,8 @@
 
 // Watch applies new revisions from the store until ctx ends. It calls the store
 // only while assigned returns true: this host has the task of watching the store.
-// Otherwise it checks that again after the retry interval. A failed call is
-// repeated after the same interval.
+// Otherwise it calls assigned again after the retry interval. A failed call to the
+// store is repeated after the same interval.
 func (l *Log) Watch(ctx context.Context, assigned func() bool) {
 	for ctx.Err() == nil {
 		if !assigned() {
--- a/version/changelog/changelog_test.go
+++ b/version/changelog/changelog_test.go
@@ -219,14 +219,14 @@
 // TestExpectedRevision checks that a change with an expected revision is only
 // accepted as the next one after it. Propose would break this if it checked the
 // change against one configuration and then wrote it after a newer one, which
-// the host learned from a peer in between.
+// the host received from a peer in between.
 func TestExpectedRevision(t *testing.T) {
 	const rounds = 3000
 	s := &fakeStore{entries: map[string]vetchtrail.StoreEntry{}}
 	local, remote := newLog(s), newLog(s)
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { // another host proposes changes, and this one learns them at any moment
+	all.Go(func() { // another host proposes changes, and this one applies them at any moment
 		for n := 0; ctx.Err() == nil; n++ {
 			c := vetchtrail.Change{ID: fmt.Sprintf("other-%d", n), Edits: []vetchtrail.Edit{
 				vetchtrail.PutWorkspace{Workspace: vetchtrail.Workspace{Name: "w"}},
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -14,13 +14,13 @@
 	"vetchtrail/version/rules"
 )
 
-// ErrOutcomeUnknown means that the store stopped answering while a change was
+// ErrOutcomeUnknown means that the store stopped responding while a change was
 // written, so that the change may still take effect. Proposing it again with
 // the same id shows whether it did.
 var ErrOutcomeUnknown = errors.New("the store stopped answering during the write: the change may take effect")
 
 // Check reports whether a change is valid and fits the configuration that this
-// host holds. It returns the errors of Propose, but writes nothing.
+// host holds. It returns the same errors as Propose if not, and writes nothing.
 func (l *Log) Check(c vetchtrail.Change) error { return check(c, l.Rules()) }
 
 func check(c vetchtrail.Change, current *rules.Rules) error {
@@ -37,8 +37,9 @@
 // against the new configuration and tried at the revision after it.
 //
 // It returns a *vetchtrail.ChangeError for a change that isn't valid, a
-// *vetchtrail.ConflictError if the configuration has moved on, ErrOutcomeUnknown
-// if the change may take effect, and other errors if nothing was written.
+// *vetchtrail.ConflictError if the expected revision is not the newest one or other
+// hosts won every revision that was tried, ErrOutcomeUnknown if the change may take
+// effect, and other errors if nothing was written.
 func (l *Log) Propose(ctx context.Context, c vetchtrail.Change) (uint64, error) {
 	if err := l.CatchUp(ctx); err != nil {
 		return 0, errors.Wrap(err, "changelog.Propose: read the newest configuration")
--- a/version/document/document.go
+++ b/version/document/document.go
@@ -64,8 +64,8 @@
 	Fenced     bool           `yaml:"fenced,omitempty"`   // it checks fencing tokens
 }
 
-// Route selects requests by host name and path and defines which services take
-// them and how.
+// Route selects requests by host name and path and defines which services receive
+// them and how they may be handled.
 type Route struct {
 	Name         string        `yaml:"name"`
 	Host         string        `yaml:"host"`        // value of the request's Host field
@@ -83,7 +83,7 @@
 	Pause        time.Duration `yaml:"pause,omitempty"`     // longest interval between two events of a stream that is in time
 }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string `yaml:"service"`
 	Weight  int    `yaml:"weight"` // share, relative to the sum of the route's weights
--- a/version/rules/workspace.go
+++ b/version/rules/workspace.go
@@ -11,8 +11,9 @@
 	"vetchtrail"
 )
 
-// shardCount is the number of maps over which workspaces are distributed, and also
-// that for keys, so that a change copies a few small maps instead of all entries.
+// shardCount is the number of maps over which workspaces are distributed; keys are
+// distributed over as many. A change then copies a few small maps instead of all
+// entries.
 const shardCount = 256
 
 // noHome is the home of a workspace for which none is configured.
