--- a/cmd/vetchtrail/losses.go
+++ b/cmd/vetchtrail/losses.go
@@ -130,8 +130,9 @@
 	}
 }
 
-// second counts the requests of one second. A request counts as lost if its cause is not
-// journal.CauseNone; so late answers count as lost.
+// second counts the requests of one second. The field second is the number of seconds
+// since the first line of the logs. A request counts as lost if its cause is not
+// journal.CauseNone, so a request with a late response counts too.
 type second struct {
 	second, all, lost int
 	regions, causes   map[string]int // lost requests by home region and by cause
--- a/cmd/vetchtrail/losses_test.go
+++ b/cmd/vetchtrail/losses_test.go
@@ -51,8 +51,8 @@
 	assert.Equal(t, len(lines), 5)
 }
 
-// TestPlotLosses guards against a plot without its legend, and against a file name with
-// an unknown format that is accepted.
+// TestPlotLosses guards against a plot without its legend, and against accepting a file
+// name of an unknown format.
 func TestPlotLosses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a.svg")
 	assert.NilError(t, plotLosses(sampleLosses(), file))
--- a/cmd/vetchtrail/service.go
+++ b/cmd/vetchtrail/service.go
@@ -19,7 +19,7 @@
 	Kind    string        `enum:"model,plain" default:"model" help:"model for a model engine, plain for another HTTP service."`
 	Allowed []string      `help:"Regions that may process its requests; if none are given, only the caller's home region."`
 	Tail    float64       `default:"1" help:"Weight of the predicted time to the first token."`
-	Away    float64       `default:"0" help:"Seconds added to the cost of running a request outside the caller's region."`
+	Away    float64       `default:"0" help:"Seconds added to the cost of running a request outside the region of the host that decides."`
 	Cost    float64       `default:"0" help:"Weight of the engine time used."`
 	Read    float64       `default:"0" help:"Weight of the time to read prompt tokens that an endpoint has not cached."`
 	Within  time.Duration `default:"20s" help:"Longest time that a request may take if its caller sets no deadline."`
