--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -74,17 +74,17 @@
 	}
 }
 
-// hostedPlatform returns the connections to a hosted platform, which package platform
-// implements, or nil if the settings select another kind of platform.
+// hostedPlatform returns the connections to a hosted platform (package platform), or nil
+// if the settings select another kind of platform.
 func hostedPlatform(s *settings.Settings, log *slog.Logger) *daemon.Hosted {
 	if s.Platform.Kind != settings.PlatformHosted {
 		return nil
 	}
 	log = log.With("host", s.Host)
 	return &daemon.Hosted{
-		Feed: func(f vetchtrail.PollCoordinator) vetchtrail.Feed {
+		Feed: func(coordinator vetchtrail.PollCoordinator) vetchtrail.Feed {
 			return platform.NewFeed(platform.FeedConfig{
-				Store: s.Platform.Store, DataCentreRegions: s.Platform.DataCentres, Log: log, PollCoordinator: f, Clock: clock.Boot,
+				Store: s.Platform.Store, DataCentreRegions: s.Platform.DataCentres, Log: log, PollCoordinator: coordinator, Clock: clock.Boot,
 				Weights: platform.Weights{Model: vetchtrail.Weights(s.Platform.Weights.Model), Plain: vetchtrail.Weights(s.Platform.Weights.Plain)},
 			})
 		},
