--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -27,7 +27,7 @@
 // demoCommand runs an example deployment in one process and sends requests to it in
 // steps: in normal operation, while the engines of one region refuse all requests, after
 // that region has recovered, and with workspace keys and a quota. It ends after the last
-// step, with an error if any answer was wrong.
+// step, with an error if any response was wrong.
 type demoCommand struct {
 	Verbose bool `help:"Also print the log lines of the hosts."`
 }
@@ -35,7 +35,7 @@
 const (
 	demoSubnet            = 3                // of the deployment's loopback addresses
 	demoTimeout           = 28 * time.Second // for the whole demo
-	demoTokens            = 12               // length of a model answer
+	demoTokens            = 12               // of a model response
 	regionRecoveryTimeout = 10 * time.Second // within which a recovered region must serve its bound requests again
 )
 
@@ -47,8 +47,8 @@
 }
 
 // stepResult counts the requests of one step of the demo. Wrong are those that failed or
-// got a wrong answer, otherRegion those answered correctly outside the caller's region,
-// and refused those that were refused as expected.
+// got a wrong response, otherRegion those with a correct response from outside the caller's
+// region, and refused those that were refused as expected.
 type stepResult struct {
 	name                                  string
 	requests, wrong, otherRegion, refused int
@@ -201,7 +201,7 @@
 }
 
 // sendFromAllRegions sends requests of each kind from each region: a model request whose
-// answer is streamed, one whose answer is not, one that is bound to the region, and a
+// response is streamed, one whose response is not, one that is bound to the region, and a
 // booking at the plain service. lost contains the regions whose engines refuse requests;
 // requests that are bound to these regions must be refused.
 func (m *demo) sendFromAllRegions(ctx context.Context, lost map[string]bool) {
@@ -225,7 +225,7 @@
 }
 
 // sendModelRequest sends a request to the model through a host of region r, and checks
-// and counts the answer.
+// and counts the response.
 func (m *demo) sendModelRequest(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort, prompt, workspace string, stream bool) {
 	req := client.Request{
 		Host: callerAddr, Service: m.layout.Spec.Model.Name, Workspace: workspace, Prompt: prompt, Tokens: demoTokens, Stream: stream,
@@ -262,7 +262,7 @@
 }
 
 // bookTwice sends the same booking twice, with one idempotency key. The booking may run
-// at most once, so the second answer must be equal to the first.
+// at most once, so the second response must be equal to the first.
 func (m *demo) bookTwice(ctx context.Context, r deployment.RegionSpec, callerAddr netip.AddrPort) {
 	hosts, err := m.system.Client.Hosts(ctx, callerAddr)
 	if err != nil {
@@ -301,7 +301,7 @@
 	return ""
 }
 
-// awaitRegion sends requests that are bound to a region until one is answered, which
+// awaitRegion sends requests that are bound to a region until one succeeds, which
 // shows that the hosts send requests to the region's engines again.
 func (m *demo) awaitRegion(ctx context.Context, r deployment.RegionSpec) error {
 	deadline := time.Now().Add(regionRecoveryTimeout)
--- a/cmd/standin/keys.go
+++ b/cmd/standin/keys.go
@@ -12,10 +12,10 @@
 const (
 	demoWorkspace = "zaklad-nowak"
 	demoKey       = "a-key-of-the-demo"
-	// demoQuota is the unit of the key step. The burst of the workspace's quota, for all
-	// hosts together, is 4 * demoQuota, and the demo sends 8 * demoQuota requests to one
-	// host, so that some exceed the quota.
-	demoQuota = 3
+	// demoQuotaScale scales the key step. The burst of the workspace's quota is
+	// 4 * demoQuotaScale requests for all hosts together, and the demo sends
+	// 8 * demoQuotaScale requests to one host, so that some exceed the quota.
+	demoQuotaScale = 3
 )
 
 // runKeyStep checks authentication and quota of a workspace with a key. Requests without
@@ -25,7 +25,7 @@
 	m.beginStep("keys and quota", "A workspace has a key and a quota: callers with the key are served up to the quota, others are refused.")
 	workspace := vetchtrail.Workspace{
 		Name: demoWorkspace, Keys: []vetchtrail.KeyHash{vetchtrail.HashKey(demoKey)}, Locked: true,
-		Quota: vetchtrail.Quota{Rate: 1, Burst: 4 * demoQuota},
+		Quota: vetchtrail.Quota{Rate: 1, Burst: 4 * demoQuotaScale},
 	}
 	if err := m.putWorkspace(ctx, "a workspace with a key", workspace); err != nil {
 		return err
@@ -34,7 +34,7 @@
 	m.expectRefusal(ctx, "no key", client.Request{Workspace: demoWorkspace}, http.StatusUnauthorized)
 	m.expectRefusal(ctx, "a wrong key", client.Request{Credential: "guess"}, http.StatusUnauthorized)
 	served := 0
-	for range 8 * demoQuota {
+	for range 8 * demoQuotaScale {
 		res := m.system.Client.Do(ctx, m.withDefaults(client.Request{Credential: demoKey}))
 		m.currentStep().requests++
 		switch {
@@ -47,8 +47,8 @@
 		}
 	}
 	fmt.Printf("   with the key: %d served, the rest beyond the quota\n", served)
-	if served == 0 || served == 8*demoQuota {
-		m.recordWrong(r, client.Result{Detail: fmt.Sprintf("%d of %d were served", served, 8*demoQuota)})
+	if served == 0 || served == 8*demoQuotaScale {
+		m.recordWrong(r, client.Result{Detail: fmt.Sprintf("%d of %d were served", served, 8*demoQuotaScale)})
 	}
 	workspace.Keys = nil
 	if err := m.putWorkspace(ctx, "remove the key", workspace); err != nil {
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -76,8 +76,8 @@
 }
 
 // tailFirst is the value of --policies for the weighted policy with the model weights of
-// the deployment wycena, which favour a short time to the first token. It allows to
-// compare them with the weights of the deployment cadastral, which avoid other regions.
+// the deployment wycena, which favour a short time to the first token. With the
+// deployment cadastral, they can be compared with its own weights, which avoid other regions.
 const tailFirst = "tail-first"
 
 // variant returns the deployment to run and the name of its policy for a value of
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -102,7 +102,7 @@
 	return serve(ctx, c.Addr, platform.NewEndpointList(c.Lag))
 }
 
-// directoryCommand runs a stand-in for the directory, from which clients read the
+// directoryCommand runs a stand-in for the directory, from which callers read the
 // addresses of the entry hosts.
 type directoryCommand struct {
 	Addr  netip.AddrPort   `arg:"" help:"Address to listen on."`
