--- a/standin/capacity/model.go
+++ b/standin/capacity/model.go
@@ -45,7 +45,7 @@
 	maxStoreWritesPerSecond = 100  // by all hosts together
 
 	secondsPerDay  = 86400
-	answerBytes    = 2 << 10 // mean size of a buffered response, an assumption
+	responseBytes  = 2 << 10 // mean size of a buffered response, an assumption
 	keyRecordBytes = 512     // record of an idempotency key, without the response
 )
 
@@ -73,10 +73,10 @@
 	ExchangeWireOverhead LinearFit // bytes of an exchange besides the payload, over the payload
 	PollCPU              LinearFit // of one poll of an endpoint, over endpoints
 	PollWireBytes        LinearFit // of one poll of an endpoint, over endpoints
-	ConfigurationHeap    LinearFit // over workspaces
+	ConfigurationHeap    LinearFit // bytes, over workspaces
 	ChangeCPU            LinearFit // of a change of the configuration, over workspaces
 	ChangeWrites         LinearFit // writes to the store for a change, over workspaces
-	EndpointTableHeap    LinearFit // over endpoints
+	EndpointTableHeap    LinearFit // bytes, over endpoints
 	KeyRecordsAllocated  LinearFit // bytes allocated for idempotency keys, over records
 }
 
@@ -133,8 +133,8 @@
 	messages := 2 * exchanges
 	polls := endpointsPerCentre / hostsPerCentre / pollSeconds
 	// A message to a peer contains only the load reports that are newer than the previous
-	// message to this peer. Of the endpoints that this host polls, each has a new report in
-	// the share reportShare of the messages.
+	// message to this peer. For each endpoint that this host polls, reportShare is the share
+	// of the messages that contain a new load report of it.
 	endpointsPerHost := endpointsPerCentre / hostsPerCentre
 	peers := min(hostsPerCentre-1, 2*membership.GossipPeersPerDoubling*math.Ceil(math.Log2(hostsPerCentre))) // those that this host chose, and those that chose this host
 	messagesPerPeer := messages / max(peers, 1)
@@ -181,7 +181,7 @@
 		},
 		{
 			Role: "at-most-once keeper", Mechanism: "keys bound to their issuer's incarnation; nothing shared",
-			Memory: s.RequestsPerSecond / s.Hosts * s.AtMostOnceShare * (settings.Default().Timing.KeyTime + 10*time.Minute).Seconds() * (keyRecordBytes + answerBytes),
+			Memory: s.RequestsPerSecond / s.Hosts * s.AtMostOnceShare * (settings.Default().Timing.KeyTime + 10*time.Minute).Seconds() * (keyRecordBytes + responseBytes),
 		},
 		{
 			Role: "discovery", Mechanism: "GET /v1/hosts from what membership holds; counted with the callers' requests",
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,6 +1,6 @@
 // Package client is an HTTP client of the entry hosts, for the demo, the scenarios, the
-// soak and the load runs. It reads each answer to its end; Request.IsCorrect compares an
-// answer with the one that the stand-in engine must return. The package also sets the
+// soak and the load runs. It reads each response to its end; Request.IsCorrect compares a
+// response with the one that the stand-in engine must return. The package also sets the
 // faults of the stand-ins and reads their records.
 package client
 
@@ -24,18 +24,18 @@
 
 // Result is the result of one request as its caller observed it.
 type Result struct {
-	Status           int    // HTTP status; 0: no answer
-	Outcome          string // field of the problem document, as are Reason and Detail; empty: the answer is no problem document
+	Status           int    // HTTP status; 0: no response
+	Outcome          string // field of the problem document, as are Reason and Detail; empty: the response is no problem document
 	Reason           string
 	Detail           string
 	RetryAt          time.Time     // end of the Retry-After of a problem document; zero: it has none
-	Complete         bool          // the answer was received to its end: the whole body, or the last event of a stream
-	Text             string        // content of the answer, as far as it was received
+	Complete         bool          // the response was received to its end: the whole body, or the last event of a stream
+	Text             string        // content of the response, as far as it was received
 	LastEventID      string        // id of the newest event
 	Endpoint         string        // name of the endpoint, from X-Vetchtrail-Endpoint
-	TimeToFirstToken time.Duration // until the first event, or the end of an answer that is not streamed
-	Took             time.Duration // from sending the request to the end of the answer
-	Err              error         // why the request could not be sent, or the answer could not be read
+	TimeToFirstToken time.Duration // until the first event, or the end of a response that is not streamed
+	Took             time.Duration // from sending the request to the end of the response
+	Err              error         // why the request could not be sent, or the response could not be read
 }
 
 // Client calls entry hosts.
@@ -55,7 +55,7 @@
 	Service             string
 	Workspace           string // sent as X-Workspace; empty: none is sent
 	Prompt              string
-	Tokens              int // of the answer
+	Tokens              int // of the response
 	Stream              bool
 	Key                 string        // idempotency key; empty: none
 	Timeout             time.Duration // sent as Request-Timeout; 0: none is sent
@@ -65,17 +65,17 @@
 	Credential          string        // API key of a workspace; empty: none is sent
 }
 
-// rawPrompt returns the prompt in the form from which the engine derives its answer: the
-// JSON of the message's content.
+// rawPrompt returns the prompt in the form from which the engine derives its response:
+// the JSON of the message's content.
 func (req Request) rawPrompt() string {
 	b, _ := json.Marshal(req.Prompt)
 	return string(b)
 }
 
-// ExpectedText returns the complete answer that the engine must return.
+// ExpectedText returns the complete text that the engine must return.
 func (req Request) ExpectedText() string { return engine.Answer(req.rawPrompt(), req.Tokens) }
 
-// IsCorrect reports whether a result is the complete and correct answer.
+// IsCorrect reports whether a result is the complete and correct response.
 func (req Request) IsCorrect(r Result) bool {
 	return r.Status == http.StatusOK && r.Complete && r.Text == req.ExpectedText()
 }
@@ -94,8 +94,8 @@
 	Messages  []message `json:"messages"`
 }
 
-// Do sends a completion request and reads its answer to the end, or up to the event
-// of StopAfter.
+// Do sends a completion request and reads its response to the end, or up to the
+// event of StopAfter.
 func (c *Client) Do(ctx context.Context, req Request) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -134,8 +134,8 @@
 	return c.send(ctx, method, "http://"+host.String()+"/services/"+service+path, h, []byte(text), 0)
 }
 
-// send sends a request and reads its answer: a stream of events, a problem document or a
-// body, by the content type.
+// send sends a request and reads its response: a stream of events, a problem document
+// or a body, by the content type.
 func (c *Client) send(ctx context.Context, method, url string, h http.Header, text []byte, stopAfter int) Result {
 	began := time.Now()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(text))
@@ -176,7 +176,7 @@
 	}
 }
 
-// readBody reads an answer that is not streamed. The text is the content of a
+// readBody reads a response that is not streamed. The text is the content of a
 // completion, or the body as it is.
 func (r *Result) readBody(in io.Reader, began time.Time) {
 	text, err := io.ReadAll(in)
@@ -224,7 +224,7 @@
 	}
 }
 
-// Hosts is the answer to GET /v1/hosts: the hosts that a caller may use, and an
+// Hosts is the response to GET /v1/hosts: the hosts that a caller may use, and an
 // idempotency key for one request.
 type Hosts struct {
 	Hosts []struct {
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -82,7 +82,7 @@
 }
 
 // Wycena returns a deployment of three regions. Its weights favour a short time to the
-// first token over staying in the caller's region.
+// first token: the cost of leaving the region of the host that decides is low.
 func Wycena(subnet int) Spec {
 	return Spec{
 		Subnet: subnet, Delay: 20 * time.Millisecond,
@@ -96,8 +96,8 @@
 	}
 }
 
-// Cadastral returns a deployment of three regions. Its weights add a high cost to
-// endpoints outside the caller's region.
+// Cadastral returns a deployment of three regions. Its weights add a high cost
+// for leaving the region of the host that decides.
 func Cadastral(subnet int) Spec {
 	return Spec{
 		Subnet: subnet, Delay: 25 * time.Millisecond,
--- a/standin/engine/announcement.go
+++ b/standin/engine/announcement.go
@@ -9,10 +9,10 @@
 	"vetchtrail/connection/dialect"
 )
 
-// Announcement is what an engine announces about its availability in its answers, in
+// Announcement is what an engine announces about its availability in its responses, in
 // addition to its rate limit.
 type Announcement struct {
-	Leaving       string `json:"leaving"` // value of the header X-Leaving in all answers; empty: no header
+	Leaving       string `json:"leaving"` // value of the header X-Leaving in all responses; empty: no header
 	RejectSeconds string `json:"away"`    // Retry-After, in seconds, with which it rejects all requests; empty: it accepts them
 	// NewInstance makes the engine report the uptime of a process that has just started.
 	NewInstance bool `json:"anew"`
@@ -43,7 +43,7 @@
 	}
 }
 
-// announce sets the headers of an answer that announce the rate limit and the
+// announce sets the headers of a response that announce the rate limit and the
 // availability.
 func (s *Server) announce(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// reject answers a request that the engine does not start. Retry-After contains the
+// reject responds to a request that the engine does not start. Retry-After contains the
 // seconds for which hosts must send no requests.
 func reject(ctx *fasthttp.RequestCtx, seconds string) {
 	ctx.Response.Header.Set("X-Not-Started", "1")
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -19,11 +19,11 @@
 // streamRetention is how long after its start a stream can be resumed.
 const streamRetention = time.Minute
 
-// stream is an answer that is being generated. Several connections may read it.
+// stream is a response that is being generated. Several connections may read it.
 type stream struct {
 	mu           sync.Mutex
 	tokens       []string           // generated so far
-	complete     bool               // the answer has all its tokens
+	complete     bool               // the response has all its tokens
 	ended        bool               // no token follows, whether complete or not
 	changed      chan struct{}      // closed and replaced at each change
 	cancel       context.CancelFunc // ends the generation
@@ -45,7 +45,7 @@
 	st.notify()
 }
 
-// markComplete marks that the answer has all its tokens. finish follows it.
+// markComplete marks that the response has all its tokens. finish is called after it.
 func (st *stream) markComplete() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -68,8 +68,8 @@
 
 // read waits for the token of index n and returns it. While it waits, it calls giveUp
 // every few milliseconds. ok is false if the stream ended before that token, or if
-// giveUp returned true. If ok is false, completed reports whether the answer has all
-// its tokens.
+// giveUp returned true. If ok is false, completed reports whether the response has
+// all its tokens.
 func (st *stream) read(n int, giveUp func() bool) (token string, ok, completed bool) {
 	for {
 		st.mu.Lock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// handleCompletion answers a completion request. It rejects the request without
+// handleCompletion serves a completion request. It rejects the request without
 // starting it if a fault or an announcement requires that, or if the queue is full.
 func (s *Server) handleCompletion(ctx *fasthttp.RequestCtx) {
 	f := s.consumeFaults()
@@ -146,7 +146,7 @@
 	st.addReader()
 	prompt := req.promptText()
 	s.crashIfPoison(prompt)
-	go s.generate(generationCtx, st, prompt, req.answerTokens())
+	go s.generate(generationCtx, st, prompt, req.responseTokens())
 	if req.Stream {
 		s.sendEvents(ctx, st, 0, f)
 		return
@@ -200,7 +200,7 @@
 }
 
 // handleResume sends the rest of a stream after the event that the caller names in
-// Last-Event-Id. It answers with status 410 if the stream is unknown.
+// Last-Event-Id. It responds with status 410 if the stream is unknown.
 func (s *Server) handleResume(ctx *fasthttp.RequestCtx, requestID string) {
 	from, err := strconv.Atoi(string(ctx.Request.Header.Peek("Last-Event-Id")))
 	s.mu.Lock()
@@ -243,7 +243,7 @@
 	})
 }
 
-// finishEvents ends a stream: with the last event [DONE] if the answer is complete,
+// finishEvents ends a stream: with the last event [DONE] if the response is complete,
 // otherwise by closing the connection.
 func finishEvents(w *bufio.Writer, conn net.Conn, completed bool) {
 	if !completed {
@@ -254,19 +254,19 @@
 	_ = w.Flush()
 }
 
-// Chunk is the data of an event, or an answer that is not streamed.
+// Chunk is the data of an event, or a response that is not streamed.
 type Chunk struct {
 	Object  string   `json:"object"`
 	Choices []Choice `json:"choices"`
 }
 
-// Choice is the only choice of a chunk or an answer.
+// Choice is the only choice of a chunk.
 type Choice struct {
 	Delta   *Message `json:"delta,omitempty"`   // of an event
-	Message *Message `json:"message,omitempty"` // of an answer that is not streamed
+	Message *Message `json:"message,omitempty"` // of a response that is not streamed
 }
 
-// Message is a part of the answer's text, or all of it.
+// Message is a part of the response's text, or all of it.
 type Message struct {
 	Content string `json:"content"`
 }
@@ -276,7 +276,7 @@
 	return Chunk{Object: "chat.completion.chunk", Choices: []Choice{{Delta: &Message{Content: token}}}}
 }
 
-// sendWhole sends the answer as one body once it is complete. It closes the
+// sendWhole sends the response as one body once it is complete. It closes the
 // connection if the generation ends before that.
 func (s *Server) sendWhole(ctx *fasthttp.RequestCtx, st *stream) {
 	defer st.removeReader()
--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -56,7 +56,8 @@
 }
 
 // resetState gives the engine the state of a process that has just started. The
-// injected faults, the advertised rate limit, the totals and the history stay.
+// injected faults, the advertised rate limit, the records of requests, the totals and the
+// history of crashes stay.
 func (s *Server) resetState() {
 	s.ClearCache()
 	s.mu.Lock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,8 +1,8 @@
 // Package engine is a stand-in for a model engine: it simulates the timing of an engine
 // and runs no model. It decodes several requests at once, caches prompt prefixes in
 // limited memory, slows down as its batch fills, reports its load with a lag, and
-// resumes and cancels streams. Its answers are a function of the prompt, so that a test
-// can detect a wrong or truncated answer.
+// resumes and cancels streams. Its responses are a function of the prompt, so that a test
+// can detect a wrong or truncated response.
 //
 // Its paths besides /v1/ are:
 //
@@ -35,8 +35,8 @@
 	Slots   int           // requests decoded at once
 	Queue   int           // requests that may wait for a slot; further ones are rejected
 	Prefill time.Duration // for each prompt token that is not cached
-	Step    time.Duration // between two tokens of a request that is decoded alone
-	Drag    float64       // share by which a step takes longer if all slots are in use
+	Step    time.Duration // between two tokens of a request, before the slowdown by Drag
+	Drag    float64       // share by which a step takes longer if all slots are in use; proportional to the slots in use
 	Cache   int           // capacity of the prefix cache, in prompt tokens
 	Lag     time.Duration // minimum age of the load reports that it returns
 	// Crash sets when it crashes under a poison request.
@@ -46,13 +46,13 @@
 // Faults are the faults that the engine injects into its requests.
 type Faults struct {
 	Slow      float64       `json:"slow"`       // factor on all times; 0: 1
-	Refuse    bool          `json:"refuse"`     // answer with status 503, and X-Not-Started, as nothing was executed
-	Reset     int           `json:"reset"`      // number of further requests whose connection is closed without an answer
+	Refuse    bool          `json:"refuse"`     // respond with status 503, and X-Not-Started, as nothing was executed
+	Reset     int           `json:"reset"`      // number of further requests whose connection is closed without a response
 	CutAfter  int           `json:"cut_after"`  // events after which the connection of a stream is closed; 0: never
 	EndEarly  int           `json:"end_early"`  // events after which a stream ends without an error and without its last event; 0: never
-	Nonsense  bool          `json:"nonsense"`   // answer with bytes that are not HTTP
-	Silent    bool          `json:"silent"`     // start requests and never answer, until the caller closes the connection
-	NoReports bool          `json:"no_reports"` // answer /load with status 503
+	Nonsense  bool          `json:"nonsense"`   // respond with bytes that are not HTTP
+	Silent    bool          `json:"silent"`     // start requests and never respond, until the caller closes the connection
+	NoReports bool          `json:"no_reports"` // respond to /load with status 503
 	Leaving   bool          `json:"leaving"`    // report in /load that the engine is leaving; it still executes requests
 	Delay     time.Duration `json:"delay"`      // before a request is started, in nanoseconds
 }
@@ -65,7 +65,7 @@
 
 	mu           sync.Mutex
 	faults       Faults
-	rateLimit    string // requests a second, as announced in its answers; empty: not announced
+	rateLimit    string // requests a second, as advertised in its responses; empty: not advertised
 	announced    Announcement
 	startedAt    time.Time       // of the process instance; reset after a crash
 	running      int             // slots in use
@@ -125,7 +125,7 @@
 	return s.stats
 }
 
-// handle answers a request by its path; the package comment lists the paths.
+// handle serves a request by its path; the package comment lists the paths.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -179,14 +179,14 @@
 	s.rateLimit = rateLimit
 }
 
-// writeJSON answers a request with a value as JSON.
+// writeJSON responds to a request with a value as JSON.
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
 	body, _ := json.Marshal(v)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
 }
 
-// loadReport is the answer to GET /load.
+// loadReport is the response to GET /load.
 type loadReport struct {
 	At      int64 `json:"at"`      // Unix time of the figures, in milliseconds
 	Running int   `json:"running"` // slots in use
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	defaultAnswerTokens = 16   // of a request that sets no max_tokens
-	maxAnswerTokens     = 4096 // most tokens of any answer
-	bytesPerToken       = 4    // of a prompt
-	tokensPerBlock      = 16   // of the prefix cache, which finds whole blocks only
+	defaultResponseTokens = 16   // of a request that sets no max_tokens
+	maxResponseTokens     = 4096 // most tokens of any response
+	bytesPerToken         = 4    // of a prompt
+	tokensPerBlock        = 16   // of the prefix cache, which finds whole blocks only
 )
 
 // completionRequest holds the fields of a completion request that the engine reads.
@@ -41,21 +41,21 @@
 	return b.String()
 }
 
-// answerTokens returns the number of tokens of the answer.
-func (r *completionRequest) answerTokens() int {
+// responseTokens returns the number of tokens of the response.
+func (r *completionRequest) responseTokens() int {
 	if r.MaxTokens <= 0 {
-		return defaultAnswerTokens
+		return defaultResponseTokens
 	}
-	return min(r.MaxTokens, maxAnswerTokens)
+	return min(r.MaxTokens, maxResponseTokens)
 }
 
-// Token returns the token of index n, from 0, of the answer to a prompt. The
+// Token returns the token of index n, from 0, of the response to a prompt. The
 // prompt is the raw JSON of its contents one after the other.
 func Token(prompt string, n int) string {
 	return fmt.Sprintf("%08x-%d ", uint32(xxhash.Sum64String(prompt)), n)
 }
 
-// Answer returns the complete answer to a prompt.
+// Answer returns the text of the complete response to a prompt.
 func Answer(prompt string, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
@@ -112,8 +112,8 @@
 	s.running--
 }
 
-// generate waits for a slot and fills a stream with the answer's tokens at the
-// engine's speed, until the answer is complete or ctx ends.
+// generate waits for a slot and fills a stream with the response's tokens at the
+// engine's speed, until the response is complete or ctx ends.
 func (s *Server) generate(ctx context.Context, st *stream, prompt string, tokens int) {
 	defer st.finish(ctx)
 	if !s.acquireSlot(ctx) {
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -52,7 +52,7 @@
 }
 
 // Start starts the stand-ins and the daemons and waits until the store and all
-// daemons answer.
+// daemons respond.
 func Start(ctx context.Context, c Config) (*Fleet, error) {
 	f := &Fleet{
 		cfg: c, Client: client.New(), startCalls: make(chan func()),
@@ -76,7 +76,7 @@
 	}
 }
 
-// startAll starts all processes and waits until they answer.
+// startAll starts all processes and waits until they respond.
 func (f *Fleet) startAll(ctx context.Context) error {
 	d := &f.cfg.Deployment
 	pipes := filepath.Join(f.cfg.Directory, "pipes.json")
@@ -109,7 +109,7 @@
 	return f.awaitAll(ctx)
 }
 
-// awaitAll waits until the store and all daemons answer.
+// awaitAll waits until the store and all daemons respond.
 func (f *Fleet) awaitAll(ctx context.Context) error {
 	err := f.Await(ctx, "the store", func() bool {
 		return f.Client.Get(ctx, f.cfg.Deployment.Store, "/faults", nil) == nil
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// AwaitHost waits until the daemon of a host answers on its callers' address.
+// AwaitHost waits until the daemon of a host responds on its callers' address.
 func (f *Fleet) AwaitHost(ctx context.Context, name string) error {
 	s, err := f.Settings(name)
 	if err != nil {
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -22,10 +22,10 @@
 
 // Faults are the faults that the store injects into its calls.
 type Faults struct {
-	Outage        bool          `json:"outage"`       // answer every call with status 500
-	Silent        bool          `json:"silent"`       // answer every call only after a minute
+	Outage        bool          `json:"outage"`       // respond to every call with status 500
+	Silent        bool          `json:"silent"`       // respond to every call only after a minute
 	LoseResponses int           `json:"lose_answers"` // number of further writes that take effect, but whose connection is closed without a response
-	Delay         time.Duration `json:"delay"`        // before each answer, in nanoseconds
+	Delay         time.Duration `json:"delay"`        // before each response, in nanoseconds
 	Writes        int           `json:"writes"`       // limit per second; 0: no limit; negative: no write is allowed
 	Reads         int           `json:"reads"`        // limit per second; 0: no limit; negative: no read is allowed
 }
@@ -34,7 +34,7 @@
 type Counts struct {
 	Writes  int `json:"writes"`  // calls other than GET, whether they took effect or not
 	Reads   int `json:"reads"`   // GET calls
-	Lost    int `json:"lost"`    // writes that took effect without an answer
+	Lost    int `json:"lost"`    // writes that took effect without a response
 	Refused int `json:"refused"` // calls during Outage or Silent, and calls over a limit
 }
 
@@ -84,7 +84,7 @@
 	return s.counts
 }
 
-// handle answers a request by its path: a key, or /faults.
+// handle serves a request by its path: a key, or /faults.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -113,7 +113,7 @@
 	s.SetFaults(f)
 }
 
-// handleKey answers a call on a key. It first counts the call and applies the faults.
+// handleKey serves a call on a key. It first counts the call and applies the faults.
 func (s *Server) handleKey(ctx *fasthttp.RequestCtx, key string) {
 	f, ok := s.countCall(!ctx.IsGet())
 	if f.Silent {
@@ -224,7 +224,7 @@
 }
 
 // write stores a value. done is false if cas is set and the key's index is not
-// the expected one. If lost is true, the caller must not answer the write.
+// the expected one. If lost is true, the caller must not respond to the write.
 func (s *Server) write(key string, value []byte, cas bool, expect uint64) (done, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -44,7 +44,7 @@
 	return append([]Execution(nil), l.executions...)
 }
 
-// WriteJSON answers an HTTP request with the executions.
+// WriteJSON responds to an HTTP request with the executions.
 func (l *Ledger) WriteJSON(ctx *fasthttp.RequestCtx) {
 	body, _ := json.Marshal(l.All())
 	ctx.SetContentType("application/json")
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -99,7 +99,7 @@
 	_ = l.Close()
 }
 
-// isOpen reports whether the link is not cut. It then accepts new connections, and
+// isOpen reports whether the link is not cut. Such a link accepts new connections, and
 // delivers bytes to the side that opened a connection.
 func isOpen(f Fault) bool { return !f.Cut }
 
--- a/standin/loadrun/faults.go
+++ b/standin/loadrun/faults.go
@@ -63,7 +63,8 @@
 }
 
 // loseRegion ends the hosts of the lost region at once, makes its engines refuse
-// requests, and makes its callers use the hosts of the next region.
+// requests and return no load reports, and makes its callers use the hosts of the next
+// region.
 func (r *run) loseRegion() {
 	name := r.d.Spec.Regions[lostRegionIndex].Name
 	r.mu.Lock()
@@ -81,8 +82,9 @@
 	}
 }
 
-// restoreRegion starts the engines of the lost region again, with empty caches, and
-// its hosts. Once all hosts are ready, its callers use them again.
+// restoreRegion clears the caches and the faults of the lost region's engines, so that
+// they accept requests again, and starts the region's hosts. Once all of these hosts are
+// ready, the region's callers use them again.
 func (r *run) restoreRegion() {
 	name := r.d.Spec.Regions[lostRegionIndex].Name
 	r.eachEngine(func(e *engine.Server, region string) {
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -66,16 +66,16 @@
 }
 
 const (
-	warmUpShare       = 0.15 // beginning of a run, as a share of its length, that is not measured
-	boundShare        = 0.12 // share of the requests of workspaces that are bound to a region
-	prefixSkew        = 1.1  // exponent of the Zipf distribution of the prefixes
-	prefixBytes       = 1200
-	uniqueBytes       = 400 // of a prompt, after the shared prefix
-	minAnswerTokens   = 16
-	extraAnswerTokens = 32 // an answer has fewer than this above the minimum
-	slowFactor        = 5
-	tripleLoadFactor  = 3
-	maxInFlight       = 4000 // requests at the same time, which bounds the memory; further arrivals wait
+	warmUpShare         = 0.15 // beginning of a run, as a share of its length, that is not measured
+	boundShare          = 0.12 // share of the requests of workspaces that are bound to a region
+	prefixSkew          = 1.1  // exponent of the Zipf distribution of the prefixes
+	prefixBytes         = 1200
+	uniqueBytes         = 400 // of a prompt, after the shared prefix
+	minResponseTokens   = 16
+	extraResponseTokens = 32 // a response has fewer than this above the minimum
+	slowFactor          = 5
+	tripleLoadFactor    = 3
+	maxInFlight         = 4000 // requests at the same time, which bounds the memory; further arrivals wait
 )
 
 // regionShares are the shares of the arrivals by region. They differ because real regions
@@ -94,7 +94,7 @@
 	region     int           // index of the caller's region
 	bound      bool          // its workspace is bound to the region
 	prompt     string
-	tokens     int // of the answer
+	tokens     int // of the response
 	hostChoice int // selects one of the region's hosts: taken modulo their number
 }
 
@@ -111,7 +111,7 @@
 	for at := 0.0; at < c.Length.Seconds(); at += rnd.ExpFloat64() / rate {
 		out = append(out, arrival{
 			at: time.Duration(at * float64(time.Second)), region: pickRegion(rnd.Float64()), bound: rnd.Float64() < boundShare,
-			prompt: prompt(zipf.Uint64(), rnd), tokens: minAnswerTokens + rnd.IntN(extraAnswerTokens), hostChoice: rnd.IntN(1 << 20),
+			prompt: prompt(zipf.Uint64(), rnd), tokens: minResponseTokens + rnd.IntN(extraResponseTokens), hostChoice: rnd.IntN(1 << 20),
 		})
 	}
 	return out
@@ -150,14 +150,14 @@
 	Sent             int
 	Answered         int                     // complete and correct
 	Truncated        int                     // broken off with an error that the caller could detect
-	Wrong            int                     // wrong answers, and truncated ones that look complete
+	Wrong            int                     // wrong responses, and truncated ones that look complete
 	NotRun           int                     // refused: the host reported that the request was not executed
-	Unknown          int                     // no answer, or the host reported that the request may have been executed
+	Unknown          int                     // no response, or the host reported that the request may have been executed
 	OtherRegion      int                     // answered in another region than the caller's
 	Duplicates       int                     // executions in excess of one for each request
 	Retries          int                     // by the daemons
 	TimeToFirstToken *hdrhistogram.Histogram // microseconds
-	TimeToAnswer     *hdrhistogram.Histogram // microseconds to the end of the answer
+	TimeToAnswer     *hdrhistogram.Histogram // microseconds to the end of the response
 	TimeToRefusal    *hdrhistogram.Histogram // microseconds
 	SlotTime         time.Duration           // of all engines together
 	Stall            time.Duration           // longest delay with which a busy machine woke a sleeping goroutine
@@ -236,7 +236,7 @@
 }
 
 // sendArrivals sends each arrival at its time, injects the case's faults meanwhile
-// and waits for all answers.
+// and waits for all responses.
 func (r *run) sendArrivals(ctx context.Context) {
 	began := time.Now()
 	var running sync.WaitGroup
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,6 +1,6 @@
 // Package plain is a stand-in for a plain HTTP service, one that is not a model
-// engine. It records each request as an execution and answers with a JSON Echo.
-// GET /load returns its load report and GET /executions its executions. PUT
+// engine. It records each request as an execution and responds with a JSON
+// Echo. GET /load returns its load report and GET /executions its executions. PUT
 // /faults with a JSON Faults injects faults.
 package plain
 
@@ -20,12 +20,12 @@
 // Faults are the faults that the service injects into its requests.
 type Faults struct {
 	LoseResponses int           `json:"lose_answers"` // number of further requests that are executed, but whose connection is closed without a response
-	Refuse        bool          `json:"refuse"`       // answer with status 503, and X-Not-Started, as nothing was executed
+	Refuse        bool          `json:"refuse"`       // respond with status 503, and X-Not-Started, as nothing was executed
 	Delay         time.Duration `json:"delay"`        // how long an execution takes, in nanoseconds
 	Leaving       bool          `json:"leaving"`      // report in /load that the service is leaving; it still executes requests
 }
 
-// Echo is the answer to an executed request.
+// Echo is the response to an executed request.
 type Echo struct {
 	Method          string `json:"method"`
 	Path            string `json:"path"` // with the query
@@ -62,7 +62,7 @@
 	s.faults = f
 }
 
-// handle answers a request by its path. Requests to all paths but /faults, /load and
+// handle serves a request by its path. Requests to all paths but /faults, /load and
 // /executions are executed.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// loadReport is the answer to GET /load.
+// loadReport is the response to GET /load.
 type loadReport struct {
 	At      int64 `json:"at"` // Unix time in milliseconds
 	Running int   `json:"running"`
@@ -102,7 +102,8 @@
 	ctx.SetBody(body)
 }
 
-// execute records and answers a request. With the fault Refuse, it rejects it instead.
+// execute records a request and responds to it. With the fault Refuse, it rejects the
+// request instead.
 func (s *Server) execute(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	f := s.faults
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -25,7 +25,7 @@
 	"vetchtrail/standin/platform"
 )
 
-// startTimeout bounds each wait for the daemons: until they answer, are ready, or reach
+// startTimeout bounds each wait for the daemons: until they respond, are ready, or reach
 // the other data centres.
 const startTimeout = 15 * time.Second
 
@@ -64,12 +64,12 @@
 	done   chan struct{}      // closed when the daemon has ended
 }
 
-// server is a stand-in that answers HTTP requests.
+// server is a stand-in that serves HTTP requests.
 type server interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// Start starts the stand-ins and the daemons, and waits until the daemons answer.
+// Start starts the stand-ins and the daemons, and waits until the daemons respond.
 // The configuration is still empty.
 func Start(ctx context.Context, c Config) (*World, error) {
 	w := &World{
@@ -85,7 +85,7 @@
 }
 
 // startAll starts everything in the order store, list of endpoints, links, endpoints,
-// daemons, and waits until the daemons answer.
+// daemons, and waits until the daemons respond.
 func (w *World) startAll() error {
 	d := &w.cfg.Deployment
 	if err := w.serve(d.Store, w.Store); err != nil {
@@ -118,7 +118,7 @@
 	return w.awaitListening()
 }
 
-// awaitListening waits until all daemons answer on their callers' addresses.
+// awaitListening waits until all daemons respond on their callers' addresses.
 func (w *World) awaitListening() error {
 	deadline := time.Now().Add(startTimeout)
 	for _, s := range w.cfg.Deployment.Hosts {
