--- a/soak/announcements.go
+++ b/soak/announcements.go
@@ -19,13 +19,14 @@
 	maxLeavingDuration = 12 * time.Second
 	announcementGap    = 2 * time.Second
 	// pauseSeconds is the Retry-After of an engine that rejects requests. Hosts must send
-	// requests to other engines for that time.
+	// requests to other engines for that time; the soak does not check this.
 	pauseSeconds = "3"
 )
 
 // announceAvailability makes one engine at a time announce that it is leaving, or reject requests
 // with a Retry-After, until ctx ends. After its announcement each engine reports the uptime of a
-// process that has just started, and announces nothing.
+// process that has just started, and announces nothing. An engine that rejects requests does so only
+// until the next call, which follows at once.
 func (c *checker) announceAvailability(ctx context.Context, rnd *rand.Rand) {
 	modelEngines := c.modelEngines()
 	for ctx.Err() == nil {
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -87,8 +87,8 @@
 	return outcome
 }
 
-// outcomeOf returns the outcome of a request as the caller saw it: answered, not-run, cut for a
-// response that broke off, or unknown.
+// outcomeOf returns the outcome of a request as the caller observed it: answered, not-run, cut for
+// a response that broke off, or unknown.
 func outcomeOf(r client.Result) string {
 	switch {
 	case r.Status == http.StatusOK && r.Complete:
--- a/soak/check.go
+++ b/soak/check.go
@@ -120,8 +120,8 @@
 }
 
 // noPropagationFault reports whether the span is free of faults that may delay the propagation of
-// a configuration change to the hosts, such as a drain. These are the faults of the store, of
-// hosts, and of links except for resets.
+// a configuration change, such as the drain of an endpoint, to the hosts. These are the faults of
+// the store, of hosts, and of links except for resets.
 func (c *checker) noPropagationFault(from, until time.Time) bool {
 	for _, f := range c.faults {
 		switch f.Kind {
@@ -260,7 +260,8 @@
 	return nil
 }
 
-// maxExecutions is how many times endpoints may start one request, with retries.
+// maxExecutions is how many times endpoints may start one request, retries included. A request with
+// an idempotency key may run only once, which checkKeyedRequest checks.
 const maxExecutions = 2
 
 // checkRegion checks that a request of a workspace that is bound to a region ran there.
@@ -281,17 +282,17 @@
 // the request ran. Only the last attempt is checked for a false "not run": if an earlier attempt
 // was reported as not run, a later one may have run the request.
 func (c *checker) checkKeyedRequest(key string, list []attempt, runs int) {
-	answer := ""
+	previousText := ""
 	for _, a := range list {
 		switch a.outcome {
 		case "answered":
 			if runs == 0 {
 				c.recordViolation("an answered request ran", "key %s, at %s", key, a.host)
 			}
-			if answer != "" && a.text != answer {
-				c.recordViolation("retries get the first response", "key %s: %q after %q", key, a.text, answer)
+			if previousText != "" && a.text != previousText {
+				c.recordViolation("retries get the first response", "key %s: %q after %q", key, a.text, previousText)
 			}
-			answer = a.text
+			previousText = a.text
 		case "not-run":
 			if runs > 0 && a.began.Equal(list[len(list)-1].began) {
 				c.recordViolation("a request reported as not run did not run", "key %s, at %s: ran %d times", key, a.host, runs)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -120,7 +120,7 @@
 )
 
 // configure applies the deployment's configuration and waits until every host is ready and
-// answers a model request.
+// responds to a model request with status 200.
 func configure(ctx context.Context, f *fleet.Fleet, d *deployment.Deployment, dir string) error {
 	text, err := d.Document.YAML()
 	if err != nil {
