--- a/scenario/availability_test.go
+++ b/scenario/availability_test.go
@@ -19,11 +19,13 @@
 // TestLeavingAnnouncement guards against hosts that ignore the response header field by which an
 // endpoint announces that it is leaving: the endpoint then receives as many requests as the others.
 // Hosts relayed the field to callers and detected leaving endpoints only by the platform's listing
-// and the load reports. Neither showed that the endpoint was leaving, because the store was down
-// and the endpoint could not write to it.
+// and the load reports. Neither showed that the endpoint was leaving: its load reports did not,
+// and its entry in the listing was out of date, as the endpoint could not write to the store, which
+// was down.
 // A delayed announcement was not the cause: with hosts that logged the field but did not act on it,
 // all three hosts of the region logged it within 57 ms of the first response with it. In the next
-// 10 s each of them chose the endpoint for 564 to 630 requests, and sent them at the first attempt.
+// 10 s each of them chose the endpoint for 564 to 630 requests, and sent these at once, at the first
+// attempt, so that the requests had not been assigned before the announcement.
 func TestLeavingAnnouncement(t *testing.T) {
 	t.Parallel()
 	x := newEngineRun(t)
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -232,7 +232,7 @@
 //	cut      true: the connection broke, so that the response can't be taken for complete
 //	soon     the response ended within this many seconds: a loose bound on "at once"
 //	same     the text is equal to that of the result OTHER
-//	joined   the text of the result OTHER followed by this one is the complete answer to OTHER
+//	joined   the text of the result OTHER followed by this one is the complete response to OTHER
 func (s *script) check(_ *testscript.TestScript, args []string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -350,7 +350,7 @@
 }
 
 // process implements "process kill|stop|freeze|thaw|start|startendpoint|up NAME": it signals or
-// starts a process; up waits until a host answers.
+// starts a process; up waits until a host responds.
 func (s *script) process(_ *testscript.TestScript, args []string) error {
 	switch args[0] {
 	case "kill":
--- a/scenario/config_history_test.go
+++ b/scenario/config_history_test.go
@@ -184,7 +184,7 @@
 	r.add(porcupine.Operation{ClientId: caller, Input: proposal{change.ID, change.Expect}, Call: call, Output: out, Return: returned})
 }
 
-// revisionOf returns the configuration revision of a host, and whether the host answered.
+// revisionOf returns the configuration revision of a host, and whether the host responded.
 func revisionOf(addr netip.AddrPort) (uint64, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
--- a/scenario/keyed_history_test.go
+++ b/scenario/keyed_history_test.go
@@ -258,7 +258,7 @@
 }
 
 // applyConfiguration applies the deployment's configuration and waits until all hosts are ready and
-// answer a model request.
+// respond to a model request with status 200.
 func applyConfiguration(t *testing.T, f *fleet.Fleet, d deployment.Deployment) {
 	t.Helper()
 	proposeDocument(t, d.Hosts[0].Listen.Peers, d)
--- a/scenario/ratelimit_test.go
+++ b/scenario/ratelimit_test.go
@@ -57,10 +57,10 @@
 }
 
 // TestAdvertisedRateLimit guards against an endpoint that receives more requests than the rate limit
-// that it advertises allows. Two faulty endpoints advertised in each response a limit of 2 requests
-// a second for all hosts together, and received 10 to 20 a second; callers were served all the
-// same. Hosts relayed the header field to callers but did not read it, and each host counted only
-// its own requests to an endpoint.
+// that it advertises allows. Two endpoints that needed less load advertised in each response a
+// limit of 2 requests a second for all hosts together, and received 10 to 20 a second; callers were
+// served all the same. Hosts relayed the header field to callers but did not read it, and each host
+// counted only its own requests to an endpoint.
 // A delayed advertisement was not the cause: with hosts that logged the field but did not act on it,
 // all three hosts of the region logged it within 25 ms of each other. They then sent 686, 727 and
 // 746 requests to the endpoint in the 12 s in which it advertised 2 a second.
