--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -41,7 +41,7 @@
 // Client calls entry hosts.
 type Client struct{ http *http.Client }
 
-// New returns a client that reuses connections and never sends a request twice.
+// New returns a client that reuses connections. It never sends a request with a body twice.
 func New() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -143,7 +143,7 @@
 		return Result{Err: err}
 	}
 	req.Header = h
-	req.GetBody = nil // prevents net/http from sending the request a second time
+	req.GetBody = nil // prevents net/http from sending a request with a body a second time
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return Result{Err: err, Took: time.Since(began)}
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -254,7 +254,7 @@
 	running.Wait()
 }
 
-// measureStall measures by how much a short sleep took too long at most. After a long
+// measureStall measures the longest delay with which a short sleep ended. After a long
 // stall of the machine, the results of the run show little about the policy.
 func (r *run) measureStall(began time.Time) {
 	const sleepTime = 5 * time.Millisecond
