--- a/scenario/availability_test.go
+++ b/scenario/availability_test.go
@@ -41,14 +41,14 @@
 	stop()
 	callers.Wait()
 	firstRelayedAt := map[string]time.Time{} // by host: time of the first response with the announcement
-	for _, p := range x.relayed {
-		if at, ok := firstRelayedAt[p.host]; p.engine == leaving && p.sentAt.After(announcedAt) && (!ok || p.receivedAt.Before(at)) {
-			firstRelayedAt[p.host] = p.receivedAt
+	for _, r := range x.relayed {
+		if at, ok := firstRelayedAt[r.host]; r.engine == leaving && r.sentAt.After(announcedAt) && (!ok || r.receivedAt.Before(at)) {
+			firstRelayedAt[r.host] = r.receivedAt
 		}
 	}
 	late := 0 // requests that a host sent to the endpoint after the bound
-	for _, p := range x.relayed {
-		if at, ok := firstRelayedAt[p.host]; p.engine == leaving && ok && p.sentAt.After(at.Add(leavingPropagation)) && p.receivedAt.Before(restartedAt) {
+	for _, r := range x.relayed {
+		if at, ok := firstRelayedAt[r.host]; r.engine == leaving && ok && r.sentAt.After(at.Add(leavingPropagation)) && r.receivedAt.Before(restartedAt) {
 			late++
 		}
 	}
--- a/scenario/keyed_history_test.go
+++ b/scenario/keyed_history_test.go
@@ -140,8 +140,7 @@
 
 // TestKeyedRequestHistory tests promise 6. It guards against a keyed request that runs twice, and
 // against retries that get different responses. Callers retry keyed requests at random hosts, while
-// hosts are killed or frozen for longer than any deadline, links are cut, the store is down and
-// responses are lost.
+// hosts are killed, or frozen for 1.5 s, links are cut, the store is down and responses are lost.
 func TestKeyedRequestHistory(t *testing.T) {
 	const seed, length = 6, 15 * time.Second
 	t.Logf("seed %d", seed)
--- a/scenario/poison_test.go
+++ b/scenario/poison_test.go
@@ -156,8 +156,8 @@
 // countAfter returns the number of times after at.
 func countAfter(times []time.Time, at time.Time) int {
 	n := 0
-	for _, m := range times {
-		if m.After(at) {
+	for _, t := range times {
+		if t.After(at) {
 			n++
 		}
 	}
--- a/scenario/ratelimit_test.go
+++ b/scenario/ratelimit_test.go
@@ -41,8 +41,8 @@
 			continue
 		}
 		n := 0
-		for _, m := range times[i:] {
-			if m.Before(first.Add(rateWindow)) {
+		for _, t := range times[i:] {
+			if t.Before(first.Add(rateWindow)) {
 				n++
 			}
 		}
