--- a/soak/soak.go
+++ b/soak/soak.go
@@ -120,7 +120,7 @@
 )
 
 // configure applies the deployment's configuration and waits until every host is ready and
-// answers a model request.
+// responds to a model request with status 200.
 func configure(ctx context.Context, f *fleet.Fleet, d *deployment.Deployment, dir string) error {
 	text, err := d.Document.YAML()
 	if err != nil {
@@ -247,8 +247,9 @@
 }
 
 const (
-	// recoveryTime is how long the system may take to recover from the last fault: hosts remove a
-	// dead host after some seconds, and retry a failed endpoint after up to 8 s.
+	// recoveryTime is how long the system may take to recover from the last fault: hosts regard a
+	// silent host as dead after some seconds, and retry an endpoint that refuses connections after up
+	// to 8 s.
 	recoveryTime = 15 * time.Second
 	// minAnsweredShare is the share of requests that must be answered after recoveryTime.
 	minAnsweredShare = 0.95
