--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -14,23 +14,23 @@
 
 // Causes. CauseNone is that of a request that was answered in time.
 const (
-	CauseNone                Cause = "in time"
-	CauseRefusedFirstAttempt Cause = "refused at its first try"
-	CauseRefusedRetry        Cause = "refused when its caller came back"
-	CauseOverQuota           Cause = "over its workspace's quota"
-	CauseQuarantined         Cause = "held back, as endpoints ended under it"
-	CauseRateLimited         Cause = "refused, as endpoints named a rate"
-	CauseLatePredicted       Cause = "late as foreseen"
-	CauseLateUnpredicted     Cause = "late at the endpoint, foreseen in time"
-	CauseLateAfterRetry      Cause = "late after another attempt"
-	CauseStreamBroken        Cause = "cut with its endpoint"
-	CauseLostBeforeAnswer    Cause = "lost with its endpoint before its answer"
-	CauseHostLost            Cause = "lost with the host it was passed to"
-	CauseTimeoutInAnswer     Cause = "out of time while it streamed"
-	CauseTimeoutBeforeAnswer Cause = "out of time before its answer"
-	CauseEndpointFailed      Cause = "failed at its endpoint"
-	CauseCallerGone          Cause = "left by its caller"
-	CauseNoOutcome           Cause = "no end in the logs: its host ended, or lines were dropped"
+	CauseNone                  Cause = "in time"
+	CauseRefusedFirstAttempt   Cause = "refused at its first try"
+	CauseRefusedRetry          Cause = "refused when its caller came back"
+	CauseOverQuota             Cause = "over its workspace's quota"
+	CauseQuarantined           Cause = "held back, as endpoints ended under it"
+	CauseRateLimited           Cause = "refused, as endpoints named a rate"
+	CauseLatePredicted         Cause = "late as foreseen"
+	CauseLateUnpredicted       Cause = "late at the endpoint, foreseen in time"
+	CauseLateAfterRetry        Cause = "late after another attempt"
+	CauseStreamBroken          Cause = "cut with its endpoint"
+	CauseLostBeforeResponse    Cause = "lost with its endpoint before its answer"
+	CauseHostLost              Cause = "lost with the host it was passed to"
+	CauseTimeoutInResponse     Cause = "out of time while it streamed"
+	CauseTimeoutBeforeResponse Cause = "out of time before its answer"
+	CauseEndpointFailed        Cause = "failed at its endpoint"
+	CauseCallerGone            Cause = "left by its caller"
+	CauseNoOutcome             Cause = "no end in the logs: its host ended, or lines were dropped"
 
 	// minServerErrorStatus is the lowest HTTP status of a server error.
 	minServerErrorStatus = 500
@@ -182,13 +182,13 @@
 	case e.HostLost:
 		return CauseHostLost
 	case e.Reason == "deadline" && e.ResponseStarted:
-		return CauseTimeoutInAnswer
+		return CauseTimeoutInResponse
 	case e.Reason == "deadline":
-		return CauseTimeoutBeforeAnswer
+		return CauseTimeoutBeforeResponse
 	case e.ResponseStarted:
 		return CauseStreamBroken
 	}
-	return CauseLostBeforeAnswer
+	return CauseLostBeforeResponse
 }
 
 // lateCause returns why the response began after the goal; CauseNone if it began in time.
