--- a/process/daemon/hosted.go
+++ b/process/daemon/hosted.go
@@ -67,7 +67,7 @@
 
 // OfferConfiguration implements vetchtrail.Sink.
 func (s feedSink) OfferConfiguration(c vetchtrail.Snapshot) error {
-	return s.d.changes.LearnSnapshot(&schema.Snapshot{Revision: c.Revision, Edits: schema.FromEdits(c.Edits)})
+	return s.d.changes.ApplySnapshot(&schema.Snapshot{Revision: c.Revision, Edits: schema.FromEdits(c.Edits)})
 }
 
 // ReplaceListing implements vetchtrail.Sink.
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -27,7 +27,7 @@
 
 // applyChanges applies a peer's reply: the snapshot, if it is newer, and then the changes.
 func (d *Daemon) applyChanges(reply *schema.ChangesReply) error {
-	if err := d.changes.LearnSnapshot(reply.GetSnapshot()); err != nil {
+	if err := d.changes.ApplySnapshot(reply.GetSnapshot()); err != nil {
 		return err
 	}
 	for _, m := range reply.GetChanges() {
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		if err := d.changes.Learn([]vetchtrail.Change{c}); err != nil {
+		if err := d.changes.Apply([]vetchtrail.Change{c}); err != nil {
 			return err
 		}
 	}
@@ -116,7 +116,7 @@
 // Status implements schema.DRPCOperatorsServer.
 func (o *operatorServer) Status(context.Context, *schema.StatusRequest) (*schema.StatusReply, error) {
 	now := time.Now()
-	out := &schema.StatusReply{Host: o.d.self.Name, Revision: o.d.changes.Revision(), StoreHeard: unixNanos(o.d.changes.LastStoreAnswer())}
+	out := &schema.StatusReply{Host: o.d.self.Name, Revision: o.d.changes.Revision(), StoreHeard: unixNanos(o.d.changes.LastStoreResponse())}
 	for _, h := range o.d.membership.LocalHosts(now) {
 		out.Hosts = append(out.Hosts, &schema.HostStatus{
 			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Callers: h.CallerAddr.String(), Peers: h.PeerAddr.String(),
--- a/version/changelog/changelog.go
+++ b/version/changelog/changelog.go
@@ -54,7 +54,7 @@
 	log           *slog.Logger
 	retryInterval time.Duration
 	current       atomic.Pointer[rules.Rules] // newest configuration that the host has
-	lastAnswer    atomic.Int64                // when the store last responded to a read, Unix nanoseconds; 0: never
+	lastResponse  atomic.Int64                // when the store last responded to a read, Unix nanoseconds; 0: never
 
 	mu      sync.Mutex          // guards the fields below and every update of current
 	recent  []vetchtrail.Change // newest changes, without gaps, up to the revision of current
@@ -84,9 +84,9 @@
 // Revision returns the revision of the newest configuration that this host holds.
 func (l *Log) Revision() uint64 { return l.Rules().Revision() }
 
-// LastStoreAnswer returns when the store last responded to a read; zero: never.
-func (l *Log) LastStoreAnswer() time.Time {
-	n := l.lastAnswer.Load()
+// LastStoreResponse returns when the store last responded to a read; zero: never.
+func (l *Log) LastStoreResponse() time.Time {
+	n := l.lastResponse.Load()
 	if n == 0 {
 		return time.Time{}
 	}
@@ -133,10 +133,10 @@
 	return out
 }
 
-// Learn applies accepted changes from a peer or the store, in the order given.
+// Apply puts accepted changes from a peer or the store in force, in the order given.
 // It ignores a change whose revision isn't the next one: the host either holds
 // it already or lacks a change before it.
-func (l *Log) Learn(changes []vetchtrail.Change) error {
+func (l *Log) Apply(changes []vetchtrail.Change) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range changes {
@@ -156,7 +156,7 @@
 	}
 	next, err := current.Apply(c)
 	if err != nil {
-		return errors.Wrapf(err, "changelog.Learn: revision %d", c.Revision)
+		return errors.Wrapf(err, "changelog.Apply: revision %d", c.Revision)
 	}
 	l.recent = append(l.recent, c)
 	if len(l.recent) > maxRecentChanges {
@@ -175,20 +175,20 @@
 	l.log.Info("configuration in force", "revision", next.Revision())
 }
 
-// LearnSnapshot puts a snapshot in force if it is newer than the host's
+// ApplySnapshot puts a snapshot in force if it is newer than the host's
 // configuration. The changes in memory are dropped, since those between them and
 // the snapshot may be missing.
-func (l *Log) LearnSnapshot(s *schema.Snapshot) error {
+func (l *Log) ApplySnapshot(s *schema.Snapshot) error {
 	if s == nil {
 		return nil
 	}
 	edits, err := schema.ToEdits(s.GetEdits())
 	if err != nil {
-		return errors.Wrap(err, "changelog.LearnSnapshot")
+		return errors.Wrap(err, "changelog.ApplySnapshot")
 	}
 	next, err := rules.Restore(edits, s.GetRevision())
 	if err != nil {
-		return errors.Wrap(err, "changelog.LearnSnapshot")
+		return errors.Wrap(err, "changelog.ApplySnapshot")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,26 +215,26 @@
 	for {
 		e, err := l.store.Get(ctx, logKey(l.Revision()+1))
 		if errors.Is(err, vetchtrail.ErrNotFound) {
-			l.lastAnswer.Store(time.Now().UnixNano())
+			l.lastResponse.Store(time.Now().UnixNano())
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		l.lastAnswer.Store(time.Now().UnixNano())
-		if err := l.learnStored(e.Value); err != nil {
+		l.lastResponse.Store(time.Now().UnixNano())
+		if err := l.applyStored(e.Value); err != nil {
 			return err
 		}
 	}
 }
 
-// learnStored decodes a change as the store holds it and applies it.
-func (l *Log) learnStored(value []byte) error {
+// applyStored decodes a change as the store holds it and applies it.
+func (l *Log) applyStored(value []byte) error {
 	c, err := decode(value)
 	if err != nil {
 		return err
 	}
-	return l.Learn([]vetchtrail.Change{c})
+	return l.Apply([]vetchtrail.Change{c})
 }
 
 // readSnapshot reads the newest snapshot from the store and applies it if it is
@@ -266,7 +266,7 @@
 	if err := proto.Unmarshal(data, &s); err != nil {
 		return errors.Wrap(err, "changelog.readSnapshot")
 	}
-	return l.LearnSnapshot(&s)
+	return l.ApplySnapshot(&s)
 }
 
 // Watch applies new revisions from the store until ctx ends. It calls the store
@@ -291,16 +291,16 @@
 	key := logKey(l.Revision() + 1)
 	existing, err := l.store.Get(ctx, key)
 	if err == nil {
-		l.lastAnswer.Store(time.Now().UnixNano())
-		return l.learnStored(existing.Value)
+		l.lastResponse.Store(time.Now().UnixNano())
+		return l.applyStored(existing.Value)
 	}
 	if !errors.Is(err, vetchtrail.ErrNotFound) {
 		return err
 	}
-	l.lastAnswer.Store(time.Now().UnixNano())
+	l.lastResponse.Store(time.Now().UnixNano())
 	e, err := l.store.Wait(ctx, key, max(existing.ModifyIndex, 1), time.Now().Add(WatchTimeout))
 	if errors.Is(err, vetchtrail.ErrNotFound) {
-		l.lastAnswer.Store(time.Now().UnixNano())
+		l.lastResponse.Store(time.Now().UnixNano())
 		// The key never appears if its change was deleted, as other hosts are
 		// several snapshots ahead. Then only a snapshot has the configuration.
 		return l.readSnapshot(ctx)
@@ -308,8 +308,8 @@
 	if err != nil {
 		return err
 	}
-	l.lastAnswer.Store(time.Now().UnixNano())
-	return l.learnStored(e.Value)
+	l.lastResponse.Store(time.Now().UnixNano())
+	return l.applyStored(e.Value)
 }
 
 // logKey returns the store's key for the change that makes a revision.
--- a/version/changelog/changelog_test.go
+++ b/version/changelog/changelog_test.go
@@ -137,8 +137,8 @@
 				from, to := hosts[host()], hosts[host()]
 				before := to.Revision()
 				changes, snapshot := from.Since(to.Revision())
-				assert.NilError(rt, to.LearnSnapshot(snapshot))
-				assert.NilError(rt, to.Learn(changes))
+				assert.NilError(rt, to.ApplySnapshot(snapshot))
+				assert.NilError(rt, to.Apply(changes))
 				assert.Assert(rt, to.Revision() >= before)
 			},
 			"replace": func(*rapid.T) { hosts[host()] = newLog(store) },
@@ -186,7 +186,7 @@
 	_, snapshot := fromStore.Since(1)
 	assert.Assert(t, snapshot != nil)
 	fromPeer := newLog(store)
-	assert.NilError(t, fromPeer.LearnSnapshot(snapshot))
+	assert.NilError(t, fromPeer.ApplySnapshot(snapshot))
 	assert.Equal(t, fromPeer.Revision(), uint64(changes))
 }
 
@@ -236,7 +236,7 @@
 				t.Error(err)
 				return
 			}
-			if err := local.Learn(remote.Recent(local.Revision()+1, 0)); err != nil {
+			if err := local.Apply(remote.Recent(local.Revision()+1, 0)); err != nil {
 				t.Error(err)
 				return
 			}
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -49,7 +49,7 @@
 			return revision, nil
 		}
 		// The revision must follow from the configuration that the change was
-		// checked against, since Learn may apply other changes meanwhile.
+		// checked against, since Apply may be called with other changes meanwhile.
 		current := l.Rules()
 		if err := check(c, current); err != nil {
 			return 0, err
@@ -98,7 +98,7 @@
 		err := l.store.CompareAndSwap(ctx, logKey(c.Revision), value, 0)
 		switch {
 		case err == nil:
-			return true, l.learnStored(value)
+			return true, l.applyStored(value)
 		case errors.Is(err, vetchtrail.ErrConflict):
 			same, err := l.readBack(ctx, c)
 			if err == nil {
@@ -128,7 +128,7 @@
 	if err != nil {
 		return false, err
 	}
-	if err := l.Learn([]vetchtrail.Change{stored}); err != nil {
+	if err := l.Apply([]vetchtrail.Change{stored}); err != nil {
 		return false, err
 	}
 	return stored.ID == c.ID, nil
