--- a/process/availability/availability.go
+++ b/process/availability/availability.go
@@ -17,10 +17,10 @@
 // Table records announcements of endpoints. *load.Table implements it.
 type Table interface {
 	// RecordAnnouncement records the announcement in an endpoint's response, and returns the part of it that is new.
-	RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) load.AnnouncementNews
+	RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) load.AnnouncementChange
 	// RecordAnnouncementByHash does the same for an announcement that another host received. The endpoint is given
 	// by load.NameHash of its name.
-	RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) load.AnnouncementNews
+	RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) load.AnnouncementChange
 }
 
 // Config configures an Observer.
@@ -54,12 +54,12 @@
 			o.cfg.Log.Warn("endpoint's availability can't be parsed", "endpoint", e.Name, "error", err)
 		}
 	}
-	news := o.cfg.Table.RecordAnnouncement(e.Name, e.Born, availability)
-	if news.Leaving {
+	change := o.cfg.Table.RecordAnnouncement(e.Name, e.Born, availability)
+	if change.Leaving {
 		countAnnouncement("leaving")
 		o.cfg.Log.Info("endpoint says that it leaves", "endpoint", e.Name, "service", e.Service)
 	}
-	if news.Paused {
+	if change.Paused {
 		countAnnouncement("paused")
 		if o.logLimiter.Allow(e.Name, availability.ReceivedAt) {
 			o.cfg.Log.Info("endpoint wants nothing for a time", "endpoint", e.Name, "service", e.Service, "for", availability.PausedUntil.Sub(availability.ReceivedAt))
@@ -71,13 +71,13 @@
 func (o *Observer) RecordFromPeer(from string, m *schema.EndpointLeaves) {
 	now := time.Now()
 	availability, startedAt := schema.ToLeaving(m, now)
-	news := o.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, availability, now)
-	if !news.Leaving {
+	change := o.cfg.Table.RecordAnnouncementByHash(m.GetEndpoint(), startedAt, availability, now)
+	if !change.Leaving {
 		return
 	}
 	countAnnouncement("leaving, told by a host")
-	if news.Endpoint != "" {
-		o.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", news.Endpoint, "from", from, "ago", now.Sub(availability.ReceivedAt))
+	if change.Endpoint != "" {
+		o.cfg.Log.Info("endpoint said to another host that it leaves", "endpoint", change.Endpoint, "from", from, "ago", now.Sub(availability.ReceivedAt))
 	}
 }
 
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -130,7 +130,7 @@
 // New assembles a daemon. It opens no listeners; Run does.
 func New(c Config) (*Daemon, error) {
 	d := &Daemon{cfg: c.Settings, log: c.Log, table: load.New(), hosted: c.Hosted, leaveRequested: make(chan struct{})}
-	d.table.SwitchOff(vetchtrail.MechanismsOf(d.cfg.SwitchedOff...))
+	d.table.SetSwitchedOff(vetchtrail.MechanismsOf(d.cfg.SwitchedOff...))
 	d.timing.Store(&d.cfg.Timing)
 	d.log = c.Log.With("host", c.Settings.Host)
 	d.self = vetchtrail.Host{
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -73,7 +73,7 @@
 
 // Sources that report that an endpoint is leaving; empty: none does.
 const (
-	ByAnswers      LeavingBy = "its answers"
+	ByResponses    LeavingBy = "its answers"
 	ByListing      LeavingBy = "list" // the configuration, or the platform's listing
 	ByReport       LeavingBy = "load report"
 	ByListOfHosts  LeavingBy = "list of hosts"
@@ -85,7 +85,7 @@
 	a := &s.availability
 	switch {
 	case now.Before(a.leavingUntil):
-		return ByAnswers
+		return ByResponses
 	case s.Draining:
 		return ByListing
 	case now.Before(a.reportUntil):
@@ -98,8 +98,8 @@
 	return ""
 }
 
-// AnnouncementNews is the part of an announcement that this host had not recorded before.
-type AnnouncementNews struct {
+// AnnouncementChange is the part of an announcement that this host had not recorded before.
+type AnnouncementChange struct {
 	Endpoint string // empty: it is not listed
 	Leaving  bool   // it is leaving
 	Paused   bool   // it is paused, or for longer than was recorded
@@ -107,37 +107,37 @@
 
 // RecordAnnouncement records an announcement that an endpoint's response contained, and returns the part that is
 // new.
-func (t *Table) RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) AnnouncementNews {
+func (t *Table) RecordAnnouncement(name string, startedAt time.Time, a vetchtrail.Availability) AnnouncementChange {
 	return t.RecordAnnouncementByHash(NameHash(name), startedAt, a, a.ReceivedAt)
 }
 
 // RecordAnnouncementByHash records an announcement that this or another host received. The endpoint is given by
 // the hash of its name (NameHash). The announcement is valid only for the process instance that started at
 // startedAt.
-func (t *Table) RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) AnnouncementNews {
+func (t *Table) RecordAnnouncementByHash(nameHash uint32, startedAt time.Time, a vetchtrail.Availability, now time.Time) AnnouncementChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news AnnouncementNews
+	var change AnnouncementChange
 	if s, ok := t.byNameHash[nameHash]; ok && !s.isOtherInstance(startedAt) {
-		news = s.availability.record(a, now)
-		news.Endpoint, s.announced = s.Name, true
-		if news.Leaving {
+		change = s.availability.record(a, now)
+		change.Endpoint, s.everAnnounced = s.Name, true
+		if change.Leaving {
 			t.logLeaving(keyOf(nameHash, s.Born), &s.availability.announcements)
 		}
-		if news.Paused {
+		if change.Paused {
 			s.warmUp = math.Min(s.warmUp, initialWarmUp) // it is overloaded, and all hosts send requests again when the pause ends
 		}
 	} else {
-		news = t.recordUnlisted(keyOf(nameHash, startedAt), a, now)
+		change = t.recordUnlisted(keyOf(nameHash, startedAt), a, now)
 	}
-	return news
+	return change
 }
 
 // record adds an announcement, and returns what is new. Of two announcements the one that is valid for longer
 // counts.
-func (a *announcements) record(n vetchtrail.Availability, now time.Time) AnnouncementNews {
-	news := AnnouncementNews{Leaving: n.Leaving && !n.ReceivedAt.Before(a.leavingUntil), Paused: n.PausedUntil.After(a.pausedUntil)}
-	if news.Leaving {
+func (a *announcements) record(n vetchtrail.Availability, now time.Time) AnnouncementChange {
+	change := AnnouncementChange{Leaving: n.Leaving && !n.ReceivedAt.Before(a.leavingUntil), Paused: n.PausedUntil.After(a.pausedUntil)}
+	if change.Leaving {
 		a.firstAnnouncedAt, a.recordedAt = n.ReceivedAt, now
 	}
 	if n.Leaving {
@@ -145,7 +145,7 @@
 	}
 	a.pausedUntil = vetchtrail.Later(a.pausedUntil, n.PausedUntil)
 	a.requestSentAt, a.receivedAt = vetchtrail.Later(a.requestSentAt, n.RequestedAt), vetchtrail.Later(a.receivedAt, n.ReceivedAt)
-	return news
+	return change
 }
 
 // merge combines two records of the same process instance.
@@ -198,14 +198,14 @@
 func (a *announcements) expiresAt() time.Time { return vetchtrail.Later(a.leavingUntil, a.pausedUntil) }
 
 // recordUnlisted records an announcement of a process instance that is not listed. The caller holds the lock.
-func (t *Table) recordUnlisted(key instanceKey, a vetchtrail.Availability, now time.Time) AnnouncementNews {
+func (t *Table) recordUnlisted(key instanceKey, a vetchtrail.Availability, now time.Time) AnnouncementChange {
 	u := t.unlisted[key]
-	news := u.record(a, now)
-	if news.Leaving {
+	change := u.record(a, now)
+	if change.Leaving {
 		t.logLeaving(key, &u.announcements)
 	}
 	t.addUnlisted(key, u)
-	return news
+	return change
 }
 
 // keepAnnouncements keeps the announcements of a process instance that is no longer listed. The caller holds
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -181,7 +181,7 @@
 	tab := New()
 	e := vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}
 	tab.Configure([]EndpointInRegion{{Endpoint: e}})
-	announce := func(at time.Time) AnnouncementNews {
+	announce := func(at time.Time) AnnouncementChange {
 		return tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: at, ReceivedAt: at})
 	}
 	usable := func(at time.Time) bool { reason, _ := tab.Blocked("e000", at); return reason == "" }
@@ -260,7 +260,7 @@
 		"its responses, after the list of hosts": {func(tab *Table) {
 			tab.MarkLeaving("e000", later)
 			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
-		}, ByAnswers, EndpointStatus{LeavingSince: now}},
+		}, ByResponses, EndpointStatus{LeavingSince: now}},
 		"the list of hosts": {func(tab *Table) { tab.MarkLeaving("e000", later) }, ByListOfHosts, EndpointStatus{}},
 		"a load report":     {func(tab *Table) { tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now, Leaving: true}, later) }, ByReport, EndpointStatus{}},
 		"the listing": {func(tab *Table) {
@@ -307,7 +307,7 @@
 			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{ReceivedAt: now.Add(2 * time.Minute), StartedAt: c.started}, time.Time{}))
 			reason, _ := tab.Blocked("e000", now.Add(2*time.Minute))
 			assert.Equal(t, reason, c.want)
-			assert.Assert(t, allReports(tab)[0].Announced, "other hosts don't receive its start time")
+			assert.Assert(t, allReports(tab)[0].EverAnnounced, "other hosts don't receive its start time")
 		})
 	}
 }
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -122,7 +122,7 @@
 	backOffUntil         time.Time // after its own refusal, or as it is unreachable
 	backOffReason        vetchtrail.Reason
 	availability         availabilityBySource
-	announced            bool                 // a response once contained an announcement of its availability
+	everAnnounced        bool                 // a response once contained an announcement of its availability
 	reportsLeaving       bool                 // by its newest report it is leaving
 	rateLimit            vetchtrail.RateLimit // last advertised
 	rateLimitedSince     time.Time            // when it last began to advertise a rate limit; zero: this instance never did
@@ -239,8 +239,8 @@
 	return s, ok && !s.isOtherInstance(startedAt)
 }
 
-// SwitchOff replaces the set of mechanisms that are not used.
-func (t *Table) SwitchOff(switchedOff vetchtrail.Mechanisms) {
+// SetSwitchedOff replaces the set of mechanisms that are not used.
+func (t *Table) SetSwitchedOff(switchedOff vetchtrail.Mechanisms) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.switchedOff = switchedOff
--- a/process/load/mechanisms_test.go
+++ b/process/load/mechanisms_test.go
@@ -70,7 +70,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			on, off := twoRegions(1e-7), twoRegions(1e-7)
-			off.SwitchOff(vetchtrail.MechanismsOf(c.off))
+			off.SetSwitchedOff(vetchtrail.MechanismsOf(c.off))
 			for _, tab := range []*Table{on, off} {
 				for i := range minFitObservations {
 					tab.serviceStats["s"].prefillFit.observe(float64(1000*(i+1)), 0.01*float64(i+1))
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -33,11 +33,11 @@
 
 // ReportEntry is an endpoint's newest report, as this host sends it to other hosts.
 type ReportEntry struct {
-	Endpoint     string
-	NameHash     uint32 // hash of its name, see the function NameHash
-	Report       vetchtrail.LoadReport
-	ReceivedHere bool // this host received it from the endpoint: fetched, or with a response
-	Announced    bool // a response of the endpoint once announced that it is leaving or paused
+	Endpoint      string
+	NameHash      uint32 // hash of its name, see the function NameHash
+	Report        vetchtrail.LoadReport
+	ReceivedHere  bool // this host received it from the endpoint: fetched, or with a response
+	EverAnnounced bool // a response of the endpoint once announced that it is leaving or paused
 }
 
 // ReportsAfter returns the reports that this host accepted after the one with the given number and that are
@@ -71,5 +71,5 @@
 }
 
 func (s *endpointState) newestReport() ReportEntry {
-	return ReportEntry{Endpoint: s.Name, NameHash: uint32(s.nameHash), Report: s.report, ReceivedHere: s.receivedHere, Announced: s.announced}
+	return ReportEntry{Endpoint: s.Name, NameHash: uint32(s.nameHash), Report: s.report, ReceivedHere: s.receivedHere, EverAnnounced: s.everAnnounced}
 }
--- a/process/load/summary.go
+++ b/process/load/summary.go
@@ -25,7 +25,7 @@
 	out := make([]EndpointStatus, 0, len(t.endpoints))
 	for _, s := range t.endpoints {
 		status := EndpointStatus{Endpoint: s.Endpoint, View: s.view(t, now), Report: s.report, LeavingBy: s.leavingBy(now)}
-		if status.LeavingBy == ByAnswers {
+		if status.LeavingBy == ByResponses {
 			status.LeavingSince = s.availability.firstAnnouncedAt
 		}
 		if now.Before(s.availability.pausedUntil) {
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -231,7 +231,7 @@
 // that other hosts notice a restart, which ends the announcement. For all endpoints it
 // would cost more bytes than the loads.
 func uptimeMillis(r load.ReportEntry, now time.Time) uint32 {
-	if !r.Announced || r.Report.StartedAt.IsZero() {
+	if !r.EverAnnounced || r.Report.StartedAt.IsZero() {
 		return 0
 	}
 	return uint32(min(max(1, now.Sub(r.Report.StartedAt).Milliseconds()), math.MaxUint32))
