--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -192,8 +192,8 @@
 		Self: d.self, QuotaSource: func() quotas.QuotaSource { return d.changes.Rules() }, Hosts: d.membership, Peers: d.peers, Strategy: d.cfg.Quotas.Strategy, Clock: clock.Boot, Log: d.log,
 		Tolerance: quota.Tolerance{Window: d.cfg.Quotas.Window, Overage: d.cfg.Quotas.Overage, Slack: d.cfg.Quotas.Slack},
 	})
-	off := vetchtrail.MechanismsOf(d.cfg.SwitchedOff...)
-	d.newRateLimits(off)
+	switchedOff := vetchtrail.MechanismsOf(d.cfg.SwitchedOff...)
+	d.newRateLimits(switchedOff)
 	d.availability = availability.New(availability.Config{Observer: d.rateLimits, Table: d.table, Log: d.log})
 	d.endpoints = endpoint.New(endpoint.Config{
 		Dialect: dialect, Observer: d.availability,
@@ -201,11 +201,11 @@
 			return d.dispatcher.CheckBeforeSend(e, r)
 		},
 	})
-	d.newQuarantines(off)
+	d.newQuarantines(switchedOff)
 	d.dispatcher = dispatch.New(dispatch.Config{
 		Self: d.self, Policy: p, Rules: d.changes.Rules, Endpoints: d.table, Membership: d.membership,
 		EndpointCaller: d.endpoints, Peers: d.peers, IssuedKeys: idempotencyKeys, Journal: d.journal, Seed: d.randomSeed(),
-		RetryBudget: d.budget(d.cfg.Retries), Quotas: d.quotas, Quarantine: d.quarantines, RateLimits: d.rateLimits, Disabled: off,
+		RetryBudget: d.budget(d.cfg.Retries), Quotas: d.quotas, Quarantine: d.quarantines, RateLimits: d.rateLimits, SwitchedOff: switchedOff,
 	})
 	d.callers = caller.New(caller.Config{
 		Runner: d.dispatcher, Rules: d.changes.Rules, Membership: d.membership, IssuedKeys: idempotencyKeys,
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -11,11 +11,11 @@
 
 // newQuarantines creates the host's part in the quarantine of poison requests, which crash
 // endpoints.
-func (d *Daemon) newQuarantines(off vetchtrail.Mechanisms) {
+func (d *Daemon) newQuarantines(switchedOff vetchtrail.Mechanisms) {
 	d.quarantines = quarantines.New(quarantines.Config{
 		Self: d.self, Regions: func() []string { return d.changes.Rules().RegionNames() }, Hosts: liveHosts{d.membership}, Peers: d.peers,
 		RefusesConnections: d.endpoints.RefusesConnection, IsLeaving: d.endpointLeaving, Persister: d.quarantinePersister(), Clock: clock.Boot,
-		Disabled: off.Has(vetchtrail.MechanismQuarantine), Log: d.log,
+		Disabled: switchedOff.Has(vetchtrail.MechanismQuarantine), Log: d.log,
 	})
 }
 
--- a/process/daemon/ratelimits.go
+++ b/process/daemon/ratelimits.go
@@ -8,9 +8,9 @@
 )
 
 // newRateLimits creates the host's part in enforcing the rate limits that endpoints advertise.
-func (d *Daemon) newRateLimits(off vetchtrail.Mechanisms) {
+func (d *Daemon) newRateLimits(switchedOff vetchtrail.Mechanisms) {
 	d.rateLimits = ratelimits.New(ratelimits.Config{
-		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, Disabled: off.Has(vetchtrail.MechanismRateLimits), Log: d.log,
+		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, Disabled: switchedOff.Has(vetchtrail.MechanismRateLimits), Log: d.log,
 	})
 }
 
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -64,7 +64,7 @@
 	Quotas         vetchtrail.QuotaLimiter   // nil: workspaces have no quotas
 	Quarantine     vetchtrail.Quarantine     // nil: no request is quarantined
 	RateLimits     vetchtrail.RateLimiter    // nil: advertised rate limits are not enforced
-	Disabled       vetchtrail.Mechanisms     // mechanisms that are switched off
+	SwitchedOff    vetchtrail.Mechanisms     // mechanisms that are switched off
 }
 
 // Dispatcher runs requests. It is safe for concurrent use.
@@ -352,7 +352,7 @@
 	case history.reached == 0:
 		return true // no process received it, so a retry adds no load
 	}
-	ok := !d.cfg.Disabled.Has(vetchtrail.MechanismRetries) && d.budget(r.Service).TakeRetry(time.Now())
+	ok := !d.cfg.SwitchedOff.Has(vetchtrail.MechanismRetries) && d.budget(r.Service).TakeRetry(time.Now())
 	countRetry(r.Service, ok)
 	return ok
 }
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -107,7 +107,7 @@
 // request may wait no longer, or its caller disconnects. A request that can't join the
 // queue, or leaves it without capacity, is forwarded or refused (forwardOrRefuse).
 func (d *Dispatcher) waitForCapacity(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
-	if d.cfg.Disabled.Has(vetchtrail.MechanismQueueing) {
+	if d.cfg.SwitchedOff.Has(vetchtrail.MechanismQueueing) {
 		return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
 	}
 	s, _ := d.cfg.Rules().Service(r.Service)
@@ -171,7 +171,7 @@
 // the given reason.
 func (d *Dispatcher) forwardOrRefuse(ctx context.Context, r *vetchtrail.Request, history attemptHistory, reason vetchtrail.Reason, retryAt time.Time, attempt int) (placement, vetchtrail.Outcome, bool) {
 	history.waitExhausted = true
-	if d.cfg.Disabled.Has(vetchtrail.MechanismForwardAfterWait) {
+	if d.cfg.SwitchedOff.Has(vetchtrail.MechanismForwardAfterWait) {
 		return d.refuseWaiter(r, reason, retryAt, attempt)
 	}
 	if dec := d.decide(r, history); dec.Kind == vetchtrail.RunElsewhere {
--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -31,10 +31,10 @@
 // streams that already run at the endpoint. So a stream is also too slow if the interval
 // leaves too little margin for more urgent streams (lessUrgentShare).
 func streamTooSlow(ev *evaluation, interval, firstEvent float64, r *vetchtrail.Request, v *vetchtrail.View) bool {
-	if r.Route == "" || v.ExpectedEvents == 0 || ev.off.Has(vetchtrail.MechanismStreamPace) {
+	if r.Route == "" || v.ExpectedEvents == 0 || ev.switchedOff.Has(vetchtrail.MechanismStreamPace) {
 		return false
 	}
-	if v.UrgentInterval > 0 && !ev.off.Has(vetchtrail.MechanismUrgentFirst) && interval > lessUrgentShare*maxStreamShare*v.UrgentInterval {
+	if v.UrgentInterval > 0 && !ev.switchedOff.Has(vetchtrail.MechanismUrgentFirst) && interval > lessUrgentShare*maxStreamShare*v.UrgentInterval {
 		return true
 	}
 	share := maxStreamShare
@@ -48,14 +48,14 @@
 // would probably miss its latency objective. After the refusal, the streams that would have
 // been queued behind it can begin in time, and its caller can retry when the peak may be over.
 func missesGoal(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
-	return !ev.off.Has(vetchtrail.MechanismShedding) && r.CallerCanRetry && r.Stream && !r.Goal.IsZero() && float64(wait) > maxGoalRatio*float64(r.Goal.Sub(ev.now))
+	return !ev.switchedOff.Has(vetchtrail.MechanismShedding) && r.CallerCanRetry && r.Stream && !r.Goal.IsZero() && float64(wait) > maxGoalRatio*float64(r.Goal.Sub(ev.now))
 }
 
 // callerLeavesFirst reports whether the caller would give up before the first event of
 // the stream. The stream would then process its prompt, occupy a slot and slow the other
 // streams for nothing.
 func callerLeavesFirst(ev *evaluation, wait time.Duration, r *vetchtrail.Request) bool {
-	return !ev.off.Has(vetchtrail.MechanismShedding) && !r.FirstEventBy.IsZero() && !r.ResponseStarted && ev.now.Add(wait).After(r.FirstEventBy)
+	return !ev.switchedOff.Has(vetchtrail.MechanismShedding) && !r.FirstEventBy.IsZero() && !r.ResponseStarted && ev.now.Add(wait).After(r.FirstEventBy)
 }
 
 // expectedWait corrects the wait that was predicted for an endpoint of this data centre
--- a/request/policy/baseline.go
+++ b/request/policy/baseline.go
@@ -17,12 +17,12 @@
 )
 
 // ByName returns the policy with the given name, or the weighted one for an empty name.
-// The weighted policy doesn't use the mechanisms in off. The others are baselines for
-// comparison and ignore off. ok is false if no policy has the name.
-func ByName(name string, off vetchtrail.Mechanisms) (p vetchtrail.Policy, ok bool) {
+// The weighted policy doesn't use the mechanisms in switchedOff. The others are baselines for
+// comparison and ignore switchedOff. ok is false if no policy has the name.
+func ByName(name string, switchedOff vetchtrail.Mechanisms) (p vetchtrail.Policy, ok bool) {
 	switch name {
 	case NameWeighted, "":
-		return Weighted{Disabled: off}, true
+		return Weighted{SwitchedOff: switchedOff}, true
 	case NameRoundRobin:
 		return &baseline{pick: roundRobin()}, true
 	case NameLeastInFlight:
--- a/request/policy/cost.go
+++ b/request/policy/cost.go
@@ -25,7 +25,7 @@
 	if v.RefusedHere {
 		latency += refusedPenaltySeconds
 	}
-	if !ev.off.Has(vetchtrail.MechanismFailureCost) {
+	if !ev.switchedOff.Has(vetchtrail.MechanismFailureCost) {
 		latency += failureCostSeconds * e.ExcessFailureRate
 	}
 	return v.Weights.Tail*latency + v.Weights.Cost*(prefill+e.ServiceTime) + v.Weights.Read*idlePrefillTime(uncachedTokens(e, r), e, v)
@@ -50,7 +50,7 @@
 // them (View.CachedShare) as the local endpoints.
 func remoteUncachedTokens(ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) int {
 	total := r.PromptTokens()
-	if len(r.Prompt) == 0 || ev.off.Has(vetchtrail.MechanismRemoteCacheEstimate) {
+	if len(r.Prompt) == 0 || ev.switchedOff.Has(vetchtrail.MechanismRemoteCacheEstimate) {
 		return total
 	}
 	shared := total - r.Prompt[len(r.Prompt)-1].Tokens
--- a/request/policy/mechanisms_test.go
+++ b/request/policy/mechanisms_test.go
@@ -44,10 +44,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			decide := func(off vetchtrail.Mechanisms) vetchtrail.DecisionKind {
+			decide := func(switchedOff vetchtrail.Mechanisms) vetchtrail.DecisionKind {
 				v := c.view
 				v.Region, v.Weights = 1, vetchtrail.Weights{Tail: 1, Read: 1}
-				return Weighted{Disabled: off}.Decide(now, request(c.request), &v, rand.New(rand.NewPCG(1, 1))).Kind
+				return Weighted{SwitchedOff: switchedOff}.Decide(now, request(c.request), &v, rand.New(rand.NewPCG(1, 1))).Kind
 			}
 			assert.Equal(t, decide(0), c.with)
 			assert.Equal(t, decide(vetchtrail.MechanismsOf(c.off)), c.without)
--- a/request/policy/remote.go
+++ b/request/policy/remote.go
@@ -22,7 +22,7 @@
 // cost. The index is -1 if none can be used.
 func bestRemote(d *vetchtrail.Decision, ev *evaluation, r *vetchtrail.Request, v *vetchtrail.View) (index int, cost float64) {
 	index, cost = -1, math.Inf(1)
-	if ev.off.Has(vetchtrail.MechanismForwarding) {
+	if ev.switchedOff.Has(vetchtrail.MechanismForwarding) {
 		return index, cost
 	}
 	for i := range v.Remotes {
--- a/request/policy/weighted.go
+++ b/request/policy/weighted.go
@@ -27,7 +27,7 @@
 // time to the first token, the cost of leaving the region, the endpoint's processing time
 // and the prompt tokens to process. The weights are those of the service.
 type Weighted struct {
-	Disabled vetchtrail.Mechanisms // mechanisms that are switched off
+	SwitchedOff vetchtrail.Mechanisms // mechanisms that are switched off
 }
 
 // evaluation holds the inputs of one decision and what the pass over the endpoints of
@@ -44,7 +44,7 @@
 	wait            float64                 // seconds until the first waitable endpoint is free, at least the wait in the queue
 	otherRequests   float64                 // mean number of requests of other hosts at an endpoint
 	now             time.Time
-	off             vetchtrail.Mechanisms // mechanisms that are switched off
+	switchedOff     vetchtrail.Mechanisms // mechanisms that are switched off
 }
 
 // maxCachedCosts is how many costs evaluate stores for drawEndpoint. The costs of further
@@ -57,7 +57,7 @@
 // lets the request wait, or refuses it if the wait would be too long or would not help.
 func (w Weighted) Decide(now time.Time, r *vetchtrail.Request, v *vetchtrail.View, rnd *rand.Rand) vetchtrail.Decision {
 	var d vetchtrail.Decision
-	ev := evaluation{off: w.Disabled}
+	ev := evaluation{switchedOff: w.SwitchedOff}
 	if !now.Before(r.Deadline) {
 		return refuse(&d, vetchtrail.ReasonDeadline, now, 0)
 	}
@@ -73,7 +73,7 @@
 	if ev.waitable > 0 && ev.waitable == ev.pausedOrLimited && now.Add(exactDuration(ev.wait)).After(r.QueueDeadline()) {
 		return refusePaused(&d, &ev, now)
 	}
-	if ev.waitable > 0 && ev.slow == 0 && !v.WaitExhausted && !queuedForRateLimits(&ev, v) && !ev.off.Has(vetchtrail.MechanismQueueing) {
+	if ev.waitable > 0 && ev.slow == 0 && !v.WaitExhausted && !queuedForRateLimits(&ev, v) && !ev.switchedOff.Has(vetchtrail.MechanismQueueing) {
 		return waitHere(&d, &ev, now, r, v)
 	}
 	if ev.waitable > 0 && ev.waitable == ev.rateLimited {
