--- a/decision.go
+++ b/decision.go
@@ -60,10 +60,10 @@
 }
 
 // AddCandidate counts a candidate, and records it for the log line while Candidates has space.
-func (d *Decision) AddCandidate(name string, cost float64, why Reason) {
+func (d *Decision) AddCandidate(name string, cost float64, reason Reason) {
 	d.Considered++
 	if d.Recorded < MaxCandidates {
-		d.Candidates[d.Recorded] = Candidate{Name: name, Cost: cost, Reason: why}
+		d.Candidates[d.Recorded] = Candidate{Name: name, Cost: cost, Reason: reason}
 		d.Recorded++
 	}
 }
--- a/observation.go
+++ b/observation.go
@@ -33,7 +33,7 @@
 	// Blocked returns the reason why no new request may be sent to an endpoint (it is leaving,
 	// paused or no longer listed), and until when if that is known. The reason is empty if a
 	// request may be sent.
-	Blocked(name string, now time.Time) (why Reason, until time.Time)
+	Blocked(name string, now time.Time) (reason Reason, until time.Time)
 	// CapacityFreed returns a channel that is closed when an endpoint of a service may have
 	// capacity again.
 	CapacityFreed(service string) <-chan struct{}
--- a/process/membership/leaving_spread_test.go
+++ b/process/membership/leaving_spread_test.go
@@ -125,7 +125,7 @@
 // allKnowLeaving reports whether all hosts know that an endpoint is leaving.
 func (s *simulation) allKnowLeaving(name string) bool {
 	for _, m := range s.hosts {
-		if why, _ := m.cfg.Load.Blocked(name, s.now); why == "" {
+		if reason, _ := m.cfg.Load.Blocked(name, s.now); reason == "" {
 			return false
 		}
 	}
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -46,7 +46,7 @@
 		recorders[x].at, recorders[y].at = second(n), second(n)
 		exchange(x, y, second(n))
 	}
-	usable := func(m *Membership, n int) bool { why, _ := m.cfg.Load.Blocked("e", second(n)); return why == "" }
+	usable := func(m *Membership, n int) bool { reason, _ := m.cfg.Load.Blocked("e", second(n)); return reason == "" }
 	exchangeAt(a, b, 0)
 	exchangeAt(a, b, 1)
 	assert.Equal(t, recorders[b].received, 0)
@@ -107,9 +107,9 @@
 	exchange(a, b, second(1))
 	exchange(a, b, second(2))
 	a.cfg.Load.Report("e", vetchtrail.LoadReport{ReceivedAt: second(3), StartedAt: second(3)}, time.Time{})
-	why, _ := b.cfg.Load.Blocked("e", second(3))
-	assert.Equal(t, why, vetchtrail.ReasonDraining)
+	reason, _ := b.cfg.Load.Blocked("e", second(3))
+	assert.Equal(t, reason, vetchtrail.ReasonDraining)
 	exchange(a, b, second(4))
-	why, _ = b.cfg.Load.Blocked("e", second(4))
-	assert.Equal(t, why, vetchtrail.Reason(""))
+	reason, _ = b.cfg.Load.Blocked("e", second(4))
+	assert.Equal(t, reason, vetchtrail.Reason(""))
 }
