--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -73,7 +73,7 @@
 }
 
 // ExpectedText returns the complete text that the engine must return.
-func (req Request) ExpectedText() string { return engine.Answer(req.rawPrompt(), req.Tokens) }
+func (req Request) ExpectedText() string { return engine.ResponseText(req.rawPrompt(), req.Tokens) }
 
 // IsCorrect reports whether a result is the complete and correct response.
 func (req Request) IsCorrect(r Result) bool {
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("%08x-%d ", uint32(xxhash.Sum64String(prompt)), n)
 }
 
-// Answer returns the text of the complete response to a prompt.
-func Answer(prompt string, tokens int) string {
+// ResponseText returns the text of the complete response to a prompt.
+func ResponseText(prompt string, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
 		b.WriteString(Token(prompt, n))
--- a/standin/loadrun/loadrun.go
+++ b/standin/loadrun/loadrun.go
@@ -143,7 +143,7 @@
 }
 
 // Result holds the measurements of a run. They exclude the warm-up, except for Duplicates,
-// Retries, SlotTime, Stall and Cached.
+// Retries, SlotTime, Stall and CachedShare.
 type Result struct {
 	Policy           string // Config.Name
 	Case             Case
@@ -157,11 +157,11 @@
 	Duplicates       int                     // executions in excess of one for each request
 	Retries          int                     // by the daemons
 	TimeToFirstToken *hdrhistogram.Histogram // microseconds
-	TimeToAnswer     *hdrhistogram.Histogram // microseconds to the end of the response
+	TimeToResponse   *hdrhistogram.Histogram // microseconds to the end of the response
 	TimeToRefusal    *hdrhistogram.Histogram // microseconds
 	SlotTime         time.Duration           // of all engines together
 	Stall            time.Duration           // longest delay with which a busy machine woke a sleeping goroutine
-	Cached           float64                 // share of the prompt tokens found in the engines' prefix caches
+	CachedShare      float64                 // share of the prompt tokens found in the engines' prefix caches
 }
 
 // run is a run in progress.
@@ -185,7 +185,7 @@
 	}
 	defer w.Close()
 	r := &run{cfg: c, d: d, w: w, res: Result{
-		Policy: c.Name, Case: c.Case, TimeToFirstToken: newHistogram(), TimeToAnswer: newHistogram(), TimeToRefusal: newHistogram(),
+		Policy: c.Name, Case: c.Case, TimeToFirstToken: newHistogram(), TimeToResponse: newHistogram(), TimeToRefusal: newHistogram(),
 	}}
 	if err := r.applyConfiguration(ctx); err != nil {
 		return Result{}, err
@@ -295,7 +295,7 @@
 	case request.IsCorrect(*res):
 		r.res.Answered++
 		_ = r.res.TimeToFirstToken.RecordValue(res.TimeToFirstToken.Microseconds())
-		_ = r.res.TimeToAnswer.RecordValue(res.Took.Microseconds())
+		_ = r.res.TimeToResponse.RecordValue(res.Took.Microseconds())
 		if r.regionOf(res.Endpoint) != from {
 			r.res.OtherRegion++
 		}
@@ -356,7 +356,7 @@
 		r.res.Duplicates += n - 1
 	}
 	if prompt > 0 {
-		r.res.Cached = float64(cached) / float64(prompt)
+		r.res.CachedShare = float64(cached) / float64(prompt)
 	}
 }
 
@@ -368,9 +368,9 @@
 		r := &results[i]
 		answered := max(r.Answered, 1)
 		_, _ = fmt.Fprintf(w, "| %s | %s | %d | %d | %s | %s | %s | %s | %.1f%% | %d | %s | %d | %d | %d | %d | %d | %.3f | %.0f%% | %d |\n",
-			r.Case, r.Policy, r.Sent, r.Answered, quantileMillis(r.TimeToFirstToken, 50), quantileMillis(r.TimeToFirstToken, 95), quantileMillis(r.TimeToFirstToken, 99), quantileMillis(r.TimeToAnswer, 99),
+			r.Case, r.Policy, r.Sent, r.Answered, quantileMillis(r.TimeToFirstToken, 50), quantileMillis(r.TimeToFirstToken, 95), quantileMillis(r.TimeToFirstToken, 99), quantileMillis(r.TimeToResponse, 99),
 			100*float64(r.OtherRegion)/float64(answered), r.NotRun, quantileMillis(r.TimeToRefusal, 99), r.Unknown, r.Truncated, r.Wrong, r.Retries, r.Duplicates,
-			r.SlotTime.Seconds()/float64(answered), 100*r.Cached, r.Stall.Milliseconds())
+			r.SlotTime.Seconds()/float64(answered), 100*r.CachedShare, r.Stall.Milliseconds())
 	}
 }
 
