--- a/process/membership/capacity_test.go
+++ b/process/membership/capacity_test.go
@@ -85,7 +85,7 @@
 	}
 	tasksOfA := 0
 	for i := range 2000 {
-		task := fmt.Sprint("task ", i)
+		task := fmt.Sprint("duty ", i)
 		all := first(task, hosts)
 		if all == "a" {
 			tasksOfA++
--- a/process/membership/hosts_test.go
+++ b/process/membership/hosts_test.go
@@ -94,7 +94,7 @@
 	for _, self := range listed[:9] {
 		m := New(Config{Self: self, Load: load.New(), Revision: func() uint64 { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		m.SetListedHosts(listed)
-		seen[m.ListedRank("task", time.Now())] = true
+		seen[m.ListedRank("duty", time.Now())] = true
 	}
 	assert.Equal(t, len(seen), 9, "two hosts have the same rank: %v", seen)
 }
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -98,7 +98,7 @@
 		}
 	}
 	for n := range 40 {
-		task := fmt.Sprint("task ", n)
+		task := fmt.Sprint("duty ", n)
 		assigned := map[string]bool{}
 		for _, m := range all {
 			if m.IsAssigned(task, 2, now) {
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -38,20 +38,20 @@
 	}
 	ranks := map[int]string{}
 	for _, m := range all {
-		region, dataCentre := m.Rank("task", now)
+		region, dataCentre := m.Rank("duty", now)
 		ranks[region] = m.self.Name
 		assert.Assert(t, dataCentre <= region && dataCentre < 3)
 	}
 	assert.Equal(t, len(ranks), 6, "%v", ranks)
 	for _, m := range all {
-		first := m.FirstOthers("task", 1, now)[0].Name
+		first := m.FirstOthers("duty", 1, now)[0].Name
 		if m.self.Name != ranks[0] {
 			assert.Equal(t, first, ranks[0])
 		} else {
 			assert.Equal(t, first, ranks[1])
 		}
 	}
-	region, dataCentre := all[0].Rank("task", now.Add(reachableFor))
+	region, dataCentre := all[0].Rank("duty", now.Add(reachableFor))
 	assert.Equal(t, region, dataCentre, "the other data centre is unreachable")
 }
 
@@ -83,11 +83,11 @@
 // the platform does not list does it in addition to the listed ones.
 func TestUnlistedHostRanksLast(t *testing.T) {
 	m := newMembership("a", "dc", 1)
-	assert.Equal(t, m.ListedRank("task", now), 0, "no host is listed")
+	assert.Equal(t, m.ListedRank("duty", now), 0, "no host is listed")
 	m.SetListedHosts([]vetchtrail.Host{{Name: "b", Region: "elsewhere"}})
-	assert.Equal(t, m.ListedRank("task", now), 0, "no host of the region is listed")
+	assert.Equal(t, m.ListedRank("duty", now), 0, "no host of the region is listed")
 	m.SetListedHosts([]vetchtrail.Host{{Name: "b", Region: m.self.Region}})
-	assert.Assert(t, m.ListedRank("task", now) > 100)
+	assert.Assert(t, m.ListedRank("duty", now) > 100)
 }
 
 // TestRelayedLoads guards against load reports that are relayed without need, or not at all.
