--- a/availability.go
+++ b/availability.go
@@ -26,8 +26,8 @@
 
 // Errors of the header fields that announce availability.
 var (
-	ErrLeaving = errors.New("leaving field is neither 0 nor 1")
-	ErrPause   = errors.New("pause is not a number of seconds, 0 or more")
+	ErrInvalidLeaving = errors.New("leaving field is neither 0 nor 1")
+	ErrInvalidPause   = errors.New("pause is not a number of seconds, 0 or more")
 )
 
 const (
@@ -61,7 +61,7 @@
 		return false, nil
 	}
 	if len(text) > maxAvailabilityFieldBytes {
-		return false, errors.Wrapf(ErrLeaving, "%d bytes", len(text))
+		return false, errors.Wrapf(ErrInvalidLeaving, "%d bytes", len(text))
 	}
 	for part := range strings.SplitSeq(text, ",") {
 		switch strings.TrimSpace(part) {
@@ -69,7 +69,7 @@
 			leaving = true
 		case "0":
 		default:
-			return false, errors.Wrapf(ErrLeaving, "%q", text)
+			return false, errors.Wrapf(ErrInvalidLeaving, "%q", text)
 		}
 	}
 	return leaving, nil
@@ -84,13 +84,13 @@
 		return 0, nil
 	}
 	if len(text) > maxAvailabilityFieldBytes {
-		return 0, errors.Wrapf(ErrPause, "%d bytes", len(text))
+		return 0, errors.Wrapf(ErrInvalidPause, "%d bytes", len(text))
 	}
 	longest := 0.0
 	for part := range strings.SplitSeq(text, ",") {
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 		if err != nil || !(seconds >= 0) || seconds > maxPlausibleSeconds {
-			return 0, errors.Wrapf(ErrPause, "%q", text)
+			return 0, errors.Wrapf(ErrInvalidPause, "%q", text)
 		}
 		longest = max(longest, seconds)
 	}
--- a/availability_test.go
+++ b/availability_test.go
@@ -22,11 +22,11 @@
 		"not leaving":                  {"0", false, nil},
 		"two values that differ":       {"0, 1", true, nil},
 		"surrounded by blanks":         {" 1 ", true, nil},
-		"word":                         {"true", false, ErrLeaving},
-		"other number":                 {"2", false, ErrLeaving},
-		"list with an empty value":     {"1,", false, ErrLeaving},
-		"too long":                     {strings.Repeat("1,", 40) + "1", false, ErrLeaving},
-		"valid value and invalid word": {"1, soon", false, ErrLeaving},
+		"word":                         {"true", false, ErrInvalidLeaving},
+		"other number":                 {"2", false, ErrInvalidLeaving},
+		"list with an empty value":     {"1,", false, ErrInvalidLeaving},
+		"too long":                     {strings.Repeat("1,", 40) + "1", false, ErrInvalidLeaving},
+		"valid value and invalid word": {"1, soon", false, ErrInvalidLeaving},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -52,13 +52,13 @@
 		"zero":              {"0", 0, nil},
 		"longest of two":    {"2, 7", 7 * time.Second, nil},
 		"above the maximum": {"86400", time.Hour, nil},
-		"negative":          {"-1", 0, ErrPause},
-		"not a number":      {"NaN", 0, ErrPause},
-		"infinite":          {"inf", 0, ErrPause},
-		"over a century":    {"1e300", 0, ErrPause},
-		"date":              {"Wed, 21 Oct 2026 07:28:00 GMT", 0, ErrPause},
-		"word":              {"later", 0, ErrPause},
-		"too long":          {strings.Repeat("1", 65), 0, ErrPause},
+		"negative":          {"-1", 0, ErrInvalidPause},
+		"not a number":      {"NaN", 0, ErrInvalidPause},
+		"infinite":          {"inf", 0, ErrInvalidPause},
+		"over a century":    {"1e300", 0, ErrInvalidPause},
+		"date":              {"Wed, 21 Oct 2026 07:28:00 GMT", 0, ErrInvalidPause},
+		"word":              {"later", 0, ErrInvalidPause},
+		"too long":          {strings.Repeat("1", 65), 0, ErrInvalidPause},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -35,13 +35,13 @@
 	if err != nil {
 		return unauthorized(err), false
 	}
-	r.Credential = vetchtrail.HashKey(key)
-	workspace, known := s.cfg.Rules().KeyOwner(r.Credential)
+	r.CallerKeyHash = vetchtrail.HashKey(key)
+	workspace, known := s.cfg.Rules().KeyWorkspace(r.CallerKeyHash)
 	upToDate := true
 	if !known && s.cfg.Refresh != nil {
 		// The key may be in a newer configuration that this host has not received yet.
 		upToDate = s.cfg.Refresh(c.RequestCtx())
-		workspace, known = s.cfg.Rules().KeyOwner(r.Credential)
+		workspace, known = s.cfg.Rules().KeyWorkspace(r.CallerKeyHash)
 	}
 	if known {
 		r.Workspace = workspace
--- a/connection/endpoint/endpoint.go
+++ b/connection/endpoint/endpoint.go
@@ -229,7 +229,7 @@
 		}
 		head := t.interpretHead()
 		if head.HasLoad && t.client.cfg.Observer != nil {
-			head.Load.ReceivedAt = time.Now()
+			head.Load.TakenAt = time.Now()
 			t.client.cfg.Observer.LoadReported(t.endpoint, head.Load)
 		}
 		t.reportRateLimit(head.Rate)
@@ -249,7 +249,7 @@
 // reportRateLimit reports the rate limit that the endpoint advertises. It does so as soon
 // as the head is read: at the end of the response the report would be seconds late.
 func (t *attempt) reportRateLimit(r vetchtrail.ParsedRateLimit) {
-	if t.client.cfg.Observer == nil || (!r.Reported && r.Err == nil) {
+	if t.client.cfg.Observer == nil || (!r.Valid && r.Err == nil) {
 		return
 	}
 	t.client.cfg.Observer.RateLimitReported(t.endpoint, vetchtrail.RateLimit{Advertised: r.Advertised, Rate: r.Rate, RequestedAt: t.timing.Sent, ReceivedAt: time.Now()}, r.Err)
--- a/connection/store/store.go
+++ b/connection/store/store.go
@@ -129,7 +129,7 @@
 	case statusOK, statusNotFound:
 		return handle(resp)
 	case statusTooManyRequests:
-		return vetchtrail.ErrRateLimited
+		return vetchtrail.ErrStoreRateLimited
 	}
 	return errors.Errorf("status %d: %.200s", resp.StatusCode(), resp.Body())
 }
--- a/connection/store/store_test.go
+++ b/connection/store/store_test.go
@@ -39,7 +39,7 @@
 	}{
 		"lost response": {kv.Faults{LoseResponses: 1}, nil, true},
 		"outage":        {kv.Faults{Outage: true}, nil, false},
-		"rate limit":    {kv.Faults{Writes: -1}, vetchtrail.ErrRateLimited, false},
+		"rate limit":    {kv.Faults{Writes: -1}, vetchtrail.ErrStoreRateLimited, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/dialect.go
+++ b/dialect.go
@@ -31,7 +31,7 @@
 // ResponseHead is what a response head states.
 type ResponseHead struct {
 	Kind    ResponseKind
-	Load    LoadReport // valid if HasLoad; ReceivedAt is not set
+	Load    LoadReport // valid if HasLoad; TakenAt is not set
 	HasLoad bool       // the response states the endpoint's load
 	// ColdStart is the remaining time of the endpoint's cold start; negative: not stated.
 	ColdStart    time.Duration
--- a/endpoint.go
+++ b/endpoint.go
@@ -33,11 +33,13 @@
 
 // LoadReport is what an endpoint last reported about itself.
 type LoadReport struct {
-	ReceivedAt time.Time // when the report was received from the endpoint
-	Running    int       // requests that it runs
-	Queued     int       // requests in its queue
-	Leaving    bool      // it will stop soon
-	Slots      int       // number of requests that it runs at once; 0: not reported
+	// TakenAt is when the endpoint took the numbers, or when they were received if it doesn't
+	// say.
+	TakenAt time.Time
+	Running int  // requests that it runs
+	Queued  int  // requests in its queue
+	Leaving bool // it will stop soon
+	Slots   int  // number of requests that it runs at once; 0: not reported
 	// StartedAt is the start time of the process instance by the clock of the host that
 	// fetched the report; zero: not reported.
 	StartedAt time.Time
--- a/errors.go
+++ b/errors.go
@@ -8,9 +8,9 @@
 
 // Errors of a Store.
 var (
-	ErrNotFound    = errors.New("key not found")
-	ErrConflict    = errors.New("key was changed by another writer")
-	ErrRateLimited = errors.New("store's rate limit exceeded")
+	ErrNotFound         = errors.New("key not found")
+	ErrConflict         = errors.New("key was changed by another writer")
+	ErrStoreRateLimited = errors.New("store's rate limit exceeded")
 )
 
 // PeerError is a failed call to another host, an endpoint or the store.
--- a/outcome.go
+++ b/outcome.go
@@ -117,7 +117,7 @@
 	ReasonResponseNotStored     Reason = "answer-not-kept"  // the request ran, but its response was not stored for a repeat
 	ReasonStarting              Reason = "starting"         // the host holds no configuration yet
 	ReasonLeaving               Reason = "leaving"          // the host is stopping
-	ReasonReportStale           Reason = "report-stale"     // the digest of the data centre is too old
+	ReasonDigestStale           Reason = "report-stale"     // the digest of the data centre is too old
 	ReasonStreamEnded           Reason = "stream-ended"     // unused
 	ReasonUnsupported           Reason = "unsupported"      // unused
 	ReasonTooLarge              Reason = "too-large"        // the request body is too large
--- a/process/availability/availability_test.go
+++ b/process/availability/availability_test.go
@@ -35,8 +35,8 @@
 		"paused, in several responses":    {[]vetchtrail.Availability{availability(1, false, 4*time.Second), availability(1, false, 5*time.Second)}, nil, []string{"endpoint wants nothing for a time"}},
 		"paused again later":              {[]vetchtrail.Availability{availability(1, false, time.Second), availability(3, false, time.Second)}, nil, []string{"endpoint wants", "endpoint wants"}},
 		"a shorter pause while paused":    {[]vetchtrail.Availability{availability(1, false, time.Minute), availability(3, false, time.Second)}, nil, []string{"endpoint wants"}},
-		"not parsed, in each response":    {[]vetchtrail.Availability{availability(1, false, 0), availability(1, false, 0)}, vetchtrail.ErrLeaving, []string{"endpoint's availability can't be parsed"}},
-		"leaving, and a pause not parsed": {[]vetchtrail.Availability{availability(1, true, 0)}, vetchtrail.ErrPause, []string{"endpoint's availability can't be parsed", "endpoint says that it leaves"}},
+		"not parsed, in each response":    {[]vetchtrail.Availability{availability(1, false, 0), availability(1, false, 0)}, vetchtrail.ErrInvalidLeaving, []string{"endpoint's availability can't be parsed"}},
+		"leaving, and a pause not parsed": {[]vetchtrail.Availability{availability(1, true, 0)}, vetchtrail.ErrInvalidPause, []string{"endpoint's availability can't be parsed", "endpoint says that it leaves"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -145,7 +145,7 @@
 	}
 	return &schema.EndpointStatus{
 		Name: status.Name, Service: status.Service, Running: int32(status.Report.Running), Queued: int32(status.Report.Queued),
-		Own: int32(status.View.InFlight), Limit: int32(status.View.InFlightLimit), State: state, Reported: unixNanos(status.Report.ReceivedAt),
+		Own: int32(status.View.InFlight), Limit: int32(status.View.InFlightLimit), State: state, Reported: unixNanos(status.Report.TakenAt),
 		Limited: status.View.RateLimited, Rate: status.View.Rate, RateSince: unixNanos(status.RateLimitedSince),
 		LeavingBy: string(status.LeavingBy), LeavingSince: unixNanos(status.LeavingSince), PausedUntil: unixNanos(status.PausedUntil),
 	}
--- a/process/load/event_interval.go
+++ b/process/load/event_interval.go
@@ -74,7 +74,7 @@
 // follows the mean of this host's streams at the endpoint. The older the last observation of that mean is, the more
 // it follows the fit over the service's endpoints, at the number of running requests that this one last reported.
 func (s *endpointState) expectedEventInterval(svc *serviceStats, now time.Time) float64 {
-	if !svc.eventIntervalFit.known() || !s.hasReport || now.Sub(s.report.ReceivedAt) > maxIntervalReportAge {
+	if !svc.eventIntervalFit.known() || !s.hasReport || now.Sub(s.report.TakenAt) > maxIntervalReportAge {
 		return s.eventInterval.decayedMean(now)
 	}
 	base, slope := svc.eventIntervalFit.line()
@@ -93,7 +93,7 @@
 	if s, ok := t.instance(e.Name, e.Born); ok {
 		s.eventInterval.observe(interval, now)
 		s.lastSeen = now
-		if s.hasReport && now.Sub(s.report.ReceivedAt) < maxIntervalReportAge {
+		if s.hasReport && now.Sub(s.report.TakenAt) < maxIntervalReportAge {
 			t.serviceStats[s.Service].eventIntervalFit.observe(float64(s.report.Running), interval.Seconds())
 		}
 	}
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -312,8 +312,8 @@
 		v.BaseLatency, v.Prefill = svc.prefillFit.line()
 	}
 	if s.hasReport {
-		v.ReportAge = now.Sub(s.report.ReceivedAt)
-		v.InFlightChange = s.inFlight - s.inFlightAt(s.report.ReceivedAt)
+		v.ReportAge = now.Sub(s.report.TakenAt)
+		v.InFlightChange = s.inFlight - s.inFlightAt(s.report.TakenAt)
 	}
 	switch {
 	case s.isLeaving(now):
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -213,7 +213,7 @@
 func (s *endpointState) othersPendingTokens(svc *serviceStats, now time.Time) float64 {
 	othersQueued := svc.othersQueued
 	if s.hasReport {
-		weight := math.Exp(-now.Sub(s.report.ReceivedAt).Seconds() / queuedDecay.Seconds())
+		weight := math.Exp(-now.Sub(s.report.TakenAt).Seconds() / queuedDecay.Seconds())
 		othersQueued += weight * (float64(s.reportedOthersQueued()) - svc.othersQueued)
 	}
 	return othersQueued * svc.uncachedTokens.value
@@ -223,7 +223,7 @@
 func (s *endpointState) reportedOthersQueued() int {
 	own := 0
 	for _, p := range s.pendingPrompts {
-		if !p.sentAt.After(s.report.ReceivedAt) {
+		if !p.sentAt.After(s.report.TakenAt) {
 			own++
 		}
 	}
@@ -234,7 +234,7 @@
 func meanOthersQueued(states []*endpointState, now time.Time) float64 {
 	sum, n := 0, 0
 	for _, s := range states {
-		if s.hasReport && now.Sub(s.report.ReceivedAt) < maxQueuedReportAge {
+		if s.hasReport && now.Sub(s.report.TakenAt) < maxQueuedReportAge {
 			sum += s.reportedOthersQueued()
 			n++
 		}
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -133,12 +133,12 @@
 			t.Acquire("a", request("x", 3, 0), now)
 			t.Release("a", vetchtrail.Observation{Request: "x"}, now)
 		}, 0, false},
-		"other hosts' prompts, by its report": {func(t *Table) { t.LoadReported(e, vetchtrail.LoadReport{ReceivedAt: now, Queued: 4}) }, 0, true},
+		"other hosts' prompts, by its report": {func(t *Table) { t.LoadReported(e, vetchtrail.LoadReport{TakenAt: now, Queued: 4}) }, 0, true},
 		"other hosts' prompts, by the mean without a report": {func(t *Table) {
-			t.LoadReported(vetchtrail.Endpoint{Name: "b"}, vetchtrail.LoadReport{ReceivedAt: now, Queued: 4})
+			t.LoadReported(vetchtrail.Endpoint{Name: "b"}, vetchtrail.LoadReport{TakenAt: now, Queued: 4})
 		}, 0, true},
 		"other hosts' prompts, by an old report": {func(t *Table) {
-			t.LoadReported(e, vetchtrail.LoadReport{ReceivedAt: now.Add(-time.Minute), Queued: 4})
+			t.LoadReported(e, vetchtrail.LoadReport{TakenAt: now.Add(-time.Minute), Queued: 4})
 		}, 0, false},
 	}
 	for name, c := range cases {
@@ -186,7 +186,7 @@
 	tab.serviceStats["s"].uncachedTokens.observe(5000)
 	idle := tab.Summaries(now)[0].Wait
 	for name := range tab.endpoints {
-		tab.LoadReported(vetchtrail.Endpoint{Name: name}, vetchtrail.LoadReport{ReceivedAt: now, Queued: 10})
+		tab.LoadReported(vetchtrail.Endpoint{Name: name}, vetchtrail.LoadReport{TakenAt: now, Queued: 10})
 	}
 	busy := tab.Summaries(now)[0].Wait
 	assert.Assert(t, busy > idle+200*time.Millisecond, "%s idle, %s busy", idle, busy)
@@ -252,7 +252,7 @@
 	observed, other := vetchtrail.Endpoint{Name: "a"}, vetchtrail.Endpoint{Name: "b"}
 	for running := range 40 {
 		at := now.Add(time.Duration(running) * time.Millisecond)
-		tab.LoadReported(observed, vetchtrail.LoadReport{ReceivedAt: at, Running: running})
+		tab.LoadReported(observed, vetchtrail.LoadReport{TakenAt: at, Running: running})
 		tab.EventReceived(observed, time.Duration((0.02+perRequest*float64(running))*float64(time.Second)), at)
 	}
 	cases := map[string]struct {
@@ -260,9 +260,9 @@
 		least  float64
 		most   float64
 	}{
-		"few run":       {vetchtrail.LoadReport{ReceivedAt: now, Running: 2}, 0.02, 0.035},
-		"many run":      {vetchtrail.LoadReport{ReceivedAt: now, Running: 50}, 0.15, 0.19},
-		"an old report": {vetchtrail.LoadReport{ReceivedAt: now.Add(-time.Minute), Running: 50}, 0, 0},
+		"few run":       {vetchtrail.LoadReport{TakenAt: now, Running: 2}, 0.02, 0.035},
+		"many run":      {vetchtrail.LoadReport{TakenAt: now, Running: 50}, 0.15, 0.19},
+		"an old report": {vetchtrail.LoadReport{TakenAt: now.Add(-time.Minute), Running: 50}, 0, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -33,7 +33,7 @@
 // acceptReport records a report if it is newer than the known one, and returns whether it was. The caller holds
 // the lock.
 func (t *Table) acceptReport(s *endpointState, r vetchtrail.LoadReport, receivedHere bool, leavingUntil time.Time) bool {
-	if s.hasReport && !r.ReceivedAt.After(s.report.ReceivedAt) {
+	if s.hasReport && !r.TakenAt.After(s.report.TakenAt) {
 		return false
 	}
 	s.report, s.hasReport, s.receivedHere = r, true, receivedHere
@@ -62,7 +62,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.endpoints[name]; ok {
-		return s.report.ReceivedAt
+		return s.report.TakenAt
 	}
 	return time.Time{}
 }
--- a/process/load/report_log.go
+++ b/process/load/report_log.go
@@ -21,7 +21,7 @@
 func (t *Table) logReport(s *endpointState) {
 	t.reportNumber++
 	s.reportNumber = t.reportNumber
-	entry := reportLogEntry{endpoint: s, number: t.reportNumber, newestUnixNano: s.report.ReceivedAt.UnixNano()}
+	entry := reportLogEntry{endpoint: s, number: t.reportNumber, newestUnixNano: s.report.TakenAt.UnixNano()}
 	if n := len(t.reportLog); n > 0 {
 		entry.newestUnixNano = max(entry.newestUnixNano, t.reportLog[n-1].newestUnixNano)
 	}
@@ -55,7 +55,7 @@
 		}
 		// A state that is no longer in the table belongs to an earlier process instance, whose report is not
 		// valid for the present one.
-		if s := entry.endpoint; s.reportNumber == entry.number && t.endpoints[s.Name] == s && (s.reportsLeaving || s.report.ReceivedAt.After(after)) {
+		if s := entry.endpoint; s.reportNumber == entry.number && t.endpoints[s.Name] == s && (s.reportsLeaving || s.report.TakenAt.After(after)) {
 			out = append(out, s.newestReport())
 		}
 	}
@@ -63,7 +63,7 @@
 		return out, t.reportNumber
 	}
 	for _, s := range t.endpoints {
-		if s.reportsLeaving && !s.report.ReceivedAt.After(after) {
+		if s.reportsLeaving && !s.report.TakenAt.After(after) {
 			out = append(out, s.newestReport())
 		}
 	}
--- a/process/membership/gossip_peers_test.go
+++ b/process/membership/gossip_peers_test.go
@@ -43,7 +43,7 @@
 				var reported []string
 				for range reportRate * int(HeartbeatInterval) / int(time.Second) {
 					e := s.endpoints[rnd.IntN(c.endpoints)].Name
-					s.hosts[rnd.IntN(c.hosts)].cfg.Load.LoadReported(vetchtrail.Endpoint{Name: e}, vetchtrail.LoadReport{ReceivedAt: s.now, Running: 1})
+					s.hosts[rnd.IntN(c.hosts)].cfg.Load.LoadReported(vetchtrail.Endpoint{Name: e}, vetchtrail.LoadReport{TakenAt: s.now, Running: 1})
 					reported = append(reported, e)
 				}
 				at := s.now
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -220,7 +220,7 @@
 		}
 		out = append(out, &schema.Load{
 			Endpoint: r.NameHash, Running: uint32(r.Report.Running), Queued: uint32(r.Report.Queued),
-			AgeMillis: millis(now.Sub(r.Report.ReceivedAt)), Leaving: r.Report.Leaving, UpMillis: uptimeMillis(r, now),
+			AgeMillis: millis(now.Sub(r.Report.TakenAt)), Leaving: r.Report.Leaving, UpMillis: uptimeMillis(r, now),
 		})
 	}
 	return out
@@ -342,8 +342,8 @@
 // loadReportOf decodes a load report that was received at the time now.
 func loadReportOf(l *schema.Load, now time.Time) vetchtrail.LoadReport {
 	r := vetchtrail.LoadReport{
-		ReceivedAt: now.Add(-time.Duration(l.GetAgeMillis()) * time.Millisecond),
-		Running:    int(l.GetRunning()), Queued: int(l.GetQueued()), Leaving: l.GetLeaving(),
+		TakenAt: now.Add(-time.Duration(l.GetAgeMillis()) * time.Millisecond),
+		Running: int(l.GetRunning()), Queued: int(l.GetQueued()), Leaving: l.GetLeaving(),
 	}
 	if up := l.GetUpMillis(); up > 0 {
 		r.StartedAt = now.Add(-time.Duration(up) * time.Millisecond)
--- a/process/membership/loads_test.go
+++ b/process/membership/loads_test.go
@@ -25,11 +25,11 @@
 	a.cfg.Load.Configure(placed)
 	exchange(a, b, now)
 	for n := range 100 {
-		a.cfg.Load.LoadReported(placed[n].Endpoint, vetchtrail.LoadReport{ReceivedAt: now, Running: n})
+		a.cfg.Load.LoadReported(placed[n].Endpoint, vetchtrail.LoadReport{TakenAt: now, Running: n})
 	}
 	assert.Equal(t, len(a.heartbeatTo(b.self.PeerAddr, now).GetLoads()), 100)
 	assert.Equal(t, len(a.heartbeatTo(b.self.PeerAddr, now).GetLoads()), 0)
-	a.cfg.Load.LoadReported(placed[7].Endpoint, vetchtrail.LoadReport{ReceivedAt: now.Add(time.Second), Running: 1})
+	a.cfg.Load.LoadReported(placed[7].Endpoint, vetchtrail.LoadReport{TakenAt: now.Add(time.Second), Running: 1})
 	h := a.heartbeatTo(b.self.PeerAddr, now.Add(time.Second))
 	assert.Equal(t, len(h.GetLoads()), 1)
 	assert.Equal(t, h.GetLoads()[0].GetEndpoint(), load.NameHash("e7"))
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -113,7 +113,7 @@
 			m := newMembership("a", "dc", 1)
 			m.cfg.CallsWholeRegion = c.wholeRegion
 			m.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
-			r := vetchtrail.LoadReport{ReceivedAt: now.Add(-c.age), Running: 3}
+			r := vetchtrail.LoadReport{TakenAt: now.Add(-c.age), Running: 3}
 			if c.fetched {
 				m.cfg.Load.Report("e", r, time.Time{})
 			} else {
--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -148,7 +148,7 @@
 		startedAt = now.Add(-time.Duration(r.Up) * time.Millisecond)
 	}
 	p.cfg.Table.Report(e.Name, vetchtrail.LoadReport{
-		ReceivedAt: at, Running: r.Running, Queued: r.Queued, Leaving: r.Leaving, StartedAt: startedAt,
+		TakenAt: at, Running: r.Running, Queued: r.Queued, Leaving: r.Leaving, StartedAt: startedAt,
 	}, now.Add(reportLeavingValidFor))
 }
 
--- a/process/ratelimits/ratelimits_test.go
+++ b/process/ratelimits/ratelimits_test.go
@@ -42,7 +42,7 @@
 	earlier.Born = start.Add(-time.Hour)
 	l.RateLimitReported(earlier, advertised(1, 10_002, 10_003), nil) // of an earlier instance
 	for i := range 100 {
-		l.RateLimitReported(e, advertised(0, 12_000+i, 12_001+i), vetchtrail.ErrRateLimit)
+		l.RateLimitReported(e, advertised(0, 12_000+i, 12_001+i), vetchtrail.ErrInvalidRateLimit)
 	}
 	lines := map[string]int{
 		`"endpoint names a rate"`: 1, `"endpoint names another rate"`: 9, `"endpoint names no rate any more"`: 1,
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -45,14 +45,16 @@
 
 // ParsedRateLimit is the parsed rate limit from one response head.
 type ParsedRateLimit struct {
-	Reported   bool    // the response is known to be the endpoint's: without a rate, the endpoint has no limit
+	// Valid is set if the field was read without an error. Advertised false then means that the
+	// endpoint has no rate limit.
+	Valid      bool
 	Advertised bool    // the response advertises a rate limit
 	Rate       float64 // in requests per second
 	Err        error   // the error of a field that can't be parsed and was ignored; nil: none
 }
 
-// ErrRateLimit is the error of a rate limit that can't be parsed.
-var ErrRateLimit = errors.New("rate limit is not a number of requests per second, 0 or more")
+// ErrInvalidRateLimit is the error of a rate limit that can't be parsed.
+var ErrInvalidRateLimit = errors.New("rate limit is not a number of requests per second, 0 or more")
 
 const (
 	// maxRateFieldBytes bounds the length of a field that is parsed. A number has about ten
@@ -68,21 +70,21 @@
 // counts.
 func ParseRateLimit(text string) ParsedRateLimit {
 	if text == "" {
-		return ParsedRateLimit{Reported: true}
+		return ParsedRateLimit{Valid: true}
 	}
 	if len(text) > maxRateFieldBytes {
-		return ParsedRateLimit{Err: errors.Wrapf(ErrRateLimit, "%d bytes", len(text))}
+		return ParsedRateLimit{Err: errors.Wrapf(ErrInvalidRateLimit, "%d bytes", len(text))}
 	}
-	out := ParsedRateLimit{Reported: true, Rate: math.Inf(1)}
+	out := ParsedRateLimit{Valid: true, Rate: math.Inf(1)}
 	for part := range strings.SplitSeq(text, ",") {
 		rate, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 		if err != nil || !(rate >= 0) || math.IsInf(rate, 0) {
-			return ParsedRateLimit{Err: errors.Wrapf(ErrRateLimit, "%q", text)}
+			return ParsedRateLimit{Err: errors.Wrapf(ErrInvalidRateLimit, "%q", text)}
 		}
 		out.Rate = min(out.Rate, rate)
 	}
 	if out.Rate >= unlimitedRate {
-		return ParsedRateLimit{Reported: true}
+		return ParsedRateLimit{Valid: true}
 	}
 	out.Advertised = true
 	return out
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -38,10 +38,10 @@
 		t.Run(name, func(t *testing.T) {
 			got := ParseRateLimit(c.text)
 			assert.Equal(t, got.Err != nil, c.malformed, "%v", got)
-			assert.Equal(t, got.Reported, !c.malformed)
+			assert.Equal(t, got.Valid, !c.malformed)
 			assert.Equal(t, got.Advertised, c.advertised)
 			assert.Equal(t, got.Rate, c.rate)
-			assert.Assert(t, !c.malformed || errors.Is(got.Err, ErrRateLimit))
+			assert.Assert(t, !c.malformed || errors.Is(got.Err, ErrInvalidRateLimit))
 		})
 	}
 }
@@ -54,10 +54,10 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		got := ParseRateLimit(text)
-		if got.Reported == (got.Err != nil) {
-			t.Fatalf("%q: reported is %t with error %v", text, got.Reported, got.Err)
+		if got.Valid == (got.Err != nil) {
+			t.Fatalf("%q: reported is %t with error %v", text, got.Valid, got.Err)
 		}
-		if got.Advertised && (!got.Reported || !(got.Rate >= 0) || math.IsInf(got.Rate, 0) || got.Rate >= unlimitedRate) {
+		if got.Advertised && (!got.Valid || !(got.Rate >= 0) || math.IsInf(got.Rate, 0) || got.Rate >= unlimitedRate) {
 			t.Fatalf("%q: invalid rate limit %g", text, got.Rate)
 		}
 		if !got.Advertised && got.Rate != 0 {
--- a/request.go
+++ b/request.go
@@ -14,10 +14,10 @@
 	Service   string
 	Kind      ServiceKind
 	Workspace string // workspace of the caller
-	// Credential is the hash of the caller's key, on the host that received the request from
-	// the caller; zero: the caller sent none. It is not forwarded: other hosts rely on that
-	// host for the workspace.
-	Credential     KeyHash
+	// CallerKeyHash is the hash of the workspace key that the caller sent, on the host that
+	// received the request from the caller; zero: the caller sent none. It is not forwarded:
+	// other hosts rely on that host for the workspace.
+	CallerKeyHash  KeyHash
 	HomeRegion     RegionID  // region of the workspace, or else EntryRegion
 	EntryRegion    RegionID  // region where the request was received from the caller
 	AllowedRegions RegionSet // regions that may process it by the configurations of all hosts that have checked it
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -141,8 +141,8 @@
 // the request may not run.
 func (d *Dispatcher) applyRules(r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
 	newest := d.cfg.Rules()
-	if r.Credential != (vetchtrail.KeyHash{}) {
-		if owner, ok := newest.KeyOwner(r.Credential); !ok || owner != r.Workspace {
+	if r.CallerKeyHash != (vetchtrail.KeyHash{}) {
+		if workspace, ok := newest.KeyWorkspace(r.CallerKeyHash); !ok || workspace != r.Workspace {
 			return d.refusal(vetchtrail.StepDecide, vetchtrail.ReasonUnknownKey, time.Time{}), false
 		}
 	}
--- a/request/dispatch/quota_test.go
+++ b/request/dispatch/quota_test.go
@@ -124,7 +124,7 @@
 				removeKey(applyEdits)
 			}
 			r := &vetchtrail.Request{
-				ID: "x", Service: "s", Route: "r", MaxAttempts: 2, Repeatable: true, Workspace: "w", Credential: vetchtrail.HashKey("secret"),
+				ID: "x", Service: "s", Route: "r", MaxAttempts: 2, Repeatable: true, Workspace: "w", CallerKeyHash: vetchtrail.HashKey("secret"),
 				Deadline: time.Now().Add(10 * time.Second), Goal: time.Now().Add(time.Second),
 			}
 			o := d.Run(context.Background(), r, &responseRecorder{})
--- a/request/policy/refusal.go
+++ b/request/policy/refusal.go
@@ -34,7 +34,7 @@
 		switch unusableRemoteReason(&v.Remotes[i], r, v) {
 		case vetchtrail.ReasonFull:
 			return vetchtrail.ReasonOverCapacity
-		case vetchtrail.ReasonUnreachable, vetchtrail.ReasonReportStale:
+		case vetchtrail.ReasonUnreachable, vetchtrail.ReasonDigestStale:
 			reason = vetchtrail.ReasonUnreachable
 		}
 	}
--- a/request/policy/remote.go
+++ b/request/policy/remote.go
@@ -75,7 +75,7 @@
 	case !m.Reachable:
 		return vetchtrail.ReasonUnreachable
 	case m.DigestAge > maxReportAge:
-		return vetchtrail.ReasonReportStale
+		return vetchtrail.ReasonDigestStale
 	case len(v.Excluded) > 0 && slices.Contains(v.Excluded, m.DataCentre):
 		return vetchtrail.ReasonTriedBefore
 	case float64(m.InFlight) >= float64(m.FreeSlots)*m.WarmUpShare:
--- a/schema/convert_test.go
+++ b/schema/convert_test.go
@@ -19,7 +19,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := &vetchtrail.Request{
-				ID: "x", Workspace: "w", Credential: vetchtrail.HashKey("secret"), CallerCanRetry: c.callerCanRetry, Deadline: senderNow.Add(9 * time.Second),
+				ID: "x", Workspace: "w", CallerKeyHash: vetchtrail.HashKey("secret"), CallerCanRetry: c.callerCanRetry, Deadline: senderNow.Add(9 * time.Second),
 				Goal: senderNow.Add(time.Second), FirstEventBy: senderNow.Add(3 * time.Second),
 			}
 			got, err := ToRequest(FromRequest(r, senderNow), receiverNow)
@@ -28,7 +28,7 @@
 			assert.Equal(t, got.FirstEventBy, receiverNow.Add(3*time.Second))
 			assert.Equal(t, got.Deadline, receiverNow.Add(9*time.Second))
 			assert.Equal(t, got.Workspace, "w")
-			assert.Equal(t, got.Credential, vetchtrail.KeyHash{}, "the hash of the caller's key was forwarded")
+			assert.Equal(t, got.CallerKeyHash, vetchtrail.KeyHash{}, "the hash of the caller's key was forwarded")
 		})
 	}
 }
--- a/store.go
+++ b/store.go
@@ -14,7 +14,7 @@
 
 // Store is a client of the platform's key-value service. The service limits the rate of
 // calls; a Wait counts as one call however long it takes. If CompareAndSwap returns an error
-// other than ErrConflict or ErrRateLimited, the write may or may not have taken effect.
+// other than ErrConflict or ErrStoreRateLimited, the write may or may not have taken effect.
 type Store interface {
 	// Get returns ErrNotFound if the key does not exist.
 	Get(ctx context.Context, key string) (StoreEntry, error)
--- a/version/changelog/propose.go
+++ b/version/changelog/propose.go
@@ -104,7 +104,7 @@
 			if err == nil {
 				return same, nil
 			}
-		case errors.Is(err, vetchtrail.ErrRateLimited):
+		case errors.Is(err, vetchtrail.ErrStoreRateLimited):
 			// The store rejected the write for its rate limit: it had no effect.
 		default:
 			mayBeWritten = true
--- a/version/rules/workspace.go
+++ b/version/rules/workspace.go
@@ -43,8 +43,8 @@
 	return r.expand(name, w), true
 }
 
-// KeyOwner returns the name of the workspace that owns a key.
-func (r *Rules) KeyOwner(key vetchtrail.KeyHash) (workspace string, ok bool) {
+// KeyWorkspace returns the name of the workspace that owns a key.
+func (r *Rules) KeyWorkspace(key vetchtrail.KeyHash) (workspace string, ok bool) {
 	workspace, ok = r.keyOwners[keyShardOf(key)][key]
 	return workspace, ok
 }
--- a/version/rules/workspace_test.go
+++ b/version/rules/workspace_test.go
@@ -22,14 +22,14 @@
 	return out
 }
 
-// TestKeyOwner checks which workspace owns a key after changes. A removed key
+// TestKeyWorkspace checks which workspace owns a key after changes. A removed key
 // must not identify its former workspace any longer, the configuration before
 // the change must be unmodified, and a snapshot must give the same keys again.
-func TestKeyOwner(t *testing.T) {
+func TestKeyWorkspace(t *testing.T) {
 	first := put(vetchtrail.Workspace{Name: "w", Keys: keyHashes("old", "stays")})
 	cases := map[string]struct {
-		edits  []vetchtrail.Edit
-		owners map[string]string // workspace by key; empty: none
+		edits      []vetchtrail.Edit
+		workspaces map[string]string // workspace by key; empty: none
 	}{
 		"no change":    {nil, map[string]string{"old": "w", "stays": "w", "new": ""}},
 		"key replaced": {[]vetchtrail.Edit{put(vetchtrail.Workspace{Name: "w", Keys: keyHashes("stays", "new")})}, map[string]string{"old": "", "stays": "w", "new": "w"}},
@@ -43,11 +43,11 @@
 			assert.NilError(t, err)
 			after, err := before.ApplyEdits(c.edits)
 			assert.NilError(t, err)
-			for key, want := range c.owners {
-				got, _ := after.KeyOwner(vetchtrail.HashKey(key))
+			for key, want := range c.workspaces {
+				got, _ := after.KeyWorkspace(vetchtrail.HashKey(key))
 				assert.Equal(t, got, want, key)
 			}
-			got, _ := before.KeyOwner(vetchtrail.HashKey("old"))
+			got, _ := before.KeyWorkspace(vetchtrail.HashKey("old"))
 			assert.Equal(t, got, "w", "the configuration before the change was modified")
 			assert.Assert(t, before.Locked("w") && before.AnyLocked())
 			restored, err := Restore(after.Edits(), 1)
@@ -86,7 +86,7 @@
 			var changeErr *vetchtrail.ChangeError
 			assert.Assert(t, errors.As(err, &changeErr), "%v", err)
 			assert.Equal(t, changeErr.Text, c.text)
-			got, _ := config.KeyOwner(vetchtrail.HashKey("secret"))
+			got, _ := config.KeyWorkspace(vetchtrail.HashKey("secret"))
 			assert.Equal(t, got, "w")
 		})
 	}
@@ -132,9 +132,9 @@
 	}
 }
 
-// BenchmarkKeyOwner measures the lookup of a key among 38,000 workspaces of two
+// BenchmarkKeyWorkspace measures the lookup of a key among 38,000 workspaces of two
 // keys each. Most of the time goes into hashing the key; nothing is allocated.
-func BenchmarkKeyOwner(b *testing.B) {
+func BenchmarkKeyWorkspace(b *testing.B) {
 	var edits []vetchtrail.Edit
 	for i := range 38_000 {
 		edits = append(edits, put(vetchtrail.Workspace{Name: fmt.Sprint("w", i), Keys: keyHashes(fmt.Sprint("key-number-", i), fmt.Sprint("other-key-", i))}))
@@ -147,7 +147,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, ok := r.KeyOwner(vetchtrail.HashKey(lookups[i%len(lookups)])); !ok {
+		if _, ok := r.KeyWorkspace(vetchtrail.HashKey(lookups[i%len(lookups)])); !ok {
 			b.Fatal("not found")
 		}
 	}
