--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -160,7 +160,7 @@
 		return nil, err
 	}
 	d.poller = poll.New(poll.Config{
-		Table: d.table, Assignments: d.membership, Interval: d.cfg.Timing.Poll, ListAddr: d.cfg.Platform.Hosts, Log: d.log,
+		Table: d.table, Assignments: d.membership, Interval: d.cfg.Timing.Poll, EndpointListAddr: d.cfg.Platform.Hosts, Log: d.log,
 	})
 	var err error
 	d.server, err = peer.NewServer(peer.ServerConfig{
@@ -302,7 +302,7 @@
 	tasks.Go(func() { d.becomeReady(ctx) })
 	tasks.Go(func() { d.quarantines.Load(ctx, d.quarantineStore) })
 	tasks.Go(func() { d.poller.Run(ctx) })
-	tasks.Go(func() { d.poller.RunList(ctx) })
+	tasks.Go(func() { d.poller.RunEndpointList(ctx) })
 	go d.changes.Watch(ctx, func() bool { return d.membership.IsAssigned("watch the store", StoreWatchers, time.Now()) })
 }
 
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -15,7 +15,7 @@
 	d.quarantines = quarantines.New(quarantines.Config{
 		Self: d.self, Regions: func() []string { return d.changes.Rules().RegionNames() }, Hosts: liveHosts{d.membership}, Peers: d.peers,
 		RefusesConnections: d.endpoints.RefusesConnection, IsLeaving: d.endpointLeaving, Persister: d.quarantinePersister(), Clock: clock.Boot,
-		Disabled: switchedOff.Has(vetchtrail.MechanismQuarantine), Log: d.log,
+		SwitchedOff: switchedOff.Has(vetchtrail.MechanismQuarantine), Log: d.log,
 	})
 }
 
--- a/process/daemon/ratelimits.go
+++ b/process/daemon/ratelimits.go
@@ -10,7 +10,7 @@
 // newRateLimits creates the host's part in enforcing the rate limits that endpoints advertise.
 func (d *Daemon) newRateLimits(switchedOff vetchtrail.Mechanisms) {
 	d.rateLimits = ratelimits.New(ratelimits.Config{
-		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, Disabled: switchedOff.Has(vetchtrail.MechanismRateLimits), Log: d.log,
+		Self: d.self, Table: d.table, Hosts: d.membership, Peers: d.peers, Clock: clock.Boot, SwitchedOff: switchedOff.Has(vetchtrail.MechanismRateLimits), Log: d.log,
 	})
 }
 
--- a/process/load/availability.go
+++ b/process/load/availability.go
@@ -23,7 +23,7 @@
 // exception is a load report of a later process instance, which withdraws the announcements of the earlier one.
 type availabilityBySource struct {
 	reportUntil       time.Time // leaving until then, by its newest load report
-	platformUntil     time.Time // leaving until then, by the platform's list of hosts
+	platformUntil     time.Time // leaving until then, by the platform's list of endpoints
 	otherProcessUntil time.Time // another process is assumed at its address until then
 	announcements
 }
@@ -76,7 +76,7 @@
 	ByResponses    LeavingBy = "its answers"
 	ByListing      LeavingBy = "list" // the configuration, or the platform's listing
 	ByReport       LeavingBy = "load report"
-	ByListOfHosts  LeavingBy = "list of hosts"
+	ByEndpointList LeavingBy = "list of hosts"
 	ByOtherProcess LeavingBy = "another process" // sent a response from its address
 )
 
@@ -91,7 +91,7 @@
 	case now.Before(a.reportUntil):
 		return ByReport
 	case now.Before(a.platformUntil):
-		return ByListOfHosts
+		return ByEndpointList
 	case now.Before(a.otherProcessUntil):
 		return ByOtherProcess
 	}
--- a/process/load/availability_test.go
+++ b/process/load/availability_test.go
@@ -105,12 +105,12 @@
 func (m *availabilityModel) report(t *rapid.T) {
 	leaving := rapid.Bool().Draw(t, "leaving")
 	until := m.now.Add(time.Second)
-	if m.table.Report("e000", vetchtrail.LoadReport{TakenAt: m.now, Leaving: leaving}, until) && leaving {
+	if m.table.RecordReport("e000", vetchtrail.LoadReport{TakenAt: m.now, Leaving: leaving}, until) && leaving {
 		m.othersUntil = vetchtrail.Later(m.othersUntil, until)
 	}
 }
 
-// leave is an entry of the platform's list of hosts.
+// leave is an entry of the platform's list of endpoints.
 func (m *availabilityModel) leave(*rapid.T) {
 	until := m.now.Add(2 * time.Second)
 	m.table.MarkLeaving("e000", until)
@@ -261,8 +261,8 @@
 			tab.MarkLeaving("e000", later)
 			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, RequestedAt: now, ReceivedAt: now})
 		}, ByResponses, EndpointStatus{LeavingSince: now}},
-		"the list of hosts": {func(tab *Table) { tab.MarkLeaving("e000", later) }, ByListOfHosts, EndpointStatus{}},
-		"a load report":     {func(tab *Table) { tab.Report("e000", vetchtrail.LoadReport{TakenAt: now, Leaving: true}, later) }, ByReport, EndpointStatus{}},
+		"the list of hosts": {func(tab *Table) { tab.MarkLeaving("e000", later) }, ByEndpointList, EndpointStatus{}},
+		"a load report":     {func(tab *Table) { tab.RecordReport("e000", vetchtrail.LoadReport{TakenAt: now, Leaving: true}, later) }, ByReport, EndpointStatus{}},
 		"the listing": {func(tab *Table) {
 			drained := e
 			drained.Draining = true
@@ -304,7 +304,7 @@
 			tab := New()
 			tab.Configure([]EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e000", Service: "s", Slots: 4}}})
 			tab.RecordAnnouncement("e000", time.Time{}, vetchtrail.Availability{Leaving: true, PausedUntil: now.Add(time.Hour), RequestedAt: now, ReceivedAt: now})
-			assert.Assert(t, tab.Report("e000", vetchtrail.LoadReport{TakenAt: now.Add(2 * time.Minute), StartedAt: c.started}, time.Time{}))
+			assert.Assert(t, tab.RecordReport("e000", vetchtrail.LoadReport{TakenAt: now.Add(2 * time.Minute), StartedAt: c.started}, time.Time{}))
 			reason, _ := tab.Blocked("e000", now.Add(2*time.Minute))
 			assert.Equal(t, reason, c.want)
 			assert.Assert(t, allReports(tab)[0].EverAnnounced, "other hosts don't receive its start time")
--- a/process/load/instance_test.go
+++ b/process/load/instance_test.go
@@ -33,7 +33,7 @@
 			r := &vetchtrail.Request{ID: "a", Service: "s"}
 			assert.Assert(t, tab.Acquire("e000", r, now))
 			tab.MarkLeaving("e000", now.Add(time.Hour))
-			tab.Report("e000", vetchtrail.LoadReport{TakenAt: now, Running: 9}, now)
+			tab.RecordReport("e000", vetchtrail.LoadReport{TakenAt: now, Running: 9}, now)
 			configure(tab, c.next)
 			reason, _ := tab.Blocked("e000", now)
 			assert.Equal(t, reason == "", !c.kept, "only the first instance was leaving")
--- a/process/load/load.go
+++ b/process/load/load.go
@@ -281,9 +281,9 @@
 		svc.othersQueued = meanOthersQueued(states, now)
 	}
 	session, sticky := r.Session()
-	home := -1
+	preferred := -1
 	if sticky {
-		home = sessionHome(states, session.ID, now)
+		preferred = preferredEndpoint(states, session.ID, now)
 	}
 	for i, s := range states {
 		e := s.view(t, now)
@@ -291,7 +291,7 @@
 			e.Backlog = e.Prefill * s.backlog(r.Priority, t.serviceStats[r.Service], now)
 		}
 		if sticky && !t.switchedOff.Has(vetchtrail.MechanismAffinity) {
-			e.CachedTokens = t.cachedTokens(s, r, session, i == home, now)
+			e.CachedTokens = t.cachedTokens(s, r, session, i == preferred, now)
 		}
 		v.Endpoints = append(v.Endpoints, e)
 	}
--- a/process/load/load_test.go
+++ b/process/load/load_test.go
@@ -130,7 +130,7 @@
 func report(t *Table, leaving bool) { reportAt(t, now.Add(1), leaving) }
 
 func reportAt(t *Table, at time.Time, leaving bool) {
-	t.Report("e000", vetchtrail.LoadReport{TakenAt: at, Leaving: leaving}, now.Add(time.Hour))
+	t.RecordReport("e000", vetchtrail.LoadReport{TakenAt: at, Leaving: leaving}, now.Add(time.Hour))
 }
 
 // TestEjectionIsBounded guards against a fault that all endpoints share, as in a network, which would eject all
@@ -179,11 +179,11 @@
 	for i := range 3 {
 		tab.Acquire("e000", &vetchtrail.Request{}, now.Add(time.Duration(i)*time.Second))
 	}
-	tab.Report("e000", vetchtrail.LoadReport{TakenAt: now.Add(1500 * time.Millisecond), Running: 5}, now)
+	tab.RecordReport("e000", vetchtrail.LoadReport{TakenAt: now.Add(1500 * time.Millisecond), Running: 5}, now)
 	v := viewOf(tab, now.Add(3*time.Second))
 	assert.Equal(t, v.InFlight, 3)
 	assert.Equal(t, v.InFlightChange, 1)
-	assert.Assert(t, !tab.Report("e000", vetchtrail.LoadReport{TakenAt: now.Add(time.Second), Running: 9}, now), "an older report")
+	assert.Assert(t, !tab.RecordReport("e000", vetchtrail.LoadReport{TakenAt: now.Add(time.Second), Running: 9}, now), "an older report")
 }
 
 // BenchmarkFill measures, by the number of endpoints, how long the view for a decision takes to build and how much
--- a/process/load/mechanisms_test.go
+++ b/process/load/mechanisms_test.go
@@ -13,9 +13,9 @@
 // while it is switched off.
 func TestSwitchedOff(t *testing.T) {
 	const session = 5
-	home := homeName(twoRegions(1e-7), session)
-	other := map[string]string{"a": "b", "b": "c", "c": "a"}[home]
-	third := map[string]string{"a": "c", "b": "a", "c": "b"}[home]
+	preferred := preferredName(twoRegions(1e-7), session)
+	other := map[string]string{"a": "b", "b": "c", "c": "a"}[preferred]
+	third := map[string]string{"a": "c", "b": "a", "c": "b"}[preferred]
 	// source is the last byte of the address from which target is to transfer the prompt; 0: none.
 	source := func(tab *Table, target string) byte {
 		r := request("r", session, 0)
@@ -30,9 +30,9 @@
 		off       vetchtrail.Mechanism
 		hasEffect func(tab *Table) bool
 	}{
-		"affinity":     {vetchtrail.MechanismAffinity, func(tab *Table) bool { return views(tab, request("x", session, 0))[home].CachedTokens > 0 }},
+		"affinity":     {vetchtrail.MechanismAffinity, func(tab *Table) bool { return views(tab, request("x", session, 0))[preferred].CachedTokens > 0 }},
 		"prompt moves": {vetchtrail.MechanismCacheTransfer, func(tab *Table) bool { return source(tab, other) > 0 }},
-		"far moves":    {vetchtrail.MechanismRemoteCacheTransfer, func(tab *Table) bool { return source(tab, home) == 9 }},
+		"far moves":    {vetchtrail.MechanismRemoteCacheTransfer, func(tab *Table) bool { return source(tab, preferred) == 9 }},
 		"last sent": {vetchtrail.MechanismTransferFromLastSent, func(tab *Table) bool {
 			tab.Acquire(third, request("before", session, 0), now)
 			return source(tab, other) == third[0]-'a'+1
--- a/process/load/prefill.go
+++ b/process/load/prefill.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// sessionHome returns the index of a session's home: the endpoint to which all hosts send the session while it
-// has capacity. It is chosen by rendezvous hashing over the endpoints in use; -1: there are none.
-func sessionHome(states []*endpointState, session uint64, now time.Time) int {
+// preferredEndpoint returns the index of a session's preferred endpoint: the one to which all hosts send the session
+// while it has capacity. It is chosen by rendezvous hashing over the endpoints in use; -1: there are none.
+func preferredEndpoint(states []*endpointState, session uint64, now time.Time) int {
 	best, at := uint64(0), -1
 	for i, s := range states {
 		if !s.inUse(now) {
@@ -92,10 +92,10 @@
 
 // cachedTokens is how many tokens of a request's prompt the endpoint probably doesn't have to process: the shared
 // ones if it has them cached, or most of the shared ones if it can transfer them from another endpoint.
-func (t *Table) cachedTokens(s *endpointState, r *vetchtrail.Request, session vetchtrail.PromptPart, isHome bool, now time.Time) int {
+func (t *Table) cachedTokens(s *endpointState, r *vetchtrail.Request, session vetchtrail.PromptPart, isPreferred bool, now time.Time) int {
 	shared := r.PromptTokens() - r.Prompt[len(r.Prompt)-1].Tokens
 	switch {
-	case isHome || s.sessionUses.cached(session.ID, now):
+	case isPreferred || s.sessionUses.cached(session.ID, now):
 		return shared
 	case s.MoveToken > 0 && !t.switchedOff.Has(vetchtrail.MechanismCacheTransfer):
 		return int(transferSaving * float64(shared))
@@ -113,13 +113,13 @@
 	}
 	if session, ok := r.Session(); ok {
 		all := t.services[s.Service]
-		home := sessionHome(all, session.ID, now)
-		atHome := home >= 0 && all[home] == s
+		preferred := preferredEndpoint(all, session.ID, now)
+		atPreferred := preferred >= 0 && all[preferred] == s
 		if !s.sessionUses.cached(session.ID, now) {
 			r.TransferFrom = t.transferSource(s, r, session.ID, now)
 		}
 		own := r.Prompt[len(r.Prompt)-1].Tokens
-		if atHome || r.TransferFrom.IsValid() || s.sessionUses.cached(session.ID, now) {
+		if atPreferred || r.TransferFrom.IsValid() || s.sessionUses.cached(session.ID, now) {
 			tokens = own
 		}
 		t.serviceStats[s.Service].promptStats.observeCached(tokens, own, r.PromptTokens())
@@ -138,9 +138,10 @@
 }
 
 // transferSource is the address of the endpoint other than s that most likely has a session's prompt cached:
-// the local one to which this host last sent the session, else the session's home among the local endpoints,
-// else its home among the remote ones. A home that was too busy for the session never processed the
-// prompt. Its address is returned all the same: the transfer then finds nothing, and s processes the whole prompt.
+// the local one to which this host last sent the session, else the session's preferred one among the local
+// endpoints, else that among the remote ones. A preferred endpoint that was too busy for the session never processed
+// the prompt. Its address is returned all the same: the transfer then finds nothing, and s processes the whole
+// prompt.
 func (t *Table) transferSource(s *endpointState, r *vetchtrail.Request, session uint64, now time.Time) netip.AddrPort {
 	if s.MoveToken == 0 || t.switchedOff.Has(vetchtrail.MechanismCacheTransfer) {
 		return netip.AddrPort{}
@@ -149,14 +150,14 @@
 	if last := lastSent(local, s, session, now); last != nil && !t.switchedOff.Has(vetchtrail.MechanismTransferFromLastSent) {
 		return last.Addr
 	}
-	if home := sessionHome(local, session, now); home >= 0 && local[home] != s {
-		return local[home].Addr
+	if preferred := preferredEndpoint(local, session, now); preferred >= 0 && local[preferred] != s {
+		return local[preferred].Addr
 	}
 	if t.switchedOff.Has(vetchtrail.MechanismRemoteCacheTransfer) {
 		return netip.AddrPort{}
 	}
-	if home, ok := remoteHome(t.remote[s.Service], session); ok && r.AllowedRegions.Has(home.region) {
-		return home.addr
+	if preferred, ok := preferredRemote(t.remote[s.Service], session); ok && r.AllowedRegions.Has(preferred.region) {
+		return preferred.addr
 	}
 	return netip.AddrPort{}
 }
--- a/process/load/prefill_test.go
+++ b/process/load/prefill_test.go
@@ -50,8 +50,8 @@
 	return out
 }
 
-// homeName is the name of a session's home among the local endpoints.
-func homeName(t *Table, session uint64) string {
+// preferredName is the name of a session's preferred endpoint among the local ones.
+func preferredName(t *Table, session uint64) string {
 	for name, e := range views(t, request("x", session, 0)) {
 		if e.CachedTokens == 4500 {
 			return name
@@ -64,12 +64,12 @@
 // from a region that isn't allowed, or to an endpoint that has the prompt or can't transfer it.
 func TestTransferFrom(t *testing.T) {
 	const session = 5
-	home := homeName(twoRegions(1e-7), session)
+	preferred := preferredName(twoRegions(1e-7), session)
 	other := "a"
-	if home == "a" {
+	if preferred == "a" {
 		other = "b"
 	}
-	third := string(rune('a' + 'b' + 'c' - int(home[0]) - int(other[0])))
+	third := string(rune('a' + 'b' + 'c' - int(preferred[0]) - int(other[0])))
 	cases := map[string]struct {
 		moveToken float64
 		target    string // endpoint that gets the request
@@ -77,12 +77,12 @@
 		lastSent  string // endpoint to which the session was sent just before; empty: none
 		want      netip.AddrPort
 	}{
-		"not at the home: from the home":               {1e-7, other, vetchtrail.AllRegions, "", addrOf(home[0] - 'a' + 1)},
-		"at the home: from the remote endpoint":        {1e-7, home, vetchtrail.AllRegions, "", addrOf(9)},
+		"not at the home: from the home":               {1e-7, other, vetchtrail.AllRegions, "", addrOf(preferred[0] - 'a' + 1)},
+		"at the home: from the remote endpoint":        {1e-7, preferred, vetchtrail.AllRegions, "", addrOf(9)},
 		"last sent elsewhere: from there":              {1e-7, other, vetchtrail.AllRegions, third, addrOf(third[0] - 'a' + 1)},
-		"at the home, last sent elsewhere: from there": {1e-7, home, vetchtrail.AllRegions, third, addrOf(third[0] - 'a' + 1)},
-		"remote region not allowed: none":              {1e-7, home, vetchtrail.RegionsOf(0), "", netip.AddrPort{}},
-		"last sent here: none":                         {1e-7, home, vetchtrail.AllRegions, home, netip.AddrPort{}},
+		"at the home, last sent elsewhere: from there": {1e-7, preferred, vetchtrail.AllRegions, third, addrOf(third[0] - 'a' + 1)},
+		"remote region not allowed: none":              {1e-7, preferred, vetchtrail.RegionsOf(0), "", netip.AddrPort{}},
+		"last sent here: none":                         {1e-7, preferred, vetchtrail.AllRegions, preferred, netip.AddrPort{}},
 		"transfer not possible: none":                  {0, other, vetchtrail.AllRegions, "", netip.AddrPort{}},
 	}
 	for name, c := range cases {
@@ -99,14 +99,14 @@
 	}
 }
 
-// TestSessionHomes guards against hosts that send a session to different homes though they have the same
-// endpoints, and against homes that are unevenly spread over the endpoints.
-func TestSessionHomes(t *testing.T) {
-	sessions := map[string]int{} // by home
+// TestPreferredEndpoint guards against hosts that prefer different endpoints for a session though they have the same
+// endpoints, and against sessions that are unevenly spread over the endpoints.
+func TestPreferredEndpoint(t *testing.T) {
+	sessions := map[string]int{} // by preferred endpoint
 	for session := range uint64(300) {
-		home := homeName(twoRegions(1e-7), session+10)
-		assert.Equal(t, home, homeName(twoRegions(1e-7), session+10))
-		sessions[home]++
+		preferred := preferredName(twoRegions(1e-7), session+10)
+		assert.Equal(t, preferred, preferredName(twoRegions(1e-7), session+10))
+		sessions[preferred]++
 	}
 	for name, n := range sessions {
 		assert.Assert(t, n > 60, "%s is home to %d of 300", name, n)
--- a/process/load/rate_limit_test.go
+++ b/process/load/rate_limit_test.go
@@ -103,24 +103,24 @@
 	assert.Equal(t, len(New().RateLimits()), 0)
 }
 
-// TestRateLimitAtHome guards against prompts that are processed again because of a rate limit at their session's
-// home: while the limit is used up, other endpoints run the session's requests and transfer the prompt from the
-// home.
-func TestRateLimitAtHome(t *testing.T) {
+// TestRateLimitAtPreferredEndpoint guards against prompts that are processed again because of a rate limit at their
+// session's preferred endpoint: while the limit is used up, other endpoints run the session's requests and transfer
+// the prompt from the preferred one.
+func TestRateLimitAtPreferredEndpoint(t *testing.T) {
 	tab := twoRegions(1e-6)
-	home := homeName(tab, 7)
-	tab.RecordRateLimit(home, time.Time{}, advertised(2, 0, 0))
-	tab.SetRateLeft(home, 0, now.Add(time.Second))
+	preferred := preferredName(tab, 7)
+	tab.RecordRateLimit(preferred, time.Time{}, advertised(2, 0, 0))
+	tab.SetRateLeft(preferred, 0, now.Add(time.Second))
 	v := views(tab, request("x", 7, 0))
-	assert.Assert(t, v[home].Unavailable && v[home].UnavailableReason == vetchtrail.ReasonRateLimited)
+	assert.Assert(t, v[preferred].Unavailable && v[preferred].UnavailableReason == vetchtrail.ReasonRateLimited)
 	for name, e := range v {
-		if name == home {
+		if name == preferred {
 			continue
 		}
 		assert.Assert(t, !e.Unavailable && e.CachedTokens > 0, "%s: %+v", name, e)
 		r := request("at "+name, 7, 0)
 		assert.Assert(t, tab.Acquire(name, r, now))
-		assert.Equal(t, r.TransferFrom, tab.endpoints[home].Addr)
+		assert.Equal(t, r.TransferFrom, tab.endpoints[preferred].Addr)
 		break
 	}
 }
--- a/process/load/remote.go
+++ b/process/load/remote.go
@@ -30,8 +30,9 @@
 	t.remote = remote
 }
 
-// remoteHome returns the home of a session among the remote endpoints, see sessionHome; false: there are none.
-func remoteHome(remote []remoteEndpoint, session uint64) (remoteEndpoint, bool) {
+// preferredRemote returns a session's preferred endpoint among the remote ones, see preferredEndpoint; false: there
+// are none.
+func preferredRemote(remote []remoteEndpoint, session uint64) (remoteEndpoint, bool) {
 	best, at := uint64(0), -1
 	for i := range remote {
 		if w := sessionWeight(remote[i].nameHash, session); at < 0 || w > best {
--- a/process/load/report.go
+++ b/process/load/report.go
@@ -8,18 +8,18 @@
 	"vetchtrail"
 )
 
-// Report records a load report that this host fetched, if it is newer than the known one, and returns whether it
+// RecordReport records a load report that this host fetched, if it is newer than the known one, and returns whether it
 // was. If the endpoint is leaving by the report, it is out of use until leavingUntil.
-func (t *Table) Report(name string, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
+func (t *Table) RecordReport(name string, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.endpoints[name]
 	return ok && t.acceptReport(s, r, true, leavingUntil)
 }
 
-// ReportByHash records a load report that another host fetched. The endpoint is given by the hash of its name
+// RecordReportByHash records a load report that another host fetched. The endpoint is given by the hash of its name
 // (NameHash).
-func (t *Table) ReportByHash(nameHash uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
+func (t *Table) RecordReportByHash(nameHash uint32, r vetchtrail.LoadReport, leavingUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.byNameHash[nameHash]
@@ -67,8 +67,8 @@
 	return time.Time{}
 }
 
-// MarkLeaving records that the platform's list of hosts states that an endpoint is leaving. The endpoint is out of use
-// until the given time.
+// MarkLeaving records that the platform's list of endpoints states that an endpoint is leaving. The endpoint is out of
+// use until the given time.
 func (t *Table) MarkLeaving(name string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/load/report_log_test.go
+++ b/process/load/report_log_test.go
@@ -20,7 +20,7 @@
 // on however old.
 func TestReportsAfter(t *testing.T) {
 	report := func(tab *Table, name string, age time.Duration, leaving bool) {
-		tab.Report(name, vetchtrail.LoadReport{TakenAt: now.Add(-age), Leaving: leaving}, now.Add(time.Hour))
+		tab.RecordReport(name, vetchtrail.LoadReport{TakenAt: now.Add(-age), Leaving: leaving}, now.Add(time.Hour))
 	}
 	cases := map[string]struct {
 		first, then func(tab *Table)
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -329,7 +329,7 @@
 	}
 	m.mu.Unlock()
 	for _, l := range h.GetLoads() {
-		m.cfg.Load.ReportByHash(l.GetEndpoint(), loadReportOf(l, now), now.Add(leavingReportTTL))
+		m.cfg.Load.RecordReportByHash(l.GetEndpoint(), loadReportOf(l, now), now.Add(leavingReportTTL))
 	}
 	for _, r := range h.GetRates() {
 		if m.cfg.RateLimits != nil {
--- a/process/membership/leaving_test.go
+++ b/process/membership/leaving_test.go
@@ -106,7 +106,7 @@
 	}
 	exchange(a, b, second(1))
 	exchange(a, b, second(2))
-	a.cfg.Load.Report("e", vetchtrail.LoadReport{TakenAt: second(3), StartedAt: second(3)}, time.Time{})
+	a.cfg.Load.RecordReport("e", vetchtrail.LoadReport{TakenAt: second(3), StartedAt: second(3)}, time.Time{})
 	reason, _ := b.cfg.Load.Blocked("e", second(3))
 	assert.Equal(t, reason, vetchtrail.ReasonDraining)
 	exchange(a, b, second(4))
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -331,7 +331,7 @@
 		d.digestTime = at
 	}
 	for _, row := range m.cfg.Load.Endpoints() {
-		m.cfg.Load.Report(row.Name, vetchtrail.LoadReport{TakenAt: at, Running: 5, Queued: 2}, at)
+		m.cfg.Load.RecordReport(row.Name, vetchtrail.LoadReport{TakenAt: at, Running: 5, Queued: 2}, at)
 	}
 }
 
--- a/process/membership/rank_test.go
+++ b/process/membership/rank_test.go
@@ -115,9 +115,9 @@
 			m.cfg.Load.Configure([]load.EndpointInRegion{{Endpoint: vetchtrail.Endpoint{Name: "e", Service: "s", Slots: 4}}})
 			r := vetchtrail.LoadReport{TakenAt: now.Add(-c.age), Running: 3}
 			if c.fetched {
-				m.cfg.Load.Report("e", r, time.Time{})
+				m.cfg.Load.RecordReport("e", r, time.Time{})
 			} else {
-				m.cfg.Load.ReportByHash(load.NameHash("e"), r, time.Time{})
+				m.cfg.Load.RecordReportByHash(load.NameHash("e"), r, time.Time{})
 			}
 			to := &sentState{}
 			assert.Equal(t, len(m.loadsFor(to, now)), c.want)
--- a/process/poll/poll.go
+++ b/process/poll/poll.go
@@ -1,4 +1,4 @@
-// Package poll fetches the load reports of this data centre's endpoints and the platform's list of hosts, which
+// Package poll fetches the load reports of this data centre's endpoints and the platform's list of endpoints, which
 // has the endpoints that are leaving, and records both in a load.Table. Each endpoint is assigned to one of the data
 // centre's hosts, which polls it. The package doesn't send reports to other hosts.
 package poll
@@ -23,10 +23,10 @@
 const (
 	// standbyIntervals is the number of polling intervals without a report after which an endpoint's standby
 	// host polls it too: the assigned host may be slow, or unable to reach the endpoint.
-	standbyIntervals = 3
-	requestTimeout   = time.Second
-	maxResponseBytes = 1 << 20
-	listInterval     = time.Second
+	standbyIntervals     = 3
+	requestTimeout       = time.Second
+	maxResponseBytes     = 1 << 20
+	endpointListInterval = time.Second
 	// reportLeavingValidFor is how long a report that an endpoint is leaving is valid.
 	reportLeavingValidFor = 10 * time.Minute
 	// maxUptime bounds the time since an endpoint's start. A report with a longer one is rejected.
@@ -41,14 +41,14 @@
 
 // Config configures a Poller.
 type Config struct {
-	Table       *load.Table
-	Assignments Assignments
-	Interval    time.Duration  // interval between two polls of an endpoint
-	ListAddr    netip.AddrPort // address of the platform's list of hosts; not valid: there is none
-	Log         *slog.Logger
+	Table            *load.Table
+	Assignments      Assignments
+	Interval         time.Duration  // interval between two polls of an endpoint
+	EndpointListAddr netip.AddrPort // address of the platform's list of endpoints; not valid: there is none
+	Log              *slog.Logger
 }
 
-// Poller fetches load reports and the platform's list of hosts.
+// Poller fetches load reports and the platform's list of endpoints.
 type Poller struct {
 	cfg  Config
 	http *fasthttp.Client
@@ -57,7 +57,7 @@
 	inProgress map[string]bool // polls, by endpoint
 }
 
-// New returns a poller. It does nothing until Run or RunList is called.
+// New returns a poller. It does nothing until Run or RunEndpointList is called.
 func New(c Config) *Poller {
 	return &Poller{cfg: c, inProgress: map[string]bool{}, http: &fasthttp.Client{
 		MaxResponseBodySize: maxResponseBytes, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: time.Minute,
@@ -147,28 +147,28 @@
 	if r.Up > 0 {
 		startedAt = now.Add(-time.Duration(r.Up) * time.Millisecond)
 	}
-	p.cfg.Table.Report(e.Name, vetchtrail.LoadReport{
+	p.cfg.Table.RecordReport(e.Name, vetchtrail.LoadReport{
 		TakenAt: at, Running: r.Running, Queued: r.Queued, Leaving: r.Leaving, StartedAt: startedAt,
 	}, now.Add(reportLeavingValidFor))
 }
 
-// listedEndpoint is an entry of the platform's list of hosts.
+// listedEndpoint is an entry of the platform's list of endpoints.
 type listedEndpoint struct {
 	Endpoint string `json:"endpoint"`
 	State    string `json:"state"` // live or leaving
 }
 
-// RunList polls the platform's list of hosts until ctx ends. The list lags behind the endpoints, so it only
-// takes endpoints out of use. An endpoint is used again when neither the list nor any other source reports it as
+// RunEndpointList polls the platform's list of endpoints until ctx ends. The list lags behind the endpoints, so it
+// only takes endpoints out of use. An endpoint is used again when neither the list nor any other source reports it as
 // leaving.
-func (p *Poller) RunList(ctx context.Context) {
-	if !p.cfg.ListAddr.IsValid() {
+func (p *Poller) RunEndpointList(ctx context.Context) {
+	if !p.cfg.EndpointListAddr.IsValid() {
 		return
 	}
-	t := time.NewTicker(listInterval)
+	t := time.NewTicker(endpointListInterval)
 	defer t.Stop()
 	for {
-		p.pollList(time.Now())
+		p.pollEndpointList(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -177,17 +177,17 @@
 	}
 }
 
-// pollList fetches the list of hosts and records which endpoints are leaving. The record is valid for two
+// pollEndpointList fetches the list of endpoints and records which of them are leaving. The record is valid for two
 // intervals, so that one failed request doesn't put a leaving endpoint back into use.
-func (p *Poller) pollList(now time.Time) {
+func (p *Poller) pollEndpointList(now time.Time) {
 	var entries []listedEndpoint
-	if err := p.getJSON(p.cfg.ListAddr, "/hosts", &entries); err != nil {
-		p.cfg.Log.Debug("list of hosts not fetched", "error", err)
+	if err := p.getJSON(p.cfg.EndpointListAddr, "/hosts", &entries); err != nil {
+		p.cfg.Log.Debug("list of endpoints not fetched", "error", err)
 		return
 	}
 	for _, entry := range entries {
 		if entry.State == "leaving" {
-			p.cfg.Table.MarkLeaving(entry.Endpoint, now.Add(2*listInterval))
+			p.cfg.Table.MarkLeaving(entry.Endpoint, now.Add(2*endpointListInterval))
 		}
 	}
 }
--- a/process/quarantines/losses.go
+++ b/process/quarantines/losses.go
@@ -60,7 +60,7 @@
 
 // ResponseLost implements vetchtrail.Quarantine.
 func (q *Quarantines) ResponseLost(e vetchtrail.Endpoint, r *vetchtrail.Request, o vetchtrail.Outcome, t vetchtrail.Timing) {
-	if q.cfg.Disabled || !mayBeCrash(o) || t.Sent.IsZero() {
+	if q.cfg.SwitchedOff || !mayBeCrash(o) || t.Sent.IsZero() {
 		return
 	}
 	now := q.cfg.Clock()
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -28,7 +28,7 @@
 
 // Run detects poison requests and exchanges entries until ctx ends.
 func (q *Quarantines) Run(ctx context.Context) {
-	if q.cfg.Disabled {
+	if q.cfg.SwitchedOff {
 		return
 	}
 	syncTimer := time.NewTimer(syncInterval)
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -61,11 +61,11 @@
 	RefusesConnections func(ctx context.Context, e vetchtrail.Endpoint) bool
 	// IsLeaving reports whether an endpoint is known to be leaving. If it stops then, that isn't a
 	// crash.
-	IsLeaving func(name string) bool
-	Persister vetchtrail.QuarantineStore // nil: entries last only as long as a host has them
-	Clock     func() time.Time           // continues while the host is suspended
-	Disabled  bool                       // nothing is detected or quarantined
-	Log       *slog.Logger
+	IsLeaving   func(name string) bool
+	Persister   vetchtrail.QuarantineStore // nil: entries last only as long as a host has them
+	Clock       func() time.Time           // continues while the host is suspended
+	SwitchedOff bool                       // nothing is detected or quarantined
+	Log         *slog.Logger
 }
 
 // Quarantines detects and refuses poison requests on one host, together with the other hosts. It
@@ -108,7 +108,7 @@
 // Quarantined implements vetchtrail.Quarantine. While nothing is quarantined it costs one atomic
 // load. Otherwise it computes the request's content hash, once per request, and looks it up.
 func (q *Quarantines) Quarantined(r *vetchtrail.Request) (vetchtrail.QuarantineEntry, bool) {
-	if q.cfg.Disabled || !q.entries.AnyActive() {
+	if q.cfg.SwitchedOff || !q.entries.AnyActive() {
 		return vetchtrail.QuarantineEntry{}, false
 	}
 	return q.entries.Lookup(r.ContentHash(), q.cfg.Clock)
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -47,9 +47,9 @@
 	Peers Peers
 	// Clock continues while the host is suspended, so that reservations expire meanwhile. The
 	// default is time.Now.
-	Clock    func() time.Time
-	Disabled bool // limits are received and shared with other hosts, but not enforced
-	Log      *slog.Logger
+	Clock       func() time.Time
+	SwitchedOff bool // limits are received and shared with other hosts, but not enforced
+	Log         *slog.Logger
 }
 
 // RateLimits enforces rate limits at one host, together with the RateLimits of the other
@@ -74,7 +74,7 @@
 	}
 	l := &RateLimits{Observer: c.Table, cfg: c, reservations: map[string]uint64{}, startedAt: time.Now()}
 	l.rateQuotas = quotas.New(quotas.Config{
-		Self: c.Self, QuotaSource: func() quotas.QuotaSource { return rateQuotas{l} }, Hosts: settledHosts{Hosts: c.Hosts, limits: l}, Peers: leaseTransport{l},
+		Self: c.Self, QuotaSource: func() quotas.QuotaSource { return rateLimitSource{l} }, Hosts: settledHosts{Hosts: c.Hosts, limits: l}, Peers: leaseTransport{l},
 		Task: "keep rates", Shards: shards, Strict: true, Clock: c.Clock, Log: c.Log,
 	})
 	return l
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -43,11 +43,11 @@
 	minRetryDelay = 20 * time.Millisecond
 )
 
-// rateQuotas presents the rate limits of endpoints as quotas. It implements quotas.QuotaSource.
-type rateQuotas struct{ l *RateLimits }
+// rateLimitSource presents the rate limits of endpoints as quotas. It implements quotas.QuotaSource.
+type rateLimitSource struct{ l *RateLimits }
 
 // Quota implements quotas.QuotaSource.
-func (q rateQuotas) Quota(name string) vetchtrail.Quota {
+func (q rateLimitSource) Quota(name string) vetchtrail.Quota {
 	limit, _ := q.l.cfg.Table.RateLimit(name)
 	if !limit.Advertised {
 		return vetchtrail.Quota{}
@@ -57,7 +57,7 @@
 }
 
 // RegionNames implements quotas.QuotaSource. Only hosts in an endpoint's own region call it.
-func (q rateQuotas) RegionNames() []string { return []string{q.l.cfg.Self.Region} }
+func (q rateLimitSource) RegionNames() []string { return []string{q.l.cfg.Self.Region} }
 
 // settledHosts returns no hosts for a task while this host has just started and has not discovered
 // any other host, so that it does not act as the owner.
@@ -76,10 +76,10 @@
 }
 
 // Reserve implements vetchtrail.RateLimiter.
-func (l *RateLimits) Reserve(ctx context.Context, e vetchtrail.Endpoint) (p vetchtrail.Reservation, retryAt time.Time, ok bool) {
+func (l *RateLimits) Reserve(ctx context.Context, e vetchtrail.Endpoint) (r vetchtrail.Reservation, retryAt time.Time, ok bool) {
 	limit, enforced := l.limit(e.Name)
 	if !enforced {
-		return p, retryAt, true
+		return r, retryAt, true
 	}
 	v := l.rateQuotas.Take(ctx, e.Name, 1)
 	if v.Granted {
@@ -89,41 +89,41 @@
 		return vetchtrail.Reservation{Endpoint: e.Name, StartedAt: e.Born, Rate: limit.Rate, ValidUntil: l.cfg.Clock().Add(reservationTime)}, retryAt, true
 	}
 	if _, enforced := l.limit(e.Name); !enforced { // the owner reported that the limit was removed
-		return p, retryAt, true
+		return r, retryAt, true
 	}
 	countReservation("refused")
 	if earliest := time.Now().Add(minRetryDelay); v.RetryAt.Before(earliest) {
 		v.RetryAt = earliest
 	}
 	l.cfg.Table.SetRateLeft(e.Name, max(0, v.RegionLeft), v.RetryAt)
-	return p, v.RetryAt, false
+	return r, v.RetryAt, false
 }
 
 // limit returns the rate limit that an endpoint advertised, and whether it is enforced.
 func (l *RateLimits) limit(name string) (limit vetchtrail.RateLimit, enforced bool) {
 	limit, _ = l.cfg.Table.RateLimit(name)
-	return limit, limit.Advertised && !l.cfg.Disabled
+	return limit, limit.Advertised && !l.cfg.SwitchedOff
 }
 
 // Cancel implements vetchtrail.RateLimiter.
-func (l *RateLimits) Cancel(p vetchtrail.Reservation) {
-	if p.Endpoint == "" {
+func (l *RateLimits) Cancel(r vetchtrail.Reservation) {
+	if r.Endpoint == "" {
 		return
 	}
-	l.rateQuotas.Return(p.Endpoint, 1)
-	l.removeReservation(p.Endpoint)
+	l.rateQuotas.Return(r.Endpoint, 1)
+	l.removeReservation(r.Endpoint)
 }
 
 // Allows implements vetchtrail.RateLimiter. It is called just before the first byte is sent. A
 // request without a valid reservation would exceed the rate. Its target may have been chosen
 // before the endpoint advertised its limit, or its reservation was made under a higher limit
 // or before this host was suspended.
-func (l *RateLimits) Allows(p vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
+func (l *RateLimits) Allows(r vetchtrail.Reservation, e vetchtrail.Endpoint) bool {
 	limit, enforced := l.limit(e.Name)
 	if !enforced {
 		return true
 	}
-	return p.Endpoint == e.Name && p.StartedAt.Equal(e.Born) && p.Rate <= limit.Rate && l.cfg.Clock().Before(p.ValidUntil)
+	return r.Endpoint == e.Name && r.StartedAt.Equal(e.Born) && r.Rate <= limit.Rate && l.cfg.Clock().Before(r.ValidUntil)
 }
 
 // leaseTransport sends lease requests to the owner of a rate limit. Each request has the rate limit
--- a/request/dispatch/dispatch.go
+++ b/request/dispatch/dispatch.go
@@ -32,8 +32,9 @@
 	// request joins the queue. It decides again if the target can't be acquired, because
 	// other requests took its capacity after the decision.
 	maxPlacementRounds = 3
-	// minRetryAfter is the shortest delay before a retry that a caller receives.
-	minRetryAfter = 200 * time.Millisecond
+	// minRetryDelay is the shortest retry delay that this package chooses itself. Times from
+	// quotas and rate limits may be shorter.
+	minRetryDelay = 200 * time.Millisecond
 )
 
 // HTTP statuses of responses that this host creates itself.
@@ -121,7 +122,7 @@
 	if r.Hops > 0 && r.Route != "" && d.cfg.Membership.Self().State == vetchtrail.HostLeaving {
 		// The response stream could outlast this host. The host that forwarded the
 		// request may not have received this host's new state yet.
-		return d.refusal(vetchtrail.StepForward, vetchtrail.ReasonLeaving, time.Now().Add(minRetryAfter))
+		return d.refusal(vetchtrail.StepForward, vetchtrail.ReasonLeaving, time.Now().Add(minRetryDelay))
 	}
 	if o, ok := d.applyRules(r); !ok {
 		return d.refusalBeforeKeyCheck(r, o)
@@ -284,7 +285,7 @@
 	if reason, _ := d.cfg.Endpoints.Blocked(p.endpoint.Name, now); p.dataCentre != "" || o.Kind != vetchtrail.OutcomeNotRun || reason != vetchtrail.ReasonPaused {
 		return o
 	}
-	o.RetryAt = now.Add(minRetryAfter)
+	o.RetryAt = now.Add(minRetryDelay)
 	switch dec := d.decide(r, attemptHistory{}); dec.Kind {
 	case vetchtrail.WaitHere:
 		o.RetryAt = vetchtrail.Later(o.RetryAt, now.Add(dec.Wait))
@@ -407,7 +408,7 @@
 // the other host has a different configuration and the caller did nothing wrong.
 func mapRemoteRefusal(o vetchtrail.Outcome) vetchtrail.Outcome {
 	if o.Kind == vetchtrail.OutcomeNotRun && (o.Status == statusNotFound || o.Status == statusForbidden || o.Status == statusUnauthorized) {
-		o.Status, o.RetryAt = statusUnavailable, time.Now().Add(minRetryAfter)
+		o.Status, o.RetryAt = statusUnavailable, time.Now().Add(minRetryDelay)
 	}
 	return o
 }
--- a/request/dispatch/placement.go
+++ b/request/dispatch/placement.go
@@ -108,13 +108,13 @@
 // queue, or leaves it without capacity, is forwarded or refused (forwardOrRefuse).
 func (d *Dispatcher) waitForCapacity(ctx context.Context, r *vetchtrail.Request, history attemptHistory, attempt int) (placement, vetchtrail.Outcome, bool) {
 	if d.cfg.SwitchedOff.Has(vetchtrail.MechanismQueueing) {
-		return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryAfter), attempt)
+		return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonFull, time.Now().Add(minRetryDelay), attempt)
 	}
 	s, _ := d.cfg.Rules().Service(r.Service)
 	waitQueue := d.waitQueue(r.Service)
 	joined := waitQueue.Join(r, s.QueueLimit, time.Now())
 	if joined.Waiter == nil {
-		return d.forwardOrRefuse(ctx, r, history, joined.Reason, time.Now().Add(max(joined.Wait, minRetryAfter)), attempt)
+		return d.forwardOrRefuse(ctx, r, history, joined.Reason, time.Now().Add(max(joined.Wait, minRetryDelay)), attempt)
 	}
 	w := joined.Waiter
 	timeout := time.NewTimer(time.Until(r.QueueDeadline()))
@@ -129,10 +129,10 @@
 			continue
 		case <-w.Dropped(): // the queue dropped the request
 			waitQueue.Leave(w, false, time.Now())
-			return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
+			return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryDelay)), attempt)
 		case <-timeout.C:
 			waitQueue.Leave(w, false, time.Now())
-			return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryAfter)), attempt)
+			return d.forwardOrRefuse(ctx, r, history, vetchtrail.ReasonDeadline, time.Now().Add(max(waitQueue.EstimatedWait(), minRetryDelay)), attempt)
 		case <-ctx.Done():
 			waitQueue.Leave(w, false, time.Now())
 			return d.refuseWaiter(r, vetchtrail.ReasonCallerGone, time.Time{}, attempt)
