--- a/connection/peer/client.go
+++ b/connection/peer/client.go
@@ -132,17 +132,17 @@
 	return schema.NewDRPCPeersClient(c.pool.Get(ctx, addr, c.dial))
 }
 
-// Exchange sends a heartbeat to a host of this data centre and returns that host's.
-func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error) {
+// ExchangeHeartbeats sends a heartbeat to a host of this data centre and returns that host's.
+func (c *Client) ExchangeHeartbeats(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := c.peersClient(ctx, addr).Exchange(ctx, h)
 	return reply, wrapError("exchange", addr, err)
 }
 
-// Swap sends this data centre's digest to a host of a remote data centre and returns that
-// data centre's.
-func (c *Client) Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error) {
+// ExchangeDigests sends this data centre's digest to a host of a remote data centre and returns
+// that data centre's.
+func (c *Client) ExchangeDigests(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := c.peersClient(ctx, addr).Swap(ctx, d)
@@ -163,33 +163,34 @@
 	return reply, wrapError("list", addr, err)
 }
 
-// Grant requests a lease of part of a workspace's quota from the owner of the quota.
-func (c *Client) Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
+// RequestQuotaLease requests a lease of part of a workspace's quota from the owner of the quota.
+func (c *Client) RequestQuotaLease(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
 	reply, err := c.peersClient(ctx, addr).Grant(ctx, m)
 	return reply, wrapError("grant", addr, err)
 }
 
-// Permit requests a lease of part of an endpoint's rate limit from the owner of the limit.
-func (c *Client) Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
+// RequestRateLimitLease requests a lease of part of an endpoint's rate limit from the owner of the
+// limit.
+func (c *Client) RequestRateLimitLease(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
 	reply, err := c.peersClient(ctx, addr).Permit(ctx, m)
 	return reply, wrapError("permit", addr, err)
 }
 
-// Claim exchanges the demand for the workspaces' quotas with a host of another region.
-func (c *Client) Claim(ctx context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error) {
+// ExchangeDemand exchanges the demand for the workspaces' quotas with a host of another region.
+func (c *Client) ExchangeDemand(ctx context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error) {
 	reply, err := c.peersClient(ctx, addr).Claim(ctx, m)
 	return reply, wrapError("claim", addr, err)
 }
 
-// Ended reports to a crash aggregator which requests were in flight at endpoints that
+// ReportCrashes reports to a crash aggregator which requests were in flight at endpoints that
 // crashed, and returns the requests that it suspects.
-func (c *Client) Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
+func (c *Client) ReportCrashes(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
 	reply, err := c.peersClient(ctx, addr).Ended(ctx, m)
 	return reply, wrapError("ended", addr, err)
 }
 
-// Hold exchanges quarantine entries with a host.
-func (c *Client) Hold(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error) {
+// ExchangeEntries exchanges quarantine entries with a host.
+func (c *Client) ExchangeEntries(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error) {
 	reply, err := c.peersClient(ctx, addr).Hold(ctx, m)
 	return reply, wrapError("hold", addr, err)
 }
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -145,7 +145,7 @@
 	}
 	client := New(Config{})
 	defer client.Close()
-	_, err = client.Exchange(context.Background(), addr, &schema.Heartbeat{From: "still here"})
+	_, err = client.ExchangeHeartbeats(context.Background(), addr, &schema.Heartbeat{From: "still here"})
 	assert.NilError(t, err)
 }
 
@@ -176,7 +176,7 @@
 			n := 0
 			cpu := meter.CPU()
 			for b.Loop() {
-				_, err := client.Exchange(context.Background(), addr, h)
+				_, err := client.ExchangeHeartbeats(context.Background(), addr, h)
 				assert.NilError(b, err)
 				n++
 			}
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -97,31 +97,31 @@
 
 // Daemon is one host of the system. New assembles it, Run runs it.
 type Daemon struct {
-	cfg             settings.Settings
-	log             *slog.Logger
-	self            vetchtrail.Host
-	changes         *changelog.Log // the configuration
-	table           *load.Table    // state and load of the endpoints
-	membership      *membership.Membership
-	journal         *journal.Journal
-	dispatcher      *dispatch.Dispatcher
-	quotas          *quotas.Quotas
-	rateLimits      *ratelimits.RateLimits
-	availability    *availability.Observer // availability that endpoints announce: leaving, paused
-	quarantines     *quarantines.Quarantines
-	quarantineStore *quarantines.Store // persists quarantine entries unless the platform is hosted
-	lists           *lists.Lists       // the hosted platform's listing
-	peers           *peer.Client
-	callers         *caller.Server
-	poller          *poll.Poller                    // polls the endpoints' load reports unless the platform is hosted
-	server          *peer.Server                    // serves peers and operators
-	tls             *tls.Config                     // of the listener for peers; nil: no TLS
-	hosted          *Hosted                         // nil unless the platform is hosted
-	directory       Directory                       // nil unless the platform is hosted
-	endpoints       *endpoint.Client                // sends requests to endpoints
-	timing          atomic.Pointer[settings.Timing] // replaced by Reload; read when the host leaves
-	appliedRevision atomic.Uint64                   // of the configuration that all parts of this host use; reported to other hosts
-	lastUpdate      lastUpdate
+	cfg               settings.Settings
+	log               *slog.Logger
+	self              vetchtrail.Host
+	changes           *changelog.Log // the configuration
+	table             *load.Table    // state and load of the endpoints
+	membership        *membership.Membership
+	journal           *journal.Journal
+	dispatcher        *dispatch.Dispatcher
+	quotas            *quotas.Quotas
+	rateLimits        *ratelimits.RateLimits
+	availability      *availability.Observer // availability that endpoints announce: leaving, paused
+	quarantines       *quarantines.Quarantines
+	quarantineKVStore *quarantines.KVStore // persists quarantine entries unless the platform is hosted
+	lists             *lists.Lists         // the hosted platform's listing
+	peers             *peer.Client
+	callers           *caller.Server
+	poller            *poll.Poller                    // polls the endpoints' load reports unless the platform is hosted
+	server            *peer.Server                    // serves peers and operators
+	tls               *tls.Config                     // of the listener for peers; nil: no TLS
+	hosted            *Hosted                         // nil unless the platform is hosted
+	directory         Directory                       // nil unless the platform is hosted
+	endpoints         *endpoint.Client                // sends requests to endpoints
+	timing            atomic.Pointer[settings.Timing] // replaced by Reload; read when the host leaves
+	appliedRevision   atomic.Uint64                   // of the configuration that all parts of this host use; reported to other hosts
+	lastUpdate        lastUpdate
 
 	leaveRequested chan struct{} // closed by Leave
 	leaveOnce      sync.Once
@@ -143,7 +143,7 @@
 	}
 	storeClient := store.New(store.Config{Addr: d.cfg.Platform.Store})
 	d.changes = changelog.New(changelog.Config{Store: storeClient, Log: d.log})
-	d.quarantineStore = &quarantines.Store{Store: storeClient, Log: d.log}
+	d.quarantineKVStore = &quarantines.KVStore{KV: storeClient, Log: d.log}
 	d.membership = membership.New(membership.Config{
 		Self: d.self, Seeds: d.cfg.Seeds, Load: d.table, Revision: d.appliedRevision.Load, Log: d.log, RandomSeed: d.randomSeed(),
 		CallsWholeRegion: d.hosted != nil, RateLimits: rateReceiver{d}, LeavingEndpoints: leavingReceiver{d},
@@ -300,7 +300,7 @@
 func (d *Daemon) runOwnPlatform(ctx context.Context, tasks *conc.WaitGroup) {
 	tasks.Go(func() { d.applyConfigurations(ctx) })
 	tasks.Go(func() { d.becomeReady(ctx) })
-	tasks.Go(func() { d.quarantines.Load(ctx, d.quarantineStore) })
+	tasks.Go(func() { d.quarantines.Load(ctx, d.quarantineKVStore) })
 	tasks.Go(func() { d.poller.Run(ctx) })
 	tasks.Go(func() { d.poller.RunEndpointList(ctx) })
 	go d.changes.Watch(ctx, func() bool { return d.membership.IsAssigned("watch the store", StoreWatchers, time.Now()) })
--- a/process/daemon/quarantine.go
+++ b/process/daemon/quarantine.go
@@ -14,7 +14,7 @@
 func (d *Daemon) newQuarantines(switchedOff vetchtrail.Mechanisms) {
 	d.quarantines = quarantines.New(quarantines.Config{
 		Self: d.self, Regions: func() []string { return d.changes.Rules().RegionNames() }, Hosts: liveHosts{d.membership}, Peers: d.peers,
-		RefusesConnections: d.endpoints.RefusesConnection, IsLeaving: d.endpointLeaving, Persister: d.quarantinePersister(), Clock: clock.Boot,
+		RefusesConnections: d.endpoints.RefusesConnection, IsLeaving: d.endpointLeaving, Store: d.quarantineStore(), Clock: clock.Boot,
 		SwitchedOff: switchedOff.Has(vetchtrail.MechanismQuarantine), Log: d.log,
 	})
 }
@@ -34,11 +34,11 @@
 	return d.table.IsLeaving(name, time.Now())
 }
 
-// quarantinePersister returns the store in which quarantine entries are persisted, so that they
+// quarantineStore returns the store in which quarantine entries are persisted, so that they
 // survive a restart of all hosts.
-func (d *Daemon) quarantinePersister() vetchtrail.QuarantineStore {
+func (d *Daemon) quarantineStore() vetchtrail.QuarantineStore {
 	if d.hosted != nil {
 		return d.hosted.Quarantine
 	}
-	return d.quarantineStore
+	return d.quarantineKVStore
 }
--- a/process/membership/digest.go
+++ b/process/membership/digest.go
@@ -94,14 +94,14 @@
 		From: m.cfg.Self.Name, Digest: withoutMembers(local), HaveMembers: m.heldMembersHash(t.dataCentre),
 		Leaves: m.leavingForRegion(m.regionOf(t.dataCentre), sent),
 	}
-	reply, err := p.Swap(ctx, t.addr, out)
+	reply, err := p.ExchangeDigests(ctx, t.addr, out)
 	if err != nil {
 		return err
 	}
 	m.mergeDigestReply(reply, sent, time.Now())
 	if reply.GetWantMembers() {
 		out.Digest = local
-		_, err = p.Swap(ctx, t.addr, out)
+		_, err = p.ExchangeDigests(ctx, t.addr, out)
 	}
 	return err
 }
--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -15,11 +15,11 @@
 
 // Peers calls other hosts at their peer addresses.
 type Peers interface {
-	// Exchange sends a heartbeat and returns the other host's.
-	Exchange(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error)
-	// Swap sends the digest of this data centre and returns the digest of the other
+	// ExchangeHeartbeats sends a heartbeat and returns the other host's.
+	ExchangeHeartbeats(ctx context.Context, addr netip.AddrPort, h *schema.Heartbeat) (*schema.Heartbeat, error)
+	// ExchangeDigests sends the digest of this data centre and returns the digest of the other
 	// host's data centre.
-	Swap(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error)
+	ExchangeDigests(ctx context.Context, addr netip.AddrPort, d *schema.Digests) (*schema.Digests, error)
 }
 
 // RunHeartbeats sends heartbeats now and at each HeartbeatInterval until ctx ends.
@@ -42,7 +42,7 @@
 	for _, addr := range m.heartbeatTargets(time.Now()) {
 		h := m.heartbeatTo(addr, time.Now())
 		go func() {
-			reply, err := p.Exchange(ctx, addr, h)
+			reply, err := p.ExchangeHeartbeats(ctx, addr, h)
 			if err != nil {
 				m.cfg.Log.Debug("heartbeat not exchanged", "peer", addr, "error", err)
 				m.sendInFull(addr)
--- a/process/quarantines/fleet_test.go
+++ b/process/quarantines/fleet_test.go
@@ -137,7 +137,7 @@
 	f := h.fleet
 	c := Config{
 		Self: h.host, Regions: func() []string { return []string{regionName(0), regionName(1), regionName(2)} }, Hosts: h, Peers: h,
-		RefusesConnections: h.refuses, IsLeaving: func(string) bool { return false }, Persister: h, Log: slog.New(slog.DiscardHandler),
+		RefusesConnections: h.refuses, IsLeaving: func(string) bool { return false }, Store: h, Log: slog.New(slog.DiscardHandler),
 		Clock: f.steadyClock,
 	}
 	if f.disabled == "clock that stops during suspension" {
@@ -148,7 +148,7 @@
 		}
 	}
 	if f.disabled == "no persistence" {
-		c.Persister = nil
+		c.Store = nil
 	}
 	q := New(c)
 	ctx, stop := context.WithCancel(context.Background())
@@ -266,16 +266,16 @@
 	return !messageLost, !replyLost
 }
 
-// Ended implements Peers.
-func (h *testHost) Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
+// ReportCrashes implements Peers.
+func (h *testHost) ReportCrashes(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error) {
 	if h.fleet.disabled == "no crash reports" {
 		return nil, errUnreachable
 	}
 	return send(ctx, h, addr, m, (*Quarantines).HandleCrashes)
 }
 
-// Hold implements Peers.
-func (h *testHost) Hold(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error) {
+// ExchangeEntries implements Peers.
+func (h *testHost) ExchangeEntries(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error) {
 	if h.fleet.disabled == "no propagation" {
 		return nil, errUnreachable
 	}
--- a/process/quarantines/propagate.go
+++ b/process/quarantines/propagate.go
@@ -120,7 +120,7 @@
 			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			defer cancel()
-			if _, err := q.cfg.Peers.Hold(ctx, h.PeerAddr, m); err != nil {
+			if _, err := q.cfg.Peers.ExchangeEntries(ctx, h.PeerAddr, m); err != nil {
 				q.cfg.Log.Info("quarantine entries not sent", "peer", h.Name, "error", err)
 			}
 		})
@@ -229,7 +229,7 @@
 	q.mu.Lock()
 	m := q.entriesMessage(entries, now)
 	q.mu.Unlock()
-	return q.cfg.Peers.Hold(ctx, h.PeerAddr, m)
+	return q.cfg.Peers.ExchangeEntries(ctx, h.PeerAddr, m)
 }
 
 // syncPeer returns the host for the next exchange: an aggregator of this region or, if this host is
@@ -263,7 +263,7 @@
 // reach the platform.
 func (q *Quarantines) persist(ctx context.Context, now time.Time) {
 	rank, isAggregator := q.persistRank()
-	if q.cfg.Persister == nil || !isAggregator {
+	if q.cfg.Store == nil || !isAggregator {
 		return
 	}
 	q.mu.Lock()
@@ -274,7 +274,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 	defer cancel()
-	if err := q.cfg.Persister.Save(ctx, put, drop); err != nil {
+	if err := q.cfg.Store.Save(ctx, put, drop); err != nil {
 		q.cfg.Log.Warn("quarantine entries not persisted on the platform", "holds", len(put), "over", len(drop), "error", err)
 		return
 	}
--- a/process/quarantines/quarantines.go
+++ b/process/quarantines/quarantines.go
@@ -47,8 +47,8 @@
 
 // Peers sends messages to other hosts and returns their replies.
 type Peers interface {
-	Ended(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error)
-	Hold(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error)
+	ReportCrashes(ctx context.Context, addr netip.AddrPort, m *schema.Ends) (*schema.Holds, error)
+	ExchangeEntries(ctx context.Context, addr netip.AddrPort, m *schema.Holds) (*schema.Holds, error)
 }
 
 // Config holds the dependencies and settings of Quarantines.
@@ -62,7 +62,7 @@
 	// IsLeaving reports whether an endpoint is known to be leaving. If it stops then, that isn't a
 	// crash.
 	IsLeaving   func(name string) bool
-	Persister   vetchtrail.QuarantineStore // nil: entries last only as long as a host has them
+	Store       vetchtrail.QuarantineStore // nil: entries last only as long as a host has them
 	Clock       func() time.Time           // continues while the host is suspended
 	SwitchedOff bool                       // nothing is detected or quarantined
 	Log         *slog.Logger
--- a/process/quarantines/report.go
+++ b/process/quarantines/report.go
@@ -109,7 +109,7 @@
 			sleep(ctx, reportRetryDelay)
 		}
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := q.cfg.Peers.Ended(call, h.PeerAddr, withAddedAge(m, q.cfg.Clock().Sub(createdAt)))
+		reply, err := q.cfg.Peers.ReportCrashes(call, h.PeerAddr, withAddedAge(m, q.cfg.Clock().Sub(createdAt)))
 		cancel()
 		if err == nil {
 			q.recordSuspects(reply)
--- a/process/quarantines/store.go
+++ b/process/quarantines/store.go
@@ -20,15 +20,15 @@
 	loadRetryDelay = time.Second
 )
 
-// Store persists entries in the key-value store. It is not used where a hosted platform persists
+// KVStore persists entries in the key-value store. It is not used where a hosted platform persists
 // them. It implements vetchtrail.QuarantineStore.
-type Store struct {
-	Store vetchtrail.Store
-	Log   *slog.Logger
+type KVStore struct {
+	KV  vetchtrail.Store
+	Log *slog.Logger
 }
 
 // Save implements vetchtrail.QuarantineStore.
-func (s *Store) Save(ctx context.Context, put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) error {
+func (s *KVStore) Save(ctx context.Context, put []vetchtrail.QuarantineEntry, drop []vetchtrail.ContentHash) error {
 	var err error
 	for range maxWriteAttempts {
 		var persisted quarantine.PersistedEntries
@@ -41,7 +41,7 @@
 		if encodeErr != nil {
 			return encodeErr
 		}
-		if err = s.Store.CompareAndSwap(ctx, storeKey, text, index); !errors.Is(err, vetchtrail.ErrConflict) {
+		if err = s.KV.CompareAndSwap(ctx, storeKey, text, index); !errors.Is(err, vetchtrail.ErrConflict) {
 			return err
 		}
 	}
@@ -49,8 +49,8 @@
 }
 
 // read returns the stored entries and the index with which they can be replaced.
-func (s *Store) read(ctx context.Context) (quarantine.PersistedEntries, uint64, error) {
-	e, err := s.Store.Get(ctx, storeKey)
+func (s *KVStore) read(ctx context.Context) (quarantine.PersistedEntries, uint64, error) {
+	e, err := s.KV.Get(ctx, storeKey)
 	if errors.Is(err, vetchtrail.ErrNotFound) {
 		return quarantine.PersistedEntries{}, 0, nil
 	}
@@ -66,7 +66,7 @@
 
 // Load merges the entries of the store when a host starts. It retries until the store is read or
 // ctx ends.
-func (q *Quarantines) Load(ctx context.Context, s *Store) {
+func (q *Quarantines) Load(ctx context.Context, s *KVStore) {
 	for ctx.Err() == nil {
 		persisted, _, err := s.read(ctx)
 		if err == nil {
--- a/process/quotas/exchange.go
+++ b/process/quotas/exchange.go
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	out := &schema.Claims{From: q.cfg.Self.Name, Region: q.cfg.Self.Region, Shard: uint32(shard), Claims: demands, Sequence: q.markSent(region, demands)}
-	reply, err := q.cfg.Peers.Claim(ctx, h.PeerAddr, out)
+	reply, err := q.cfg.Peers.ExchangeDemand(ctx, h.PeerAddr, out)
 	if err != nil {
 		q.cfg.Log.Debug("demand not exchanged", "peer", h.Name, "error", err)
 		return
--- a/process/quotas/lease.go
+++ b/process/quotas/lease.go
@@ -101,7 +101,7 @@
 func (q *Quotas) requestLeaseFrom(h vetchtrail.Host, r quota.LeaseRequest) (quota.LeaseReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	m, err := q.cfg.Peers.Grant(ctx, h.PeerAddr, &schema.GrantRequest{
+	m, err := q.cfg.Peers.RequestQuotaLease(ctx, h.PeerAddr, &schema.GrantRequest{
 		From: q.cfg.Self.Name, Workspace: r.Workspace, Least: r.MinUnits, Want: r.WantedUnits, Asked: r.DemandedUnits, Spent: r.UnleasedUnits,
 	})
 	if err != nil {
--- a/process/quotas/quotas.go
+++ b/process/quotas/quotas.go
@@ -33,11 +33,11 @@
 
 // Peers sends requests to other hosts.
 type Peers interface {
-	// Grant sends a lease request to an owner.
-	Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error)
-	// Claim sends this region's demand to the owner in another region and returns that region's
-	// demand.
-	Claim(ctx context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error)
+	// RequestQuotaLease sends a lease request to an owner.
+	RequestQuotaLease(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error)
+	// ExchangeDemand sends this region's demand to the owner in another region and returns that
+	// region's demand.
+	ExchangeDemand(ctx context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error)
 }
 
 // Hosts provides this host's view of the other hosts, from the membership.
--- a/process/quotas/quotas_test.go
+++ b/process/quotas/quotas_test.go
@@ -47,7 +47,7 @@
 	return to, nil
 }
 
-func (v hostView) Grant(_ context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
+func (v hostView) RequestQuotaLease(_ context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
 	to, err := v.reach(addr)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	return to.HandleLeaseRequest(m), nil
 }
 
-func (v hostView) Claim(_ context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error) {
+func (v hostView) ExchangeDemand(_ context.Context, addr netip.AddrPort, m *schema.Claims) (*schema.Claims, error) {
 	to, err := v.reach(addr)
 	if err != nil {
 		return nil, err
--- a/process/ratelimits/network_test.go
+++ b/process/ratelimits/network_test.go
@@ -23,8 +23,8 @@
 // reaches reports whether messages pass between two hosts. It must be called with f.mu locked.
 func (f *fleet) reaches(a, b *host) bool { return a.partition == b.partition }
 
-// Permit implements Peers.
-func (v hostView) Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
+// RequestRateLimitLease implements Peers.
+func (v hostView) RequestRateLimitLease(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error) {
 	v.f.mu.Lock()
 	v.f.sent++
 	at := slices.IndexFunc(v.f.hosts, func(h *host) bool { return h.PeerAddr == addr })
--- a/process/ratelimits/ratelimits.go
+++ b/process/ratelimits/ratelimits.go
@@ -35,8 +35,8 @@
 
 // Peers sends requests to other hosts.
 type Peers interface {
-	// Permit sends a lease request to the owner of an endpoint's rate limit.
-	Permit(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error)
+	// RequestRateLimitLease sends a lease request to the owner of an endpoint's rate limit.
+	RequestRateLimitLease(ctx context.Context, addr netip.AddrPort, m *schema.PermitRequest) (*schema.PermitReply, error)
 }
 
 // Config configures RateLimits.
--- a/process/ratelimits/reservations.go
+++ b/process/ratelimits/reservations.go
@@ -132,9 +132,9 @@
 // receive newer limits with the replies. It implements quotas.Peers.
 type leaseTransport struct{ l *RateLimits }
 
-// Grant implements quotas.Peers.
-func (t leaseTransport) Grant(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
-	reply, err := t.l.cfg.Peers.Permit(ctx, addr, &schema.PermitRequest{Ask: m, Known: t.l.storedLimit(m.GetWorkspace())})
+// RequestQuotaLease implements quotas.Peers.
+func (t leaseTransport) RequestQuotaLease(ctx context.Context, addr netip.AddrPort, m *schema.GrantRequest) (*schema.GrantReply, error) {
+	reply, err := t.l.cfg.Peers.RequestRateLimitLease(ctx, addr, &schema.PermitRequest{Ask: m, Known: t.l.storedLimit(m.GetWorkspace())})
 	if err != nil {
 		return nil, err
 	}
@@ -142,9 +142,9 @@
 	return reply.GetGrant(), nil
 }
 
-// Claim implements quotas.Peers. It always fails, as rate limits are not shared between
+// ExchangeDemand implements quotas.Peers. It always fails, as rate limits are not shared between
 // regions.
-func (t leaseTransport) Claim(context.Context, netip.AddrPort, *schema.Claims) (*schema.Claims, error) {
+func (t leaseTransport) ExchangeDemand(context.Context, netip.AddrPort, *schema.Claims) (*schema.Claims, error) {
 	return nil, errors.New("ratelimits: demand for rate limits is not exchanged between regions")
 }
 
