--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -93,7 +93,7 @@
 	}
 	report, err := soak.Run(ctx, soak.Config{
 		Seed: seed, RunLength: time.Duration(a.Minutes * float64(time.Minute)), FaultRate: a.Rate, CallersPerHost: a.Callers, Spec: spec,
-		Binaries: a.Binaries, Directory: dir, Progress: os.Stderr, PoisonRequests: a.Deadly, RateLimits: a.Rates, Announcements: a.Words,
+		Binaries: a.Binaries, WorkDir: dir, Progress: os.Stderr, PoisonRequests: a.Deadly, RateLimits: a.Rates, Announcements: a.Words,
 	})
 	if err != nil {
 		return false, err
--- a/cmd/vetchtraild/serve.go
+++ b/cmd/vetchtraild/serve.go
@@ -91,8 +91,8 @@
 		Registry:   platform.NewRegistry(s.Platform.Store, log),
 		Quarantine: platform.NewQuarantineStore(s.Platform.Store, log),
 		Dialect:    platform.Dialect{},
-		Directory: func(m *membership.Membership, homes func(string) ([]string, bool)) daemon.Directory {
-			return platform.NewDirectory(m, homes, log)
+		Directory: func(m *membership.Membership, bestRegions func(string) ([]string, bool)) daemon.Directory {
+			return platform.NewDirectory(m, bestRegions, log)
 		},
 	}
 }
--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -38,9 +38,9 @@
 	r.CallerKeyHash = vetchtrail.HashKey(key)
 	workspace, known := s.cfg.Rules().KeyWorkspace(r.CallerKeyHash)
 	upToDate := true
-	if !known && s.cfg.Refresh != nil {
+	if !known && s.cfg.RefreshConfiguration != nil {
 		// The key may be in a newer configuration that this host has not received yet.
-		upToDate = s.cfg.Refresh(c.RequestCtx())
+		upToDate = s.cfg.RefreshConfiguration(c.RequestCtx())
 		workspace, known = s.cfg.Rules().KeyWorkspace(r.CallerKeyHash)
 	}
 	if known {
--- a/connection/caller/server.go
+++ b/connection/caller/server.go
@@ -56,10 +56,10 @@
 	Region         string             // this host's region
 	Dialect        vetchtrail.Dialect // for routed requests; nil: dialect.Default
 	RoutesOnly     bool               // respond with 404 to requests that match no route
-	// Refresh fetches the configuration if another host or the store has a newer one, and
-	// applies it. It reports whether the configuration in force is now the newest as far as
-	// this host can determine.
-	Refresh func(ctx context.Context) (upToDate bool)
+	// RefreshConfiguration fetches and applies the configuration of another host if that is
+	// newer. It reports whether the configuration in force is now the newest as far as this
+	// host can determine.
+	RefreshConfiguration func(ctx context.Context) (upToDate bool)
 }
 
 // Server is the HTTP server for callers.
--- a/connection/caller/server_test.go
+++ b/connection/caller/server_test.go
@@ -52,7 +52,7 @@
 }
 
 // serveRules starts a server with the configuration that current returns. refresh is its
-// Config.Refresh.
+// Config.RefreshConfiguration.
 func serveRules(t *testing.T, run fakeRunner, current func() *rules.Rules, refresh func(context.Context) bool) netip.AddrPort {
 	t.Helper()
 	m := membership.New(membership.Config{
@@ -60,7 +60,7 @@
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	s := New(Config{
-		Runner: run, Rules: current, Membership: m, Region: "r", BodyLimit: 4096, Refresh: refresh,
+		Runner: run, Rules: current, Membership: m, Region: "r", BodyLimit: 4096, RefreshConfiguration: refresh,
 		IssuedKeys: idempotency.New(idempotency.Config{Host: "h", KeyTime: time.Minute}),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -83,9 +83,10 @@
 	Registry   vetchtrail.HostRegistry    // registers this host with the platform
 	Quarantine vetchtrail.QuarantineStore // persists quarantine entries on the platform
 	Dialect    vetchtrail.Dialect         // translates the platform's request and response headers
-	// Directory returns the directory server. homes returns the home regions of a host name
-	// that callers use; known is false while the host has no configuration.
-	Directory func(m *membership.Membership, homes func(name string) (regions []string, known bool)) Directory
+	// Directory returns the directory server. bestRegions returns the regions that may process
+	// the most requests to a host name that callers use; known is false while the host has no
+	// configuration.
+	Directory func(m *membership.Membership, bestRegions func(name string) (regions []string, known bool)) Directory
 }
 
 // Directory returns to callers the hosts that they are to use, and responds to the platform's
@@ -210,7 +211,7 @@
 	d.callers = caller.New(caller.Config{
 		Runner: d.dispatcher, Rules: d.changes.Rules, Membership: d.membership, IssuedKeys: idempotencyKeys,
 		BodyLimit: d.cfg.Limits.Body, ExposeEndpoint: d.cfg.Explain, Region: d.cfg.Region,
-		Dialect: dialect, RoutesOnly: d.hosted != nil, Refresh: d.refreshConfiguration,
+		Dialect: dialect, RoutesOnly: d.hosted != nil, RefreshConfiguration: d.refreshConfiguration,
 	})
 	return nil
 }
--- a/process/daemon/hosted.go
+++ b/process/daemon/hosted.go
@@ -95,11 +95,11 @@
 	d.setReadyIfComplete()
 }
 
-// refreshConfiguration checks for a newer configuration and fetches it. It reports whether the host
-// then has the newest one that it can obtain.
+// refreshConfiguration fetches and applies the configuration of another host if that is newer. It
+// reports whether the host then has the newest one that it can obtain.
 func (d *Daemon) refreshConfiguration(ctx context.Context) bool {
 	if d.hosted != nil {
-		return d.lists.Refresh(ctx)
+		return d.lists.RefreshConfiguration(ctx)
 	}
 	h, ahead := d.membership.NewestAhead(time.Now())
 	if !ahead {
--- a/process/lists/refresh.go
+++ b/process/lists/configuration.go
@@ -27,10 +27,10 @@
 	upToDate  bool
 }
 
-// Refresh checks for a newer configuration and pulls it. It reports whether this host's
-// configuration is then the newest, as far as the host can determine. Concurrent calls share one
-// check.
-func (l *Lists) Refresh(ctx context.Context) bool {
+// RefreshConfiguration checks for a newer configuration and pulls it. It reports whether this
+// host's configuration is then the newest, as far as the host can determine. Concurrent calls share
+// one check.
+func (l *Lists) RefreshConfiguration(ctx context.Context) bool {
 	l.configCheck.mu.Lock()
 	defer l.configCheck.mu.Unlock()
 	if time.Since(l.configCheck.checkedAt) < configCheckInterval {
--- a/process/lists/poll_test.go
+++ b/process/lists/poll_test.go
@@ -83,9 +83,9 @@
 	assert.Equal(t, polling(10*time.Second), 7)
 }
 
-// TestDocumented checks that the architecture page, which documents who polls the platform and who
+// TestArchitecturePageHasConstants checks that the architecture page, which documents who polls the platform and who
 // fetches from peers, has the values of the constants.
-func TestDocumented(t *testing.T) {
+func TestArchitecturePageHasConstants(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ARCHITECTURE.md")
 	assert.NilError(t, err)
 	for _, want := range []string{
--- a/process/lists/region_test.go
+++ b/process/lists/region_test.go
@@ -339,10 +339,10 @@
 	}
 }
 
-// TestRefresh checks that a host takes its configuration to be the newest only if a peer with a
-// recent listing confirms it. It also checks that Refresh fetches no listing, although those of
-// the peers are much newer.
-func TestRefresh(t *testing.T) {
+// TestRefreshConfiguration checks that a host takes its configuration to be the newest only if a
+// peer with a recent listing confirms it. It also checks that RefreshConfiguration fetches no
+// listing, although those of the peers are much newer.
+func TestRefreshConfiguration(t *testing.T) {
 	cases := map[string]struct {
 		disconnected bool // the peers do not respond
 		old          bool // the peers have an old listing: the platform rejects them
@@ -366,7 +366,7 @@
 				}
 				last := r.hosts[3]
 				last.Update(vetchtrail.Listing{Revision: 1, ConfirmedRevision: 1, ReadAt: at})
-				assert.Equal(t, last.Refresh(t.Context()), c.upToDate)
+				assert.Equal(t, last.RefreshConfiguration(t.Context()), c.upToDate)
 				assert.Equal(t, r.fullListings, 0, "a listing was fetched by a check of the configuration")
 			})
 		})
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -87,7 +87,7 @@
 	spec.Model.Slots = engineSlots
 	d := deployment.Build(spec)
 	f, err := fleet.Start(context.Background(), fleet.Config{
-		Deployment: d, Binaries: binaries, Directory: dir, EngineArgs: engineArgs,
+		Deployment: d, Binaries: binaries, WorkDir: dir, EngineArgs: engineArgs,
 		LeaveTime: 500 * time.Millisecond, PollInterval: 200 * time.Millisecond,
 	})
 	return f, d, err
--- a/scenario/soak_test.go
+++ b/scenario/soak_test.go
@@ -27,7 +27,7 @@
 			spec, err := deployment.Sized(int(baseSubnet+fleetCount.Add(1)), 3, 2, 1)
 			assert.NilError(t, err)
 			report, err := soak.Run(context.Background(), soak.Config{
-				Seed: seed, RunLength: length, FaultRate: rate, CallersPerHost: callers, Spec: spec, Binaries: binaries, Directory: t.TempDir(),
+				Seed: seed, RunLength: length, FaultRate: rate, CallersPerHost: callers, Spec: spec, Binaries: binaries, WorkDir: t.TempDir(),
 				// The failed seeds run with the configuration with which they failed.
 				PoisonRequests: seed == regularSeed, RateLimits: seed == regularSeed, Announcements: seed == regularSeed,
 			})
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -31,7 +31,7 @@
 	CallersPerHost int           // callers that send most of their requests to one host
 	Spec           deployment.Spec
 	Binaries       string    // directory of the programs
-	Directory      string    // for settings files and logs
+	WorkDir        string    // for settings files and logs
 	Progress       io.Writer // receives a line every few seconds; nil: none
 	// PoisonRequests makes one caller repeat a poison request, which crashes engines.
 	PoisonRequests bool
@@ -87,14 +87,14 @@
 	}
 	d := deployment.Build(c.Spec)
 	f, err := fleet.Start(ctx, fleet.Config{
-		Deployment: d, Binaries: c.Binaries, Directory: c.Directory, EngineArgs: c.engineArgs(),
+		Deployment: d, Binaries: c.Binaries, WorkDir: c.WorkDir, EngineArgs: c.engineArgs(),
 		LeaveTime: leaveDelay, PollInterval: pollInterval,
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	if err := configure(ctx, f, &d, c.Directory); err != nil {
+	if err := configure(ctx, f, &d, c.WorkDir); err != nil {
 		return nil, err
 	}
 	faults := Schedule(c.Seed, c.RunLength, c.FaultRate, &d)
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -62,11 +62,11 @@
 
 // ServiceSpec is a service.
 type ServiceSpec struct {
-	Name    string
-	Weights document.Weights
-	Slots   int           // of each endpoint
-	Within  time.Duration // time limit of a request whose caller sets no deadline
-	Queue   int           // maximum number of requests that one host queues for the service
+	Name         string
+	Weights      document.Weights
+	Slots        int           // of each endpoint
+	AnswerWithin time.Duration // time limit of a request whose caller sets no deadline
+	QueueLimit   int           // maximum number of requests that one host queues for the service
 }
 
 // Deployment holds the settings, the configuration and the addresses of a deployment.
@@ -91,8 +91,8 @@
 			{Name: "pl-central", DataCentre: "lodz-hala", Hosts: 3, Engines: 4, PlainEndpoints: 1},
 			{Name: "pl-north", DataCentre: "gdn-hala", Hosts: 2, Engines: 4, PlainEndpoints: 1},
 		},
-		Model: ServiceSpec{Name: "quote-model", Weights: document.Weights{Tail: 1, Away: 0.1, Cost: 0.01}, Slots: 8, Within: 20 * time.Second, Queue: 64},
-		Plain: ServiceSpec{Name: "portal-app", Weights: document.Weights{Tail: 1, Away: 0.1, Cost: 0.01}, Slots: 64, Within: 5 * time.Second, Queue: 64},
+		Model: ServiceSpec{Name: "quote-model", Weights: document.Weights{Tail: 1, Away: 0.1, Cost: 0.01}, Slots: 8, AnswerWithin: 20 * time.Second, QueueLimit: 64},
+		Plain: ServiceSpec{Name: "portal-app", Weights: document.Weights{Tail: 1, Away: 0.1, Cost: 0.01}, Slots: 64, AnswerWithin: 5 * time.Second, QueueLimit: 64},
 	}
 }
 
@@ -106,8 +106,8 @@
 			{Name: "moldova", DataCentre: "iasi-hall", Hosts: 2, Engines: 4, PlainEndpoints: 1},
 			{Name: "muntenia", DataCentre: "ploiesti-hall", Hosts: 2, Engines: 4, PlainEndpoints: 1},
 		},
-		Model: ServiceSpec{Name: "deed-reader", Weights: document.Weights{Tail: 1, Away: 3, Cost: 0.01}, Slots: 8, Within: 20 * time.Second, Queue: 64},
-		Plain: ServiceSpec{Name: "map-viewer", Weights: document.Weights{Tail: 1, Away: 3, Cost: 0.01}, Slots: 64, Within: 5 * time.Second, Queue: 64},
+		Model: ServiceSpec{Name: "deed-reader", Weights: document.Weights{Tail: 1, Away: 3, Cost: 0.01}, Slots: 8, AnswerWithin: 20 * time.Second, QueueLimit: 64},
+		Plain: ServiceSpec{Name: "map-viewer", Weights: document.Weights{Tail: 1, Away: 3, Cost: 0.01}, Slots: 64, AnswerWithin: 5 * time.Second, QueueLimit: 64},
 	}
 }
 
@@ -180,7 +180,7 @@
 		kind string
 	}{{d.Spec.Model, "model"}, {d.Spec.Plain, "plain"}} {
 		d.Document.Services = append(d.Document.Services, document.Service{
-			Name: v.Name, Kind: v.kind, Allowed: all, Weights: v.Weights, AnswerWithin: v.Within, QueueLimit: v.Queue,
+			Name: v.Name, Kind: v.kind, Allowed: all, Weights: v.Weights, AnswerWithin: v.AnswerWithin, QueueLimit: v.QueueLimit,
 		})
 	}
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -36,7 +36,7 @@
 type Config struct {
 	Deployment   deployment.Deployment
 	Binaries     string        // directory of vetchtraild, vetchtrail and standin
-	Directory    string        // for settings files and logs
+	WorkDir      string        // for settings files and logs
 	EngineArgs   []string      // additional flags of the engine stand-ins
 	LeaveTime    time.Duration // the daemons' setting timing.leave
 	PollInterval time.Duration // the daemons' setting timing.poll; 0: the default
@@ -79,7 +79,7 @@
 // startAll starts all processes and waits until they respond.
 func (f *Fleet) startAll(ctx context.Context) error {
 	d := &f.cfg.Deployment
-	pipes := filepath.Join(f.cfg.Directory, "pipes.json")
+	pipes := filepath.Join(f.cfg.WorkDir, "pipes.json")
 	text, err := json.Marshal(d.Pipes)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 // startProcess starts a program under a name. Its output is appended to a log file
 // of that name.
 func (f *Fleet) startProcess(name, program string, args ...string) error {
-	out, err := os.OpenFile(filepath.Join(f.cfg.Directory, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(filepath.Join(f.cfg.WorkDir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(f.cfg.Directory, name+".yaml")
+	file := filepath.Join(f.cfg.WorkDir, name+".yaml")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
@@ -300,7 +300,7 @@
 		return "", err
 	}
 	cmd := exec.CommandContext(ctx, filepath.Join(f.cfg.Binaries, "vetchtrail"), append([]string{"--daemon", s.Listen.Peers.String()}, args...)...)
-	cmd.Dir = f.cfg.Directory
+	cmd.Dir = f.cfg.WorkDir
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
@@ -356,7 +356,7 @@
 // fatal error. The exit status does not show these, as most processes are killed.
 func (f *Fleet) RacesAndPanics() []string {
 	var out []string
-	logs, _ := filepath.Glob(filepath.Join(f.cfg.Directory, "*.log"))
+	logs, _ := filepath.Glob(filepath.Join(f.cfg.WorkDir, "*.log"))
 	for _, path := range logs {
 		text, err := os.ReadFile(path)
 		if err != nil {
