--- a/connection/caller/authentication.go
+++ b/connection/caller/authentication.go
@@ -17,7 +17,7 @@
 // a newer one, or the caller reaches another host.
 const unknownKeyRetryAfter = 500 * time.Millisecond
 
-// authenticate sets the workspace of a request from its caller's key, and ignores any
+// authenticate sets the workspace of a request from its workspace key, and ignores any
 // workspace that the caller names. If the key belongs to no workspace, it records the
 // request as rejected and returns the outcome and false.
 func (s *Server) authenticate(c fiber.Ctx, r *vetchtrail.Request) (vetchtrail.Outcome, bool) {
--- a/connection/caller/routed.go
+++ b/connection/caller/routed.go
@@ -127,7 +127,7 @@
 }
 
 // routedHeader copies the header fields to forward to an endpoint. It omits fields that
-// concern the connection only, fields that the system sets itself, and the caller's key.
+// concern the connection only, fields that the system sets itself, and the workspace key.
 func (s *Server) routedHeader(c fiber.Ctx, keyed bool) []vetchtrail.HeaderField {
 	connectionField := strings.ToLower(c.Get(fiber.HeaderConnection))
 	var out []vetchtrail.HeaderField
--- a/connection/dialect/dialect.go
+++ b/connection/dialect/dialect.go
@@ -34,7 +34,7 @@
 	// HeaderWorkspace names the request's workspace to the endpoint. Callers may set it in
 	// unrouted requests, to name a workspace that needs no key.
 	HeaderWorkspace = "X-Workspace"
-	// HeaderAuthorization has the caller's key as a bearer token.
+	// HeaderAuthorization has the workspace key as a bearer token.
 	HeaderAuthorization = "Authorization"
 	keyScheme           = "Bearer"
 )
--- a/feed.go
+++ b/feed.go
@@ -60,7 +60,7 @@
 	// them, so an endpoint must not be modified once a listing contains it.
 	Endpoints []*Endpoint
 	Hosts     []Host // registered hosts, including some that have ended lately
-	// Quarantined are the persisted quarantine entries, with times of the boot-time clock
+	// Quarantined are the persisted quarantine entries, with times of the boot clock
 	// (process/clock).
 	Quarantined []QuarantineEntry
 }
--- a/observation.go
+++ b/observation.go
@@ -22,8 +22,8 @@
 type EndpointTable interface {
 	// Fill appends the endpoints of a request's service to a view.
 	Fill(v *View, r *Request, now time.Time)
-	// Acquire reserves capacity for a request at an endpoint. It returns false if the endpoint
-	// has none now.
+	// Acquire counts a request as in flight at an endpoint. It returns false if none may be sent
+	// there now.
 	Acquire(name string, r *Request, now time.Time) bool
 	// Release frees the capacity, and updates the endpoint's statistics and state by what the
 	// attempt showed.
--- a/process/journal/losses.go
+++ b/process/journal/losses.go
@@ -44,7 +44,8 @@
 const reasonRateLimited = "endpoint-limited"
 
 // CauseCount is the number of requests that ended with one cause in one second, by service,
-// route, home and workspace. The second is that of the request's first decision.
+// route, home and workspace. The second is that of the request's first decision or, if it was
+// refused before any decision, of its outcome.
 type CauseCount struct {
 	Second  int    `json:"second"` // since Losses.From
 	Service string `json:"service"`
@@ -58,7 +59,7 @@
 
 // Losses counts the requests in the logs of several hosts by how they ended.
 type Losses struct {
-	From   time.Time    `json:"from"` // time of the first line
+	From   time.Time    `json:"from"` // time of the first decision or outcome
 	Rows   []CauseCount `json:"rows"` // sorted by time
 	Unread int          `json:"unread"`
 }
@@ -73,7 +74,8 @@
 }
 
 // ReadLosses reads the logs of all hosts and counts the requests by how they ended. The cause
-// follows from a request's outcome and the decisions before it.
+// follows from a request's outcome and the decisions before it. Requests without a decision at the
+// host that the caller reached are left out, except quarantined ones.
 func ReadLosses(logs ...io.Reader) (*Losses, error) {
 	requests, out := map[string]*requestLog{}, &Losses{}
 	for _, log := range logs {
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -48,7 +48,7 @@
 	// off from it.
 	standbyAfter     = 5 * DigestInterval / 2
 	reachableFor     = 3 * time.Second  // age of its digest from which a data centre counts as unreachable
-	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after another host relayed such a load report
+	leavingReportTTL = 10 * time.Minute // how long an endpoint counts as leaving after another host relayed a load report that says so
 	avoidTime        = 2 * time.Second  // how long nothing is forwarded to a host after a forward to it was lost
 )
 
--- a/quarantine.go
+++ b/quarantine.go
@@ -13,7 +13,7 @@
 	// time lasts longer.
 	Count   uint32
 	Crashes int       // number of endpoints that crashed before this entry was made
-	Since   time.Time // by the boot-time clock (process/clock), as is Until
+	Since   time.Time // by the boot clock (process/clock), as is Until
 	Until   time.Time // when the request may run again
 	// Released is set if an operator ended the entry early.
 	Released bool
--- a/reservation.go
+++ b/reservation.go
@@ -10,7 +10,7 @@
 	Endpoint   string    // empty: no reservation was needed
 	StartedAt  time.Time // start time of the endpoint's process instance
 	Rate       float64   // rate limit at the time of the reservation, in requests per second
-	ValidUntil time.Time // when it expires, by the boot-time clock (process/clock)
+	ValidUntil time.Time // when it expires, by the boot clock (process/clock)
 }
 
 // RateLimiter keeps the requests that all hosts together send to an endpoint within the rate
--- a/schema/convert.go
+++ b/schema/convert.go
@@ -199,7 +199,7 @@
 
 // FromRequest returns the message that forwards a request to another host.
 // Deadlines are sent as the time that remains at now, since hosts' clocks differ.
-// The hash of the caller's key is not sent: the receiver relies on the sender for
+// The hash of the workspace key is not sent: the receiver relies on the sender for
 // the workspace.
 func FromRequest(r *vetchtrail.Request, now time.Time) *ForwardRequest {
 	return &ForwardRequest{
--- a/schema/convert_test.go
+++ b/schema/convert_test.go
@@ -11,7 +11,7 @@
 
 // TestForwardedRequest checks a request that is forwarded to a host whose clock
 // differs by hours. As much time must remain until its deadlines there as here,
-// and the hash of the caller's key must not leave the host.
+// and the hash of the workspace key must not leave the host.
 func TestForwardedRequest(t *testing.T) {
 	senderNow := time.Unix(1_800_000_000, 0)
 	receiverNow := senderNow.Add(-3 * time.Hour)
--- a/schema/listing.go
+++ b/schema/listing.go
@@ -11,8 +11,8 @@
 
 // FromListing returns the message for a listing, the platform's service discovery
 // snapshot. Times are sent as their difference from now, and those of quarantine
-// entries as their difference from bootNow: now by the boot-time clock
-// (process/clock), which also runs while the machine is suspended.
+// entries as their difference from bootNow: now by the boot clock
+// (process/clock), which also runs while the host is suspended.
 func FromListing(l *vetchtrail.Listing, now, bootNow time.Time) *Listing {
 	m := &Listing{Revision: l.Revision, Seen: l.ConfirmedRevision, Age: int64(now.Sub(l.ReadAt))}
 	m.setEndpoints(l.Endpoints, now)
--- a/schema/quarantine.go
+++ b/schema/quarantine.go
@@ -22,7 +22,7 @@
 var ErrContentHash = errors.Errorf("a content hash must have %d bytes", contentHashBytes)
 
 // FromQuarantineEntries returns the messages for quarantine entries. Their times are sent as
-// the difference from now, a time of the boot-time clock (process/clock), as the
+// the difference from now, a time of the boot clock (process/clock), as the
 // times of the entries are.
 func FromQuarantineEntries(entries []vetchtrail.QuarantineEntry, now time.Time) []*Hold {
 	out := make([]*Hold, 0, len(entries))
--- a/workspace.go
+++ b/workspace.go
@@ -21,15 +21,15 @@
 	Quota  Quota
 }
 
-// MaxKeyBytes is the maximum length of a caller's key, in bytes.
+// MaxKeyBytes is the maximum length of a workspace key, in bytes.
 const MaxKeyBytes = 128
 
-// KeyHash is the hash of a caller's key. The configuration and its log contain only this
+// KeyHash is the hash of a workspace key. The configuration and its log contain only this
 // hash, never the key. It is the first half of a SHA-256 sum, which makes it infeasible to
 // find another key with the same hash.
 type KeyHash [sha256.Size / 2]byte
 
-// HashKey returns the hash of a caller's key. It hashes only the first MaxKeyBytes bytes, as
+// HashKey returns the hash of a workspace key. It hashes only the first MaxKeyBytes bytes, as
 // CheckKey rejects longer keys.
 func HashKey(key string) KeyHash {
 	var text [MaxKeyBytes]byte // on the stack, so that hashing allocates nothing
